--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -153,7 +153,7 @@
       continue;
     }
     Note({}, it->first, "is not in the group file any more; what runs runs on, unwatched");
-    loop_.Dispose(std::move(it->second));
+    loop_.DestroyLater(std::move(it->second));
     it = hands_.erase(it);
   }
 }
--- a/src/apps/oxbowfloor.cpp
+++ b/src/apps/oxbowfloor.cpp
@@ -26,7 +26,7 @@
 
 class Floor;
 
-class Line final : public net::Connection::User {
+class Line final : public net::Connection::Handler {
  public:
   Line(Floor& floor, int destination, const net::Address& to);
   void Call(std::string text);
@@ -43,7 +43,7 @@
   std::string text_;
 };
 
-class Client final : public net::Connection::User {
+class Client final : public net::Connection::Handler {
  public:
   Client(Floor& floor, net::Loop& loop, int fd) : floor_(floor), connection_(loop, fd, *this) {}
   void Say(const char* text) { connection_.Send(text); }
@@ -109,11 +109,11 @@
   }
   void Gone(Line& line, int destination) {
     std::erase(idle_[destination], &line);
-    loop.Dispose(std::move(lines_.at(&line)));
+    loop.DestroyLater(std::move(lines_.at(&line)));
     lines_.erase(&line);
   }
   void Gone(Client& client) {
-    loop.Dispose(std::move(clients_.at(&client)));
+    loop.DestroyLater(std::move(clients_.at(&client)));
     clients_.erase(&client);
   }
 
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -119,7 +119,7 @@
   }
 
   void Run() {
-    loop_.KeepLooking();
+    loop_.StartPeriodicPolling();
     phases_.Enter(Phase::kRecovering);
     phases_.Enter(Phase::kServing);
     loop_.Run();
@@ -444,7 +444,7 @@
     return start;
   }
   try {
-    net::Listener::Check(c.listen_fd);
+    net::Listener::CheckListening(c.listen_fd);
   } catch (const std::system_error& e) {
     throw config::Error("ROUTER_LISTEN_FD", "descriptor " + std::to_string(c.listen_fd) + ": " + e.what());
   }
@@ -489,15 +489,15 @@
   if (!check.empty()) return CheckConfig(check);
   std::signal(SIGPIPE, SIG_IGN);
   // A reload or a report asked for while the program starts.
-  net::Signal::HoldBack(SIGHUP);
-  net::Signal::HoldBack(SIGUSR1);
+  net::Signal::Block(SIGHUP);
+  net::Signal::Block(SIGUSR1);
   try {
     options.argv = argv;
     const config::Config c = config::FromEnvironment();
     // An end asked for from here on is one like any other; a process that waits for what another gives over
     // ends at once.
-    if (c.listen_fd < 0) net::Signal::HoldBack(SIGTERM);
-    if (c.listen_fd < 0) net::Signal::HoldBack(SIGINT);
+    if (c.listen_fd < 0) net::Signal::Block(SIGTERM);
+    if (c.listen_fd < 0) net::Signal::Block(SIGINT);
     Program(c, options, TakeStart(c)).Run();
   } catch (const journal::FolderLocked& e) {
     std::cerr << "oxbowspread: " << e.what() << "\n";
--- a/src/client/clients.cpp
+++ b/src/client/clients.cpp
@@ -51,7 +51,7 @@
   if (!left_over_) arrived_since_ = loop_.earliest_arrival();
   while (!waiting_ && !leaving_ && !in.empty() && connection_.connected()) {
     in.Consume(parser_.Feed(in.Front()));
-    if (parser_.state() == proto::RespParser::State::kBad) {
+    if (parser_.state() == proto::RespParser::State::kInvalid) {
       all_.counters_.malformed += 1;
       Say(proto::RespError(std::string("ERR Protocol error: ") + parser_.error()));
       return Leave();
@@ -114,7 +114,7 @@
 
 bool Client::TakenOn() {
   // One that has closed since it asked must not be taken on: it hands the message in elsewhere.
-  const bool heard = !connection_.Ended() && Say("+OK\r\n");
+  const bool heard = !connection_.ClosedByPeer() && Say("+OK\r\n");
   Answered();
   return heard;
 }
@@ -139,7 +139,7 @@
 }
 
 void Client::SendAway() {
-  if (!leaving_ && idle() && !next_.active() && connection_.Quiet()) Leave();
+  if (!leaving_ && idle() && !next_.active() && connection_.IsIdle()) Leave();
 }
 
 bool Client::Say(const std::string& text) {
@@ -150,7 +150,7 @@
 
 void Client::OnDue() {
   // A request that crosses the end of its rest is served: closed over it, the connection would be reset.
-  if (resting_ && !leaving_ && connection_.connected() && !connection_.Quiet()) {
+  if (resting_ && !leaving_ && connection_.connected() && !connection_.IsIdle()) {
     resting_ = false;
     return timer_.After(kCommandWithin);
   }
@@ -170,15 +170,15 @@
 }
 
 Passed Client::passed() const {
-  net::Connection::Rest rest = connection_.rest();
-  return {rest.fd, parser_.Unfinished(), std::move(rest.in), std::move(rest.out), asked_};
+  net::Connection::HandoverState rest = connection_.handover_state();
+  return {rest.fd, parser_.PartialCommand(), std::move(rest.received), std::move(rest.unsent), asked_};
 }
 
 void Client::TakeUp(const Passed& passed) {
   asked_ = passed.asked;
   left_over_ = !passed.in.empty();
   parser_.Feed(passed.unfinished);
-  connection_.TakeUp(passed.in, passed.out);
+  connection_.Restore(passed.in, passed.out);
   next_.After(net::Time(0));
   Watch();
 }
@@ -189,7 +189,7 @@
   if (std::exchange(waiting_, false)) all_.relay_.Withdraw(*this);
   timer_.Stop();
   next_.Stop();
-  if (!leaving_ && connection_.EndSending()) {
+  if (!leaving_ && connection_.ShutdownSending()) {
     leaving_ = true;
     return timer_.After(kLinger);
   }
@@ -270,7 +270,7 @@
 void Clients::Leave(Client& client) {
   const auto it = clients_.find(&client);
   if (it == clients_.end()) return;
-  loop_.Dispose(std::move(it->second));
+  loop_.DestroyLater(std::move(it->second));
   clients_.erase(it);
 }
 
@@ -279,7 +279,7 @@
 // Those that have connected and wait to be taken would be reset with the listener; where somebody else holds
 // it they are left for whoever comes next.
 void Clients::CloseDoor() {
-  if (listener_ && inherited_ < 0) listener_->AcceptWaiting(kMostWaiting);
+  if (listener_ && inherited_ < 0) listener_->AcceptPending(kMostWaiting);
   listener_.reset();
 }
 
--- a/src/client/clients.hpp
+++ b/src/client/clients.hpp
@@ -26,7 +26,7 @@
   bool asked = false;
 };
 
-class Client final : public net::Connection::User, public relay::Client {
+class Client final : public net::Connection::Handler, public relay::Client {
  public:
   Client(net::Loop& loop, int fd, Clients& all);
 
@@ -39,7 +39,7 @@
   // Since when it has had that claim, so that of two alike the earlier one goes.
   net::Time claim_since() const { return idle() ? quiet_since_ : came_at_; }
   // Nothing has come that is not looked at.
-  bool quiet() const { return connection_.Quiet(); }
+  bool quiet() const { return connection_.IsIdle(); }
   void Close() { connection_.Close(); }
   // Leaves now, if it rests and nothing more has come of it; else once that is answered.
   void SendAway();
--- a/src/control/peer.hpp
+++ b/src/control/peer.hpp
@@ -27,7 +27,7 @@
   virtual std::string error() const = 0;
 };
 
-class Peer final : public net::Connection::User {
+class Peer final : public net::Connection::Handler {
  public:
   struct Calls {
     std::function<void(Json)> frame;
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -57,8 +57,8 @@
   if (it == seats_.end()) return;
   if (!why.empty() && refused_) refused_(why);
   it->second.peer->Close();
-  loop_.Dispose(std::move(it->second.peer));
-  loop_.Dispose(std::move(it->second.silent));
+  loop_.DestroyLater(std::move(it->second.peer));
+  loop_.DestroyLater(std::move(it->second.silent));
   seats_.erase(it);
 }
 
@@ -90,7 +90,7 @@
 void Caller::Hang(const std::string& why) {
   if (peer_) {
     peer_->Close();
-    loop_.Dispose(std::move(peer_));
+    loop_.DestroyLater(std::move(peer_));
   }
   std::vector<std::int64_t> all;
   for (const auto& [id, out] : out_) all.push_back(id);
@@ -103,7 +103,7 @@
   Out out = std::move(it->second);
   out_.erase(it);
   out.late->Stop();
-  loop_.Dispose(std::move(out.late));
+  loop_.DestroyLater(std::move(out.late));
   out.done(answer, why);
 }
 
--- a/src/door/door.cpp
+++ b/src/door/door.cpp
@@ -4,13 +4,13 @@
 
 namespace oxbowspread::door {
 
-struct Door::Caller final : net::Connection::User {
+struct Door::Caller final : net::Connection::Handler {
   Caller(Door& d, int fd, std::uint64_t n)
       : door(d), number(n), connection(d.loop_, fd, *this, kRing), late(d.loop_, [this] {
           Say("error no whole line within 3 s");
           door.Leave(*this);
         }) {
-    connection.First();
+    connection.Prioritize();
     late.After(kWithin);
   }
   void OnBytes(proto::RingBuffer& in) override {
@@ -39,7 +39,7 @@
 
 Door::Door(net::Loop& loop, const net::Address& address, Handler handler)
     : loop_(loop), handler_(std::move(handler)), listener_(loop, address, [this](int fd) { Accept(fd); }) {
-  listener_.First();
+  listener_.Prioritize();
 }
 
 Door::~Door() = default;
@@ -55,7 +55,7 @@
   if (it == callers_.end()) return;
   caller.late.Stop();
   caller.connection.Close();
-  loop_.Dispose(std::move(it->second));
+  loop_.DestroyLater(std::move(it->second));
   callers_.erase(it);
 }
 
--- a/src/endpoint/line.cpp
+++ b/src/endpoint/line.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-relay::AttemptEnd MeaningOf(const proto::HttpHead& head) {
+relay::AttemptEnd MeaningOf(const proto::HttpResponseHead& head) {
   relay::AttemptEnd end;
   switch (head.status) {
     case 200:
@@ -103,8 +103,8 @@
     in.Consume(reader_.Feed(in.Front()));
     if (order_ && reader_.at_start()) AwaitAnswer();
     // A first line with 200 is a delivery, whatever is wrong with the rest.
-    if (order_ && reader_.first_line_status() == 200) EndAttempt(relay::AttemptEnd());
-    if (reader_.state() == proto::HttpReader::State::kBad) return Spoilt();
+    if (order_ && reader_.status_line_code() == 200) EndAttempt(relay::AttemptEnd());
+    if (reader_.state() == proto::HttpResponseParser::State::kInvalid) return Spoilt();
   }
 }
 
@@ -115,7 +115,7 @@
 }
 
 // Only a whole answer is believed when it says that nothing ran: the call of a spoilt one has run.
-void Line::OnWhole(bool keep_alive) {
+void Line::OnComplete(bool keep_alive) {
   answering_ = false;
   timer_.Stop();
   if (order_) EndAttempt(MeaningOf(head_));
--- a/src/endpoint/line.hpp
+++ b/src/endpoint/line.hpp
@@ -20,7 +20,7 @@
 inline constexpr net::Time kRest{30'000};
 inline constexpr net::Time kSweepEach{200'000};  // for old lines and hosts
 
-class Line final : public net::Connection::User, private proto::HttpReader::Handler {
+class Line final : public net::Connection::Handler, private proto::HttpResponseParser::Handler {
  public:
   class Owner {
    public:
@@ -42,7 +42,7 @@
   // The next call on a line that stands ready.
   void Carry(relay::AttemptOrder order);
   bool busy() const { return order_.has_value(); }
-  bool ready() const { return connection_ != nullptr && connection_->Quiet() && !answering_; }
+  bool ready() const { return connection_ != nullptr && connection_->IsIdle() && !answering_; }
   bool connected() const { return connection_ != nullptr && connection_->connected(); }
   const relay::AttemptOrder& order() const { return *order_; }
   const std::string& host() const { return host_; }
@@ -62,9 +62,9 @@
   void OnConnected() override { Write(); }
   void OnBytes(proto::RingBuffer& in) override;
   void OnClosed() override;
-  void OnHead(const proto::HttpHead& head) override { head_ = head; }
+  void OnHead(const proto::HttpResponseHead& head) override { head_ = head; }
   void OnBody(std::string_view) override {}
-  void OnWhole(bool keep_alive) override;
+  void OnComplete(bool keep_alive) override;
   void Write();
   void End(const relay::AttemptEnd& end);
   void EndAttempt(const relay::AttemptEnd& end);
@@ -77,8 +77,8 @@
   Owner& owner_;
   std::string host_;
   net::Address address_;
-  proto::HttpReader reader_;
-  proto::HttpHead head_;
+  proto::HttpResponseParser reader_;
+  proto::HttpResponseHead head_;
   std::unique_ptr<net::Connection> connection_;
   net::Timer timer_;
   std::optional<relay::AttemptOrder> order_;
@@ -91,7 +91,7 @@
 };
 
 // What an answer means for its call.
-relay::AttemptEnd MeaningOf(const proto::HttpHead& head);
+relay::AttemptEnd MeaningOf(const proto::HttpResponseHead& head);
 std::string CallText(const relay::AttemptOrder& order, net::Time left);
 
 }  // namespace oxbowspread::endpoint
--- a/src/endpoint/pool.cpp
+++ b/src/endpoint/pool.cpp
@@ -218,7 +218,7 @@
   const auto it = std::find_if(lines.begin(), lines.end(), [&](const auto& l) { return l.get() == &line; });
   if (it == lines.end()) return;
   Unlist(line);
-  loop_.Dispose(std::move(*it));
+  loop_.DestroyLater(std::move(*it));
   lines.erase(it);
   if (lines.empty()) pools_.erase(pool);
   lines_ -= 1;
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -284,7 +284,7 @@
   calls_.erase(it);
   by_attempt_.erase(call.attempt);
   // Read as the endpoint side reads it.
-  proto::HttpHead head;
+  proto::HttpResponseHead head;
   head.status = answer.status;
   if (answer.wait > 0us) {
     char text[40];
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -284,7 +284,7 @@
     for (std::size_t i = 0; i < relay.places.size(); ++i) {
       Place& place = relay.places[i];
       if (place.server == nullptr || place.closes_at == 0us || now < place.closes_at) continue;
-      loop_.Dispose(std::move(place.server));
+      loop_.DestroyLater(std::move(place.server));
       for (const std::uint64_t call : relay.answered) {
         if (call / kCallsOfPlace == i) Tell(model::WatchEnded{static_cast<int>(r), call});
       }
@@ -346,7 +346,7 @@
     Relay& relay = relays_[static_cast<std::size_t>(order.relay)];
     for (auto& line : relay.idle_clients) {
       line->Close();
-      loop_.Dispose(std::move(line));
+      loop_.DestroyLater(std::move(line));
     }
     relay.idle_clients.clear();
     for (int i = 0; i < order.count; ++i) {
@@ -408,7 +408,7 @@
     const auto it = lines_.find(&line);
     if (it == lines_.end()) return;
     line.Close();
-    loop_.Dispose(std::move(it->second.line));
+    loop_.DestroyLater(std::move(it->second.line));
     lines_.erase(it);
   }
 
@@ -470,7 +470,7 @@
     HostAt& host = hosts_[down.address];
     for (const auto& [connection, call] : host.calls) calls_.erase(call);
     host.calls.clear();
-    loop_.Dispose(std::move(host.server));
+    loop_.DestroyLater(std::move(host.server));
   }
 
   void OnCall(const std::string& address, std::uint64_t connection, const standin::Request& request) {
--- a/src/net/arrival_bound.cpp
+++ b/src/net/arrival_bound.cpp
@@ -4,16 +4,16 @@
 
 namespace oxbowspread::net {
 
-void ArrivalBound::Looked(Time now) {
-  std::rotate(looks_.rbegin(), looks_.rbegin() + 1, looks_.rend());
-  looks_.front() = now;
+void ArrivalBound::RecordPoll(Time now) {
+  std::rotate(poll_times_.rbegin(), poll_times_.rbegin() + 1, poll_times_.rend());
+  poll_times_.front() = now;
 }
 
 ArrivalBound::Time ArrivalBound::earliest() const {
-  for (std::size_t i = kRounds; i > 0; --i) {
-    if (looks_[i - 1] - looks_[i] > kStood) return looks_[i];
+  for (std::size_t i = kMaxReadDelayRounds; i > 0; --i) {
+    if (poll_times_[i - 1] - poll_times_[i] > kStallThreshold) return poll_times_[i];
   }
-  return looks_.front();
+  return poll_times_.front();
 }
 
 }  // namespace oxbowspread::net
--- a/src/net/arrival_bound.hpp
+++ b/src/net/arrival_bound.hpp
@@ -1,13 +1,15 @@
-// How long bytes can have lain unread. A process that stood still (stopped, or starved of the processor)
-// finds bytes whose sender has counted the time since; this says from when on they may have been there. No
-// I/O: it is told when the loop has looked at its sockets.
+// Lower bound for the arrival time of the bytes that the event loop is about to read.
 //
-// Times are microseconds of one clock that never goes back. Throws nothing and owns nothing.
+// After a stall (process stopped, or not scheduled) the loop finds bytes that may have arrived long ago, and
+// their sender measures time from when it sent them. This class derives the earliest possible arrival time
+// from the times at which the loop polled its sockets. It does no I/O: the loop reports each poll.
 //
-// What is read in one round of the loop came after the look before, unless that look was cut short by a
-// signal, or the bytes came with a connection that had to be accepted first: up to kRounds rounds. Looks are
-// kLookEach apart at most while the process runs, so a longer pause than kStood is one in which it stood.
-// Between looks that are closer no time is counted: bytes lie for kStood at most uncounted.
+// Times are microseconds of one monotonic clock. Nothing throws, and nothing is owned.
+//
+// Bytes read in one round of the loop usually arrived after the previous poll. They may be older if a signal
+// interrupted that poll, or if their connection had to be accepted first: up to kMaxReadDelayRounds rounds.
+// While the process runs, polls are at most kPollInterval apart, so a gap longer than kStallThreshold is a
+// stall. Shorter gaps are not counted: bytes may be up to kStallThreshold older than the bound says.
 #pragma once
 
 #include <array>
@@ -19,17 +21,17 @@
  public:
   using Time = std::chrono::microseconds;
 
-  static constexpr Time kLookEach{50'000};
-  static constexpr Time kStood{100'000};
-  static constexpr std::size_t kRounds = 3;
+  static constexpr Time kPollInterval{50'000};
+  static constexpr Time kStallThreshold{100'000};
+  static constexpr std::size_t kMaxReadDelayRounds = 3;
 
-  // All sockets have been looked at, and what came is about to be read.
-  void Looked(Time now);
-  // What is read until the next look came no earlier; 0 until there were enough looks to say.
+  // Call after each poll of all sockets, before anything is read. `now` is the time of the poll.
+  void RecordPoll(Time now);
+  // Bytes read before the next poll did not arrive earlier than this; 0 until enough polls were recorded.
   Time earliest() const;
 
  private:
-  std::array<Time, kRounds + 1> looks_{};  // the last one first
+  std::array<Time, kMaxReadDelayRounds + 1> poll_times_{};  // newest first
 };
 
 }  // namespace oxbowspread::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -16,20 +16,20 @@
 
 namespace oxbowspread::net {
 namespace {
-void NoDelay(int fd) {
+void DisableNagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
-bool UnixAddress(const std::string& path, sockaddr_un* address) {
+bool MakeUnixAddress(const std::string& path, sockaddr_un* address) {
   *address = {};
   address->sun_family = AF_UNIX;
   if (path.empty() || path.size() >= sizeof address->sun_path) return false;
   std::memcpy(address->sun_path, path.data(), path.size());
   return true;
 }
-// Of libev's five: those served first, and what comes on any connection. All else has 0.
-constexpr int kFirst = EV_MAXPRI, kIncoming = 1;
-bool Again(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
+// libev priorities: prioritized sockets, and reads on established connections. Everything else has 0.
+constexpr int kHighestPriority = EV_MAXPRI, kReadPriority = 1;
+bool IsTransient(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
 }  // namespace
 
 std::optional<Address> ParseAddress(std::string_view text) {
@@ -53,68 +53,69 @@
   return std::string(text) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-Connection::Connection(Loop& loop, int fd, User& user, std::size_t limit)
-    : loop_(loop), user_(user), fd_(fd), in_(limit), out_(limit), io_(loop.ref()) {
-  NoDelay(fd);
+Connection::Connection(Loop& loop, int fd, Handler& handler, std::size_t buffer_limit)
+    : loop_(loop), handler_(handler), fd_(fd), in_(buffer_limit), out_(buffer_limit), io_(loop.ref()) {
+  DisableNagle(fd);
   io_.set<Connection, &Connection::OnIo>(this);
-  Watch();
+  UpdateWatcher();
 }
 
-std::unique_ptr<Connection> Connection::Open(Loop& loop, const Address& to, User& user, std::size_t limit) {
+std::unique_ptr<Connection> Connection::Open(Loop& loop, const Address& to, Handler& handler,
+                                             std::size_t buffer_limit) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  return Start(loop, fd, reinterpret_cast<const sockaddr*>(&to), sizeof to, user, limit);
+  return Start(loop, fd, reinterpret_cast<const sockaddr*>(&to), sizeof to, handler, buffer_limit);
 }
 
-std::unique_ptr<Connection> Connection::OpenUnix(Loop& loop, const std::string& path, User& user,
-                                                 std::size_t limit) {
+std::unique_ptr<Connection> Connection::OpenUnix(Loop& loop, const std::string& path, Handler& handler,
+                                                 std::size_t buffer_limit) {
   sockaddr_un to{};
-  if (!UnixAddress(path, &to)) return nullptr;
+  if (!MakeUnixAddress(path, &to)) return nullptr;
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  return Start(loop, fd, reinterpret_cast<const sockaddr*>(&to), sizeof to, user, limit);
+  return Start(loop, fd, reinterpret_cast<const sockaddr*>(&to), sizeof to, handler, buffer_limit);
 }
 
 std::unique_ptr<Connection> Connection::Start(Loop& loop, int fd, const sockaddr* to, socklen_t size,
-                                              User& user, std::size_t limit) {
+                                              Handler& handler, std::size_t buffer_limit) {
   if (fd < 0) return nullptr;
-  auto connection = std::make_unique<Connection>(loop, fd, user, limit);
+  auto connection = std::make_unique<Connection>(loop, fd, handler, buffer_limit);
   connection->connecting_ = true;
-  connection->Watch();
+  connection->UpdateWatcher();
   if (connect(fd, to, size) != 0 && errno != EINPROGRESS) {
     connection->broken_ = true;
-    connection->io_.feed_event(ev::WRITE);  // told from the loop, as any other failure
+    connection->io_.feed_event(ev::WRITE);  // reported from the loop like any other failure
   }
   return connection;
 }
 
-void Connection::Watch() {
+void Connection::UpdateWatcher() {
   if (fd_ < 0) return;
   const bool reading = !connecting_ && !in_.full();
   const bool writing = connecting_ || !out_.empty();
   const int events = (reading ? ev::READ : 0) | (writing ? ev::WRITE : 0);
-  io_.stop();  // a watcher's priority may only change while it rests
-  io_.priority = first_ ? kFirst : connecting_ ? 0 : kIncoming;
+  io_.stop();  // libev allows a priority change only while the watcher is stopped
+  io_.priority = prioritized_ ? kHighestPriority : connecting_ ? 0 : kReadPriority;
   if (events != 0) io_.start(fd_, events);
 }
 
 bool Connection::Send(std::string_view bytes) {
-  if (fd_ < 0 || broken_ || ending_ || !out_.Append(bytes)) return false;
+  if (fd_ < 0 || broken_ || send_shutdown_ || !out_.Append(bytes)) return false;
   if (connecting_) return true;
   if (!Flush()) {
-    // Told to the user from the loop: the caller is in the middle of something.
+    // The handler is notified from the loop, not from here: the caller has not finished its own operation.
     broken_ = true;
     io_.feed_event(ev::READ);
     return false;
   }
-  Watch();
+  UpdateWatcher();
   return true;
 }
 
 bool Connection::Flush() {
   while (!out_.empty()) {
     const std::string_view front = out_.Front();
-    // Without MSG_NOSIGNAL a client that has left would end the whole relay by SIGPIPE.
+    // Without MSG_NOSIGNAL a client that has disconnected would kill the process with SIGPIPE.
     const ssize_t count = send(fd_, front.data(), front.size(), MSG_NOSIGNAL);
-    if (count < 0) return Again(errno);
+    if (count < 0) return IsTransient(errno);
     out_.Consume(static_cast<std::size_t>(count));
   }
   return true;
@@ -122,7 +123,7 @@
 
 void Connection::OnIo(ev::io&, int events) {
   if (fd_ < 0) return;
-  if (broken_) return Lose();
+  if (broken_) return CloseAndNotify();
   if ((events & ev::WRITE) != 0) OnWritable();
   if (fd_ >= 0 && (events & ev::READ) != 0) OnReadable();
 }
@@ -132,54 +133,54 @@
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return Lose();
+    if (error != 0) return CloseAndNotify();
     connecting_ = false;
-    Watch();
-    user_.OnConnected();
+    UpdateWatcher();
+    handler_.OnConnected();
     if (fd_ < 0 || broken_) return;
   }
-  if (!Flush()) return Lose();
-  Watch();
+  if (!Flush()) return CloseAndNotify();
+  UpdateWatcher();
 }
 
 void Connection::OnReadable() {
-  if (ending_) return OnReadableAtEnd();
+  if (send_shutdown_) return OnReadableAfterShutdown();
   bool ended = false;
   while (!ended) {
-    const std::span<char> space = in_.Space();
+    const std::span<char> space = in_.WritableSpan();
     if (space.empty()) break;
     const ssize_t count = recv(fd_, space.data(), space.size(), 0);
-    if (count < 0 && Again(errno)) break;
+    if (count < 0 && IsTransient(errno)) break;
     ended = count <= 0;
     if (count > 0) in_.Commit(static_cast<std::size_t>(count));
     if (count > 0 && static_cast<std::size_t>(count) < space.size()) break;
   }
-  if (!in_.empty()) user_.OnBytes(in_);
+  if (!in_.empty()) handler_.OnBytes(in_);
   if (fd_ < 0) return;
-  if (ended) return Lose();
-  if (!ending_) Watch();
+  if (ended) return CloseAndNotify();
+  if (!send_shutdown_) UpdateWatcher();
 }
 
-// Whether the other side has ended it too. Bytes that crossed the end stay unread; with them in the way its
-// end can't be seen.
-void Connection::OnReadableAtEnd() {
+// Checks whether the peer has closed its direction too. Bytes that it sent before it saw the shutdown stay
+// unread; while there are any, the end of the stream can't be detected, so the watcher is stopped.
+void Connection::OnReadableAfterShutdown() {
   char byte = 0;
   const ssize_t count = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (count > 0) return io_.stop();
-  if (count == 0 || !Again(errno)) Lose();
+  if (count == 0 || !IsTransient(errno)) CloseAndNotify();
 }
 
 void Connection::ReadNow() {
   if (fd_ < 0 || connecting_) return;
-  if (broken_) return Lose();
+  if (broken_) return CloseAndNotify();
   OnReadable();
 }
 
-bool Connection::EndSending() {
+bool Connection::ShutdownSending() {
   if (fd_ < 0 || connecting_ || broken_ || !out_.empty()) return false;
-  if (std::exchange(ending_, true)) return true;
+  if (std::exchange(send_shutdown_, true)) return true;
   if (shutdown(fd_, SHUT_WR) != 0) {
-    ending_ = false;
+    send_shutdown_ = false;
     return false;
   }
   io_.stop();
@@ -187,40 +188,42 @@
   return true;
 }
 
-Connection::Rest Connection::rest() const { return {fd_, in_.Text(), out_.Text()}; }
+Connection::HandoverState Connection::handover_state() const {
+  return {fd_, in_.Contents(), out_.Contents()};
+}
 
-void Connection::TakeUp(std::string_view in, std::string_view out) {
-  in_.Append(in);
-  Send(out);
+void Connection::Restore(std::string_view received, std::string_view unsent) {
+  in_.Append(received);
+  Send(unsent);
 }
 
 void Connection::Resume() {
-  if (ending_) return;
-  if (fd_ >= 0 && !in_.empty()) user_.OnBytes(in_);
-  if (!ending_) Watch();
+  if (send_shutdown_) return;
+  if (fd_ >= 0 && !in_.empty()) handler_.OnBytes(in_);
+  if (!send_shutdown_) UpdateWatcher();
 }
 
-void Connection::First() {
-  first_ = true;
-  Watch();
+void Connection::Prioritize() {
+  prioritized_ = true;
+  UpdateWatcher();
 }
 
-bool Connection::Quiet() const {
+bool Connection::IsIdle() const {
   char byte = 0;
-  return fd_ >= 0 && !broken_ && recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && Again(errno);
+  return fd_ >= 0 && !broken_ && recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && IsTransient(errno);
 }
 
-bool Connection::Ended() const {
+bool Connection::ClosedByPeer() const {
   char byte = 0;
   if (fd_ < 0 || broken_) return true;
   const ssize_t count = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return count == 0 || (count < 0 && !Again(errno));
+  return count == 0 || (count < 0 && !IsTransient(errno));
 }
 
-void Connection::Lose() {
+void Connection::CloseAndNotify() {
   if (fd_ < 0) return;
   Close();
-  user_.OnClosed();
+  handler_.OnClosed();
 }
 
 void Connection::Close() {
@@ -228,13 +231,13 @@
   if (fd_ >= 0) close(std::exchange(fd_, -1));
 }
 
-Listener::Listener(Loop& loop, const Address& address, Accepted accepted)
+Listener::Listener(Loop& loop, const Address& address, AcceptHandler accept_handler)
     : fd_(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
-      spare_(open("/dev/null", O_RDONLY | O_CLOEXEC)),
-      accepted_(std::move(accepted)),
+      spare_fd_(open("/dev/null", O_RDONLY | O_CLOEXEC)),
+      accept_handler_(std::move(accept_handler)),
       io_(loop.ref()) {
   const int on = 1;
-  // A restarted relay takes its address back while old connections still linger in the system.
+  // A restarted relay can bind its address again while old connections are still in TIME_WAIT.
   setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (bind(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 || listen(fd_, 511) != 0) {
     const int error = errno;
@@ -244,38 +247,38 @@
   Start();
 }
 
-Listener::Listener(Loop& loop, const std::string& path, Accepted accepted)
+Listener::Listener(Loop& loop, const std::string& path, AcceptHandler accept_handler)
     : fd_(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)),
-      spare_(open("/dev/null", O_RDONLY | O_CLOEXEC)),
-      accepted_(std::move(accepted)),
+      spare_fd_(open("/dev/null", O_RDONLY | O_CLOEXEC)),
+      accept_handler_(std::move(accept_handler)),
       io_(loop.ref()) {
   sockaddr_un address{};
   const auto fail = [this](int error, const char* what) {
     Close();
     throw std::system_error(error, std::generic_category(), what);
   };
-  if (!UnixAddress(path, &address)) fail(ENAMETOOLONG, "control socket");
+  if (!MakeUnixAddress(path, &address)) fail(ENAMETOOLONG, "control socket");
   const auto* const at = reinterpret_cast<const sockaddr*>(&address);
-  struct stat there {};
-  if (lstat(path.c_str(), &there) == 0) {
-    if (!S_ISSOCK(there.st_mode)) fail(EEXIST, "control socket: what stands there is no socket");
+  struct stat existing {};
+  if (lstat(path.c_str(), &existing) == 0) {
+    if (!S_ISSOCK(existing.st_mode)) fail(EEXIST, "control socket: the path exists and is not a socket");
     const int probe = socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    const bool taken = connect(probe, at, sizeof address) == 0 || errno == EAGAIN;
+    const bool in_use = connect(probe, at, sizeof address) == 0 || errno == EAGAIN;
     close(probe);
-    if (taken) fail(EADDRINUSE, "control socket");
+    if (in_use) fail(EADDRINUSE, "control socket");
     unlink(path.c_str());
   }
-  const mode_t before = umask(0177);
+  const mode_t previous_umask = umask(0177);
   const bool bound = bind(fd_, at, sizeof address) == 0;
   const int error = errno;
-  umask(before);
+  umask(previous_umask);
   if (!bound) fail(error, "control socket");
   path_ = path;
   if (listen(fd_, 64) != 0) fail(errno, "control socket");
   Start();
 }
 
-void Listener::Check(int fd) {
+void Listener::CheckListening(int fd) {
   int listens = 0;
   socklen_t size = sizeof listens;
   const bool socket = getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) == 0;
@@ -284,14 +287,14 @@
   }
 }
 
-Listener::Listener(Loop& loop, int fd, Accepted accepted)
-    : fd_(-1), spare_(-1), accepted_(std::move(accepted)), io_(loop.ref()) {
-  Check(fd);
-  // A descriptor of its own: the one that was handed in stays for whoever comes next.
+Listener::Listener(Loop& loop, int fd, AcceptHandler accept_handler)
+    : fd_(-1), spare_fd_(-1), accept_handler_(std::move(accept_handler)), io_(loop.ref()) {
+  CheckListening(fd);
+  // Uses a duplicate: the original descriptor stays open for the next process.
   fd_ = fcntl(fd, F_DUPFD_CLOEXEC, 0);
   if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "listen");
   fcntl(fd_, F_SETFL, fcntl(fd_, F_GETFL) | O_NONBLOCK);
-  spare_ = open("/dev/null", O_RDONLY | O_CLOEXEC);
+  spare_fd_ = open("/dev/null", O_RDONLY | O_CLOEXEC);
   Start();
 }
 
@@ -300,9 +303,9 @@
   Resume();
 }
 
-void Listener::First() {
+void Listener::Prioritize() {
   io_.stop();
-  io_.priority = kFirst;
+  io_.priority = kHighestPriority;
   Resume();
 }
 
@@ -313,26 +316,27 @@
 void Listener::Close() {
   io_.stop();
   if (fd_ >= 0) close(std::exchange(fd_, -1));
-  if (spare_ >= 0) close(std::exchange(spare_, -1));
+  if (spare_fd_ >= 0) close(std::exchange(spare_fd_, -1));
   if (!path_.empty()) unlink(std::exchange(path_, {}).c_str());
 }
 
-void Listener::OnIo(ev::io&, int) { AcceptWaiting(64); }
+void Listener::OnIo(ev::io&, int) { AcceptPending(64); }
 
-void Listener::AcceptWaiting(int most) {
-  for (int i = 0; i < most && io_.is_active(); ++i) {
+void Listener::AcceptPending(int max_count) {
+  for (int i = 0; i < max_count && io_.is_active(); ++i) {
     const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      accepted_(fd);
+      accept_handler_(fd);
       continue;
     }
     if (errno == ECONNABORTED || errno == EINTR) continue;
     if (errno != EMFILE && errno != ENFILE) return;
-    // Out of descriptors: an unaccepted client would wake the loop for ever, so it is turned away.
-    close(std::exchange(spare_, -1));
+    // Out of descriptors: a client that is never accepted would wake the loop forever, so it is accepted with
+    // the spare descriptor and closed.
+    close(std::exchange(spare_fd_, -1));
     const int turned_away = accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC);
     if (turned_away >= 0) close(turned_away);
-    spare_ = open("/dev/null", O_RDONLY | O_CLOEXEC);
+    spare_fd_ = open("/dev/null", O_RDONLY | O_CLOEXEC);
     return;
   }
 }
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,6 +1,9 @@
-// Thin drivers: a connection reads into one ring and writes from another; what the bytes mean is its user's.
-// Of what is ready in one round of the loop, what has come on connections goes before timers, new clients and
-// connections that come up: an answer that is there is taken before its time-out, a list before a call.
+// Non-blocking stream sockets on the event loop. A connection reads into one ring buffer and writes from
+// another; its handler interprets the bytes.
+//
+// Within one round of the loop, readable connections are served before timers, new clients and connections
+// that have just been established: a response that has arrived is handled before its timeout, and an update
+// of the routing table before a call that depends on it.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,112 +20,116 @@
 namespace oxbowspread::net {
 
 using Address = sockaddr_in;
-// "127.0.0.1:80"; nothing if it isn't one.
+// Parses "IPv4:port", such as "127.0.0.1:80"; empty if the text has another form.
 std::optional<Address> ParseAddress(std::string_view text);
-// The reverse of ParseAddress.
+// Formats an address as ParseAddress reads it.
 std::string AddressText(const Address& address);
 
+// One stream socket with its receive and send buffers. Owns the descriptor; the handler must outlive it.
 class Connection {
  public:
-  // Called from the loop only, never from within the connection's own methods.
-  class User {
+  // Called from the loop, from ReadNow and from Resume, never from Send or Close.
+  class Handler {
    public:
-    virtual ~User() = default;
+    virtual ~Handler() = default;
     virtual void OnConnected() {}
-    virtual void OnBytes(proto::RingBuffer& in) = 0;  // consumes what it can
-    virtual void OnClosed() = 0;                      // by the other side; Close() is not told
+    virtual void OnBytes(proto::RingBuffer& received) = 0;  // consumes what it can parse
+    virtual void OnClosed() = 0;  // by the peer or a socket error; not called for Close()
   };
 
-  static constexpr std::size_t kRing = 128 * 1024;
+  static constexpr std::size_t kBufferBytes = 128 * 1024;
 
-  // Takes over an accepted socket.
-  Connection(Loop& loop, int fd, User& user, std::size_t limit = kRing);
-  // Starts to connect; nothing when no socket could be had.
-  static std::unique_ptr<Connection> Open(Loop& loop, const Address& to, User& user,
-                                          std::size_t limit = kRing);
-  // The same to a Unix-domain socket; a path that is too long counts as one that nobody listens at.
-  static std::unique_ptr<Connection> OpenUnix(Loop& loop, const std::string& path, User& user,
-                                              std::size_t limit = kRing);
+  // Takes ownership of an accepted, non-blocking socket. `buffer_limit` is in bytes, for each direction.
+  Connection(Loop& loop, int fd, Handler& handler, std::size_t buffer_limit = kBufferBytes);
+  // Starts to connect; null if no socket could be created. Later failures are reported through OnClosed.
+  static std::unique_ptr<Connection> Open(Loop& loop, const Address& to, Handler& handler,
+                                          std::size_t buffer_limit = kBufferBytes);
+  // The same for a Unix-domain socket; null also if the path is too long for a socket address.
+  static std::unique_ptr<Connection> OpenUnix(Loop& loop, const std::string& path, Handler& handler,
+                                              std::size_t buffer_limit = kBufferBytes);
   ~Connection() { Close(); }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Queues and writes at once what the socket takes; false if the connection is gone or the ring is full.
+  // Queues the bytes and writes what the socket accepts at once; false if the connection is closed or the
+  // send buffer has no room for all of them.
   bool Send(std::string_view bytes);
-  // Whether the last byte has been handed to the system.
+  // Whether all queued bytes have been passed to the kernel.
   bool flushed() const { return out_.empty(); }
   bool connected() const { return fd_ >= 0 && !connecting_; }
-  // Whether the other side has ended it, or sent something, unnoticed so far.
-  bool Quiet() const;
-  // Whether the other side has ended it, though the loop has not told so yet.
-  bool Ended() const;
+  // Whether the connection is open and the kernel holds neither unread bytes nor an end of stream for it.
+  bool IsIdle() const;
+  // Whether the peer has closed it, even if the loop has not reported that yet.
+  bool ClosedByPeer() const;
   void Close();
-  // Takes at once what has come, as the loop would have: the user may be called. For the moment before
-  // something is ended for want of it.
+  // Reads what has arrived without waiting for the loop; the handler may be called. Used right before an
+  // operation is timed out or cancelled because no response was seen.
   void ReadNow();
-  // Ends it so that what was sent reaches the other side: a close over unread bytes would reset the
-  // connection and take that with it. What still comes is left unread. OnClosed follows when the other side
-  // has ended it too; whoever calls this calls Close if that takes too long. True if it is under way; false,
-  // and nothing done, where not all is written or the connection is gone.
-  bool EndSending();
-  // What another process needs to go on with it: its descriptor, which stays this one's until Close, what
-  // came and was not consumed, and what is still to be written.
-  struct Rest {
+  // Closes the sending direction, so that everything sent reaches the peer: closing a socket that has unread
+  // bytes would reset the connection and discard data in transit. Bytes received afterwards are left unread.
+  // OnClosed follows once the peer has closed too; the caller must call Close if that takes too long. Returns
+  // false and does nothing if bytes are still to be written or the connection is closed.
+  bool ShutdownSending();
+  // What another process needs to continue the connection: the descriptor, which stays owned by this object
+  // until Close, the received bytes that were not consumed, and the bytes that are still to be written.
+  struct HandoverState {
     int fd = -1;
-    std::string in, out;
+    std::string received, unsent;
   };
-  Rest rest() const;
-  // As another process left it; `in` is offered by Resume.
-  void TakeUp(std::string_view in, std::string_view out);
-  // Offers again what the user left unread.
+  HandoverState handover_state() const;
+  // Restores the buffers of another process's HandoverState. `received` is passed to the handler by Resume.
+  void Restore(std::string_view received, std::string_view unsent);
+  // Passes the handler again what it left unconsumed.
   void Resume();
-  // Served before other sockets that are ready in the same round of the loop.
-  void First();
+  // From now on serves this connection before all other sockets that are ready in the same round of the loop.
+  void Prioritize();
 
  private:
-  static std::unique_ptr<Connection> Start(Loop& loop, int fd, const sockaddr* to, socklen_t size, User& user,
-                                           std::size_t limit);
+  static std::unique_ptr<Connection> Start(Loop& loop, int fd, const sockaddr* to, socklen_t size,
+                                           Handler& handler, std::size_t buffer_limit);
   void OnIo(ev::io& io, int events);
   void OnWritable();
   void OnReadable();
-  void OnReadableAtEnd();
+  void OnReadableAfterShutdown();
   bool Flush();
-  void Watch();
-  void Lose();
+  void UpdateWatcher();
+  void CloseAndNotify();
 
   Loop& loop_;
-  User& user_;
+  Handler& handler_;
   int fd_;
   bool connecting_ = false;
   bool broken_ = false;
-  bool ending_ = false;  // nothing more is sent or read
-  bool first_ = false;
+  bool send_shutdown_ = false;  // ShutdownSending was called: nothing more is sent or read
+  bool prioritized_ = false;
   proto::RingBuffer in_, out_;
   ev::io io_;
 };
 
+// Listening socket that passes each accepted descriptor to a callback, which takes ownership of it.
 class Listener {
  public:
-  using Accepted = std::function<void(int fd)>;
-  // Throws std::system_error if the address can't be had.
-  Listener(Loop& loop, const Address& address, Accepted accepted);
-  // At a Unix-domain socket that only this user may open. A file that a dead process left there is replaced;
-  // where somebody still answers, or where no socket stands, it throws and changes nothing.
-  Listener(Loop& loop, const std::string& path, Accepted accepted);
-  // At a socket that somebody else has bound and listens at, and keeps. Throws std::system_error if it is no
-  // such socket.
-  Listener(Loop& loop, int fd, Accepted accepted);
-  // The same check, without listening.
-  static void Check(int fd);
+  using AcceptHandler = std::function<void(int fd)>;
+  // Throws std::system_error if the address can't be bound.
+  Listener(Loop& loop, const Address& address, AcceptHandler accept_handler);
+  // Listens on a Unix-domain socket that only this user may open. A socket file left by a dead process is
+  // replaced. If another process still accepts connections there, or the file is not a socket, throws
+  // std::system_error and changes nothing.
+  Listener(Loop& loop, const std::string& path, AcceptHandler accept_handler);
+  // Listens on a duplicate of a listening socket that is owned by someone else. Throws std::system_error if
+  // `fd` is not a listening socket.
+  Listener(Loop& loop, int fd, AcceptHandler accept_handler);
+  // Performs only that check. Throws std::system_error.
+  static void CheckListening(int fd);
   ~Listener() { Close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // As Connection::First.
-  void First();
+  // As Connection::Prioritize.
+  void Prioritize();
   void Pause() { io_.stop(); }
-  // Takes those that have connected already, so many at most: Close would reset them.
-  void AcceptWaiting(int most);
+  // Accepts up to `max_count` clients that have already connected: Close would reset them.
+  void AcceptPending(int max_count);
   void Resume();
   void Close();
 
@@ -132,9 +139,9 @@
   void Start();
 
   int fd_;
-  std::string path_;  // of a Unix-domain socket, removed with it
-  int spare_;         // given up for a moment when descriptors run out, to turn a client away
-  Accepted accepted_;
+  std::string path_;  // of a Unix-domain socket; the file is removed by Close
+  int spare_fd_;  // closed briefly when descriptors run out, to be able to accept and close a waiting client
+  AcceptHandler accept_handler_;
   ev::io io_;
 };
 
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,4 +1,5 @@
-// The event loop (libev), its clocks, timers and the disposal of what can't be destroyed in its own callback.
+// Event loop over libev, with its clocks, timers, signal watchers and deferred destruction of objects that
+// must not be destroyed inside their own callbacks.
 #pragma once
 
 #include <ev++.h>
@@ -20,72 +21,76 @@
   ev::loop_ref ref() { return loop_; }
   void Run() { loop_.run(0); }
   void Stop() { loop_.break_loop(ev::ALL); }
-  // Looks at the sockets every ArrivalBound::kLookEach from now on, though nothing comes and nothing is due.
-  void KeepLooking();
-  // No byte that is read in this round of the loop came earlier. Useful after KeepLooking.
+  // From now on polls the sockets at least every ArrivalBound::kPollInterval, even when the loop is idle.
+  void StartPeriodicPolling();
+  // Lower bound for the arrival time of all bytes read in this round of the loop. Only meaningful after
+  // StartPeriodicPolling.
   Time earliest_arrival() const { return arrivals_.earliest(); }
 
   static Time Now();      // monotonic
-  static Time UnixNow();  // for what outlasts the process
+  static Time UnixNow();  // wall clock, for times that outlive the process
 
-  // Destroys it once no callback is running.
+  // Takes ownership and destroys the object once no callback is running.
   template <typename T>
-  void Dispose(std::unique_ptr<T> what) {
-    if (what != nullptr) disposed_.push_back(std::shared_ptr<T>(std::move(what)));
+  void DestroyLater(std::unique_ptr<T> object) {
+    if (object != nullptr) awaiting_destruction_.push_back(std::shared_ptr<T>(std::move(object)));
   }
 
  private:
-  void OnPrepare(ev::prepare&, int) { std::vector<std::shared_ptr<void>>().swap(disposed_); }
-  void OnCheck(ev::check&, int) { arrivals_.Looked(Now()); }
-  void OnLookDue(ev::timer&, int) {}
+  void OnPrepare(ev::prepare&, int) { std::vector<std::shared_ptr<void>>().swap(awaiting_destruction_); }
+  void OnCheck(ev::check&, int) { arrivals_.RecordPoll(Now()); }
+  void OnPollTimer(ev::timer&, int) {}
 
   ev::dynamic_loop loop_;
   ev::prepare prepare_;
   ev::check check_;
-  ev::timer look_;
+  ev::timer poll_timer_;
   ArrivalBound arrivals_;
-  std::vector<std::shared_ptr<void>> disposed_;
+  std::vector<std::shared_ptr<void>> awaiting_destruction_;
 };
 
-// One that is called late, as after the process stood still, first lets the loop look once at its sockets: a
-// signal ends the loop's wait with nothing told of what has come, and what has come goes before timers.
+// One-shot timer; setting it again replaces the earlier time. A timer that fires more than kLateThreshold
+// late, for example after a stall, waits for one more poll of the sockets before it calls back: a signal can
+// end the loop's wait without reporting readable sockets, and received bytes must be handled before timeouts.
 class Timer {
  public:
-  static constexpr Time kLate{20'000};
+  static constexpr Time kLateThreshold{20'000};
 
-  Timer(Loop& loop, std::function<void()> due);
-  void After(Time span);
+  Timer(Loop& loop, std::function<void()> callback);
+  void After(Time delay);
   void At(Time moment) { After(moment - Loop::Now()); }
   void Stop() { timer_.stop(); }
   bool active() const { return timer_.is_active(); }
 
  private:
-  void OnDue(ev::timer&, int);
-  void Start(Time span);
+  void OnTimeout(ev::timer&, int);
+  void Start(Time delay);
 
   Time due_at_{0};
-  bool looked_ = false;  // the loop has looked at its sockets since this one was found late
+  bool polled_since_due_ = false;  // the loop has polled its sockets since this timer was found to be late
   ev::timer timer_;
   ev::loop_ref loop_;
-  std::function<void()> due_;
+  std::function<void()> callback_;
 };
 
+// Calls the handler from the loop when the signal arrives.
 class Signal {
  public:
-  Signal(Loop& loop, int number, std::function<void()> came);
-  // Held back again from then on: what comes while the program ends must not end it by the signal.
-  ~Signal() { HoldBack(number_); }
+  Signal(Loop& loop, int signal_number, std::function<void()> handler);
+  // Blocks the signal again, so that one that arrives while the program shuts down does not kill it.
+  ~Signal() { Block(signal_number_); }
   Signal(const Signal&) = delete;
   Signal& operator=(const Signal&) = delete;
-  // Until a watcher for it starts it neither ends the program nor is lost.
-  static void HoldBack(int number);
+  // Blocks the signal until a watcher for it is created; meanwhile it stays pending and does not kill the
+  // program.
+  static void Block(int signal_number);
 
  private:
-  void OnSignal(ev::sig&, int) { came_(); }
+  void OnSignal(ev::sig&, int) { handler_(); }
 
-  int number_;
+  int signal_number_;
   ev::sig signal_;
-  std::function<void()> came_;
+  std::function<void()> handler_;
 };
 
 }  // namespace oxbowspread::net
--- a/src/notice/notice.cpp
+++ b/src/notice/notice.cpp
@@ -64,7 +64,7 @@
     if (out_.size() < kMostInOne) out_.push_back(id);
   }
   silence_.After(kAnswerWithin);
-  if (connection_ != nullptr && connection_->Quiet()) return Write();
+  if (connection_ != nullptr && connection_->IsIdle()) return Write();
   Drop();
   connection_ = net::Connection::Open(loop_, address_, *this);
   if (connection_ == nullptr) Retry();
@@ -84,11 +84,11 @@
   while (!in.empty() && connection_ != nullptr) {
     if (out_.empty()) return Retry();  // bytes that answer nothing
     in.Consume(reader_.Feed(in.Front()));
-    if (reader_.state() == proto::HttpReader::State::kBad) return Retry();
+    if (reader_.state() == proto::HttpResponseParser::State::kInvalid) return Retry();
   }
 }
 
-void Poster::OnWhole(bool keep_alive) {
+void Poster::OnComplete(bool keep_alive) {
   if (status_ != 204) return Retry();
   silence_.Stop();
   retry_after_ = kRetryFirst;
@@ -112,7 +112,7 @@
 
 void Poster::Drop() {
   if (connection_ != nullptr) connection_->Close();
-  loop_.Dispose(std::move(connection_));
+  loop_.DestroyLater(std::move(connection_));
 }
 
 }  // namespace oxbowspread::notice
--- a/src/notice/notice.hpp
+++ b/src/notice/notice.hpp
@@ -15,8 +15,8 @@
 namespace oxbowspread::notice {
 
 class Poster final : public relay::Notices,
-                     private net::Connection::User,
-                     private proto::HttpReader::Handler {
+                     private net::Connection::Handler,
+                     private proto::HttpResponseParser::Handler {
  public:
   Poster(net::Loop& loop, const net::Address& address, std::string host, relay::Counters& counters);
   void Attach(relay::Relay& relay) { relay_ = &relay; }
@@ -31,9 +31,9 @@
   void OnConnected() override { Write(); }
   void OnBytes(proto::RingBuffer& in) override;
   void OnClosed() override { Retry(); }
-  void OnHead(const proto::HttpHead& head) override { status_ = head.status; }
+  void OnHead(const proto::HttpResponseHead& head) override { status_ = head.status; }
   void OnBody(std::string_view) override {}
-  void OnWhole(bool keep_alive) override;
+  void OnComplete(bool keep_alive) override;
   void Next();
   void Write();
   void Retry();
@@ -44,7 +44,7 @@
   std::string host_;
   relay::Counters& counters_;
   relay::Relay* relay_ = nullptr;
-  proto::HttpReader reader_;
+  proto::HttpResponseParser reader_;
   std::unique_ptr<net::Connection> connection_;
   net::Time retry_after_;
   net::Timer next_;                          // the next batch, or the next try
--- a/src/proto/http.cpp
+++ b/src/proto/http.cpp
@@ -6,10 +6,10 @@
 namespace oxbowspread::proto {
 namespace {
 
-constexpr std::size_t kLongestFirstLine = 256;
+constexpr std::size_t kMaxStatusLineBytes = 256;
 
-// "HTTP/1.1 200" with whatever reason behind it.
-int StatusOf(std::string_view line) {
+// Returns the status code of a line like "HTTP/1.1 200 OK", with any reason phrase; 0 if it is malformed.
+int ParseStatusLine(std::string_view line) {
   constexpr std::string_view kVersion = "HTTP/1.";
   if (line.size() < 12 || line.substr(0, kVersion.size()) != kVersion || line[8] != ' ') return 0;
   int status = 0;
@@ -22,121 +22,122 @@
 
 }  // namespace
 
-const std::string* HttpHead::Find(const std::string& name) const {
+const std::string* HttpResponseHead::Find(const std::string& name) const {
   const auto it = headers.find(name);
   return it == headers.end() ? nullptr : &it->second;
 }
 
-HttpReader::HttpReader(Handler& handler, std::uint64_t longest) : handler_(handler), longest_(longest) {
-  http_parser_settings_init(&calls_);
-  calls_.on_header_field = OnField;
-  calls_.on_header_value = OnValue;
-  calls_.on_headers_complete = OnHeadersComplete;
-  calls_.on_body = OnBodyBytes;
-  calls_.on_message_complete = OnMessageComplete;
+HttpResponseParser::HttpResponseParser(Handler& handler, std::uint64_t max_bytes)
+    : handler_(handler), max_bytes_(max_bytes) {
+  http_parser_settings_init(&callbacks_);
+  callbacks_.on_header_field = OnHeaderField;
+  callbacks_.on_header_value = OnHeaderValue;
+  callbacks_.on_headers_complete = OnHeadersComplete;
+  callbacks_.on_body = OnBodyBytes;
+  callbacks_.on_message_complete = OnMessageComplete;
   Reset();
 }
 
-void HttpReader::Reset() {
-  state_ = State::kMore;
-  taken_ = 0;
+void HttpResponseParser::Reset() {
+  state_ = State::kIncomplete;
+  consumed_ = 0;
   BeginMessage();
 }
 
-void HttpReader::BeginMessage() {
-  first_line_.clear();
-  first_line_status_ = 0;
-  first_line_over_ = false;
+void HttpResponseParser::BeginMessage() {
+  status_line_.clear();
+  status_line_code_ = 0;
+  status_line_complete_ = false;
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
-  head_ = HttpHead();
-  field_.clear();
-  value_.clear();
-  in_value_ = false;
+  head_ = HttpResponseHead();
+  header_name_.clear();
+  header_value_.clear();
+  in_header_value_ = false;
 }
 
-std::size_t HttpReader::Feed(std::string_view bytes) {
-  std::size_t taken = 0;
-  while (taken < bytes.size() && state_ == State::kMore) {
-    const std::string_view rest = bytes.substr(taken);
-    TakeFirstLine(rest);
-    const std::size_t count = http_parser_execute(&parser_, &calls_, rest.data(), rest.size());
-    taken += count;
-    taken_ += count;
-    const bool ended = HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED;
-    const bool too_long = longest_ > 0 && (taken_ > longest_ || head_.length > longest_);
-    if (too_long || (!ended && count < rest.size())) {
-      state_ = State::kBad;
-    } else if (ended) {
-      Ended();
+std::size_t HttpResponseParser::Feed(std::string_view bytes) {
+  std::size_t consumed = 0;
+  while (consumed < bytes.size() && state_ == State::kIncomplete) {
+    const std::string_view remaining = bytes.substr(consumed);
+    ReadStatusLine(remaining);
+    const std::size_t count = http_parser_execute(&parser_, &callbacks_, remaining.data(), remaining.size());
+    consumed += count;
+    consumed_ += count;
+    const bool complete = HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED;
+    const bool too_long = max_bytes_ > 0 && (consumed_ > max_bytes_ || head_.content_length > max_bytes_);
+    if (too_long || (!complete && count < remaining.size())) {
+      state_ = State::kInvalid;
+    } else if (complete) {
+      OnMessageEnd();
     }
   }
-  return taken;
+  return consumed;
 }
 
-void HttpReader::Finish() {
-  if (state_ != State::kMore) return;
-  http_parser_execute(&parser_, &calls_, nullptr, 0);
-  if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) Ended();
+void HttpResponseParser::Finish() {
+  if (state_ != State::kIncomplete) return;
+  http_parser_execute(&parser_, &callbacks_, nullptr, 0);
+  if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) OnMessageEnd();
 }
 
-void HttpReader::Ended() {
+void HttpResponseParser::OnMessageEnd() {
   if (interim()) return BeginMessage();
-  state_ = State::kWhole;
-  handler_.OnWhole(keep_alive_);
+  state_ = State::kComplete;
+  handler_.OnComplete(keep_alive_);
 }
 
-// Read beside the parser, which gives up an answer as a whole where one header of it makes no sense.
-void HttpReader::TakeFirstLine(std::string_view bytes) {
+// Parses the status line separately, because http-parser rejects the whole response if one header is invalid.
+void HttpResponseParser::ReadStatusLine(std::string_view bytes) {
   for (const char c : bytes) {
-    if (first_line_over_) return;
-    if (first_line_.empty() && (c == '\r' || c == '\n')) continue;
-    first_line_over_ = c == '\n' || first_line_.size() == kLongestFirstLine;
-    if (c == '\n') first_line_status_ = StatusOf(first_line_);
-    first_line_ += c;
+    if (status_line_complete_) return;
+    if (status_line_.empty() && (c == '\r' || c == '\n')) continue;
+    status_line_complete_ = c == '\n' || status_line_.size() == kMaxStatusLineBytes;
+    if (c == '\n') status_line_code_ = ParseStatusLine(status_line_);
+    status_line_ += c;
   }
 }
 
-void HttpReader::KeepField() {
-  std::transform(field_.begin(), field_.end(), field_.begin(),
+void HttpResponseParser::StoreHeader() {
+  std::transform(header_name_.begin(), header_name_.end(), header_name_.begin(),
                  [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-  if (!field_.empty()) head_.headers[field_] = value_;
-  field_.clear();
-  value_.clear();
-  in_value_ = false;
+  if (!header_name_.empty()) head_.headers[header_name_] = header_value_;
+  header_name_.clear();
+  header_value_.clear();
+  in_header_value_ = false;
 }
 
-int HttpReader::OnField(http_parser* parser, const char* at, std::size_t length) {
-  HttpReader& reader = Of(parser);
-  if (reader.in_value_) reader.KeepField();
-  reader.field_.append(at, length);
+int HttpResponseParser::OnHeaderField(http_parser* parser, const char* data, std::size_t length) {
+  HttpResponseParser& self = ParserOf(parser);
+  if (self.in_header_value_) self.StoreHeader();
+  self.header_name_.append(data, length);
   return 0;
 }
 
-int HttpReader::OnValue(http_parser* parser, const char* at, std::size_t length) {
-  Of(parser).in_value_ = true;
-  Of(parser).value_.append(at, length);
+int HttpResponseParser::OnHeaderValue(http_parser* parser, const char* data, std::size_t length) {
+  ParserOf(parser).in_header_value_ = true;
+  ParserOf(parser).header_value_.append(data, length);
   return 0;
 }
 
-int HttpReader::OnHeadersComplete(http_parser* parser) {
-  HttpReader& reader = Of(parser);
-  reader.KeepField();
-  if (reader.interim()) return 0;
-  reader.head_.status = static_cast<int>(parser->status_code);
-  if ((parser->flags & F_CONTENTLENGTH) != 0) reader.head_.length = parser->content_length;
-  reader.handler_.OnHead(reader.head_);
+int HttpResponseParser::OnHeadersComplete(http_parser* parser) {
+  HttpResponseParser& self = ParserOf(parser);
+  self.StoreHeader();
+  if (self.interim()) return 0;
+  self.head_.status = static_cast<int>(parser->status_code);
+  if ((parser->flags & F_CONTENTLENGTH) != 0) self.head_.content_length = parser->content_length;
+  self.handler_.OnHead(self.head_);
   return 0;
 }
 
-int HttpReader::OnBodyBytes(http_parser* parser, const char* at, std::size_t length) {
-  Of(parser).handler_.OnBody({at, length});
+int HttpResponseParser::OnBodyBytes(http_parser* parser, const char* data, std::size_t length) {
+  ParserOf(parser).handler_.OnBody({data, length});
   return 0;
 }
 
-int HttpReader::OnMessageComplete(http_parser* parser) {
-  // Stops here: what follows belongs to no answer, or to the next one.
-  Of(parser).keep_alive_ = http_should_keep_alive(parser) != 0;
+int HttpResponseParser::OnMessageComplete(http_parser* parser) {
+  // Pauses here: the bytes that follow belong to the next response, or to none.
+  ParserOf(parser).keep_alive_ = http_should_keep_alive(parser) != 0;
   http_parser_pause(parser, 1);
   return 0;
 }
--- a/src/proto/http.hpp
+++ b/src/proto/http.hpp
@@ -1,4 +1,4 @@
-// Answers of HTTP/1.1 as a client reads them: a machine over http-parser that is fed bytes. Knows no socket.
+// Incremental parser of HTTP/1.1 responses, built on http-parser. Does no I/O.
 #pragma once
 
 #include <http_parser.h>
@@ -11,68 +11,74 @@
 
 namespace oxbowspread::proto {
 
-struct HttpHead {
+// Status and headers of a response.
+struct HttpResponseHead {
   int status = 0;
-  std::uint64_t length = 0;                    // as told; 0 if it isn't
+  std::uint64_t content_length = 0;            // from the Content-Length header; 0 without it
   std::map<std::string, std::string> headers;  // names in lower case
 
+  // The value of the header with that lower-case name; null without it.
   const std::string* Find(const std::string& name) const;
 };
 
-class HttpReader {
+// Is fed bytes and reports one response at a time to its handler, which must outlive it.
+class HttpResponseParser {
  public:
-  enum class State { kMore, kWhole, kBad };
+  enum class State { kIncomplete, kComplete, kInvalid };
 
   class Handler {
    public:
     virtual ~Handler() = default;
-    // Interim answers (1xx) are passed over: these tell of the one that they precede.
-    virtual void OnHead(const HttpHead& head) = 0;
+    // Interim responses (1xx) are skipped; only the final response is reported.
+    virtual void OnHead(const HttpResponseHead& head) = 0;
     virtual void OnBody(std::string_view bytes) = 0;
-    virtual void OnWhole(bool keep_alive) = 0;
+    virtual void OnComplete(bool keep_alive) = 0;
   };
 
-  // An answer longer than `longest`, or that says it will be, is bad; 0: any length is good.
-  explicit HttpReader(Handler& handler, std::uint64_t longest = 0);
-  HttpReader(const HttpReader&) = delete;
-  HttpReader& operator=(const HttpReader&) = delete;
+  // A response that is longer than `max_bytes`, or whose Content-Length is, is invalid; 0 means no limit.
+  explicit HttpResponseParser(Handler& handler, std::uint64_t max_bytes = 0);
+  HttpResponseParser(const HttpResponseParser&) = delete;
+  HttpResponseParser& operator=(const HttpResponseParser&) = delete;
 
-  // For the next answer on the same connection.
+  // Prepares for the next response on the same connection.
   void Reset();
-  // Takes bytes up to the end of the answer, or until it is bad; returns how many it took.
+  // Consumes bytes up to the end of the response, or until it is invalid; returns the number consumed.
   std::size_t Feed(std::string_view bytes);
   State state() const { return state_; }
-  // What a whole first line says, however the answer goes on; 0 before, and where it is no such line.
-  int first_line_status() const { return first_line_status_; }
-  // Nothing has come of the answer that is awaited, but perhaps interim ones, all whole.
-  bool at_start() const { return state_ == State::kMore && first_line_.empty(); }
-  // The connection has ended: an answer without a length is whole then.
+  // The status code of a complete status line, even if the rest of the response is invalid; 0 before the line
+  // is complete, and if it is malformed.
+  int status_line_code() const { return status_line_code_; }
+  // Whether nothing of the final response has arrived, except perhaps complete interim responses.
+  bool at_start() const { return state_ == State::kIncomplete && status_line_.empty(); }
+  // Call when the connection was closed: that completes a response without a length.
   void Finish();
 
  private:
-  static int OnField(http_parser* parser, const char* at, std::size_t length);
-  static int OnValue(http_parser* parser, const char* at, std::size_t length);
+  static int OnHeaderField(http_parser* parser, const char* data, std::size_t length);
+  static int OnHeaderValue(http_parser* parser, const char* data, std::size_t length);
   static int OnHeadersComplete(http_parser* parser);
-  static int OnBodyBytes(http_parser* parser, const char* at, std::size_t length);
+  static int OnBodyBytes(http_parser* parser, const char* data, std::size_t length);
   static int OnMessageComplete(http_parser* parser);
-  static HttpReader& Of(http_parser* parser) { return *static_cast<HttpReader*>(parser->data); }
+  static HttpResponseParser& ParserOf(http_parser* parser) {
+    return *static_cast<HttpResponseParser*>(parser->data);
+  }
   bool interim() const { return parser_.status_code >= 100 && parser_.status_code < 200; }
   void BeginMessage();
-  void TakeFirstLine(std::string_view bytes);
-  void KeepField();
-  void Ended();
+  void ReadStatusLine(std::string_view bytes);
+  void StoreHeader();
+  void OnMessageEnd();
 
   Handler& handler_;
-  const std::uint64_t longest_;
+  const std::uint64_t max_bytes_;
   http_parser parser_;
-  http_parser_settings calls_;
-  State state_ = State::kMore;
-  std::uint64_t taken_ = 0;  // of this answer and the interim ones before it
-  HttpHead head_;
-  std::string first_line_, field_, value_;
-  int first_line_status_ = 0;
-  bool first_line_over_ = false;
-  bool in_value_ = false;
+  http_parser_settings callbacks_;
+  State state_ = State::kIncomplete;
+  std::uint64_t consumed_ = 0;  // bytes of this response and of the interim ones before it
+  HttpResponseHead head_;
+  std::string status_line_, header_name_, header_value_;
+  int status_line_code_ = 0;
+  bool status_line_complete_ = false;
+  bool in_header_value_ = false;
   bool keep_alive_ = false;
 };
 
--- a/src/proto/resp.cpp
+++ b/src/proto/resp.cpp
@@ -6,89 +6,89 @@
 
 namespace oxbowspread::proto {
 namespace {
-constexpr std::size_t kLongestLine = 24;
+constexpr std::size_t kMaxLineBytes = 24;
 }  // namespace
 
 std::size_t RespParser::Feed(std::string_view bytes) {
-  std::size_t taken = 0;
-  while (taken < bytes.size() && state_ == State::kMore) {
-    if (step_ == Step::kBytes) {
+  std::size_t consumed = 0;
+  while (consumed < bytes.size() && state_ == State::kIncomplete) {
+    if (step_ == Step::kBulkBytes) {
       std::string& argument = command_.back();
-      const std::size_t count = std::min(length_ - argument.size(), bytes.size() - taken);
-      argument.append(bytes.substr(taken, count));
-      taken += count;
-      if (argument.size() == length_) step_ = Step::kEnd;
+      const std::size_t count = std::min(argument_length_ - argument.size(), bytes.size() - consumed);
+      argument.append(bytes.substr(consumed, count));
+      consumed += count;
+      if (argument.size() == argument_length_) step_ = Step::kBulkEnd;
       continue;
     }
-    line_.push_back(bytes[taken++]);
+    line_.push_back(bytes[consumed++]);
     if (line_.back() == '\n') {
       OnLine();
-    } else if (line_.size() > kLongestLine) {
-      Bad("line too long");
+    } else if (line_.size() > kMaxLineBytes) {
+      Fail("line too long");
     }
   }
-  return taken;
+  return consumed;
 }
 
 void RespParser::OnLine() {
   const std::string line = std::exchange(line_, {});
-  if (line.size() < 2 || line[line.size() - 2] != '\r') return Bad("line without CRLF");
+  if (line.size() < 2 || line[line.size() - 2] != '\r') return Fail("line without CRLF");
   line_ = line.substr(0, line.size() - 2);
-  if (step_ == Step::kArray) {
-    const long count = Number('*', static_cast<long>(kMostArguments));
-    if (count < 1) return Bad("expected an array of bulk strings");
-    arguments_ = static_cast<std::size_t>(count);
+  if (step_ == Step::kArrayHeader) {
+    const long count = ParseNumber('*', static_cast<long>(kMaxArguments));
+    if (count < 1) return Fail("expected an array of bulk strings");
+    argument_count_ = static_cast<std::size_t>(count);
     command_.clear();
-    in_all_ = 0;
-    step_ = Step::kLength;
-  } else if (step_ == Step::kLength) {
-    const long length = Number('$', static_cast<long>(kMostBytes));
-    if (length < 0) return Bad("expected a bulk string of 64 KiB at most");
-    length_ = static_cast<std::size_t>(length);
-    in_all_ += length_;
-    if (in_all_ > kMostInAll) return Bad("command too long");
+    command_bytes_ = 0;
+    step_ = Step::kBulkLength;
+  } else if (step_ == Step::kBulkLength) {
+    const long length = ParseNumber('$', static_cast<long>(kMaxArgumentBytes));
+    if (length < 0) return Fail("expected a bulk string of 64 KiB at most");
+    argument_length_ = static_cast<std::size_t>(length);
+    command_bytes_ += argument_length_;
+    if (command_bytes_ > kMaxCommandBytes) return Fail("command too long");
     command_.emplace_back();
-    step_ = length_ > 0 ? Step::kBytes : Step::kEnd;
+    step_ = argument_length_ > 0 ? Step::kBulkBytes : Step::kBulkEnd;
   } else {
-    if (!line_.empty()) return Bad("bulk string without its end");
-    const bool whole = command_.size() == arguments_;
-    step_ = whole ? Step::kArray : Step::kLength;
-    if (whole) state_ = State::kCommand;
+    if (!line_.empty()) return Fail("bulk string without its end");
+    const bool complete = command_.size() == argument_count_;
+    step_ = complete ? Step::kArrayHeader : Step::kBulkLength;
+    if (complete) state_ = State::kCommand;
   }
   line_.clear();
 }
 
-long RespParser::Number(char mark, long most) {
+long RespParser::ParseNumber(char prefix, long max_value) {
   long value = 0;
-  if (line_.empty() || line_[0] != mark) return -1;
+  if (line_.empty() || line_[0] != prefix) return -1;
   const char* const end = line_.data() + line_.size();
-  const auto [at, code] = std::from_chars(line_.data() + 1, end, value);
-  return code == std::errc() && at == end && value >= 0 && value <= most ? value : -1;
+  const auto [parsed_end, error_code] = std::from_chars(line_.data() + 1, end, value);
+  return error_code == std::errc() && parsed_end == end && value >= 0 && value <= max_value ? value : -1;
 }
 
-void RespParser::Bad(const char* why) {
-  state_ = State::kBad;
-  error_ = why;
+void RespParser::Fail(const char* error) {
+  state_ = State::kInvalid;
+  error_ = error;
 }
 
-std::string RespParser::Unfinished() const {
+std::string RespParser::PartialCommand() const {
   std::string bytes;
-  if (state_ != State::kMore) return bytes;
-  if (step_ == Step::kArray) return line_;
-  bytes = "*" + std::to_string(arguments_) + "\r\n";
+  if (state_ != State::kIncomplete) return bytes;
+  if (step_ == Step::kArrayHeader) return line_;
+  bytes = "*" + std::to_string(argument_count_) + "\r\n";
   for (std::size_t i = 0; i < command_.size(); ++i) {
-    const bool last = i + 1 == command_.size() && step_ != Step::kLength;
+    const bool last = i + 1 == command_.size() && step_ != Step::kBulkLength;
     if (!last) {
       bytes += RespBulk(command_[i]);
     } else {
-      bytes += "$" + std::to_string(length_) + "\r\n" + command_[i];
+      bytes += "$" + std::to_string(argument_length_) + "\r\n" + command_[i];
     }
   }
   return bytes + line_;
 }
 
 std::vector<std::string> RespParser::Take() {
-  state_ = State::kMore;
+  state_ = State::kIncomplete;
   return std::exchange(command_, {});
 }
 
@@ -99,11 +99,11 @@
 }
 
 std::string RespBulk(std::string_view text) {
-  std::string bulk = "$";
-  bulk += std::to_string(text.size());
-  bulk += "\r\n";
-  bulk += text;
-  return bulk += "\r\n";
+  std::string encoded = "$";
+  encoded += std::to_string(text.size());
+  encoded += "\r\n";
+  encoded += text;
+  return encoded += "\r\n";
 }
 
 }  // namespace oxbowspread::proto
--- a/src/proto/resp.hpp
+++ b/src/proto/resp.hpp
@@ -1,4 +1,4 @@
-// RESP2 commands: a machine that is fed bytes and gives one command at a time. Knows no socket.
+// Incremental parser of RESP2 commands, and the encoding of replies. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -8,41 +8,45 @@
 
 namespace oxbowspread::proto {
 
+// Is fed bytes and yields one command, an array of bulk strings, at a time.
 class RespParser {
  public:
-  enum class State { kMore, kCommand, kBad };
+  enum class State { kIncomplete, kCommand, kInvalid };
 
-  static constexpr std::size_t kMostArguments = 16;
-  static constexpr std::size_t kMostBytes = 64 * 1024;  // of one argument
-  static constexpr std::size_t kMostInAll = kMostBytes + 4096;
+  static constexpr std::size_t kMaxArguments = 16;
+  static constexpr std::size_t kMaxArgumentBytes = 64 * 1024;  // of one argument
+  static constexpr std::size_t kMaxCommandBytes = kMaxArgumentBytes + 4096;
 
-  // Takes bytes until a command is whole or the input is bad; returns how many it took.
+  // Consumes bytes until a command is complete or the input is invalid; returns the number consumed.
   std::size_t Feed(std::string_view bytes);
   State state() const { return state_; }
-  bool idle() const { return state_ == State::kMore && step_ == Step::kArray && line_.empty(); }
+  // Whether no byte of the next command has arrived.
+  bool idle() const { return state_ == State::kIncomplete && step_ == Step::kArrayHeader && line_.empty(); }
+  // What is wrong with invalid input.
   const char* error() const { return error_; }
-  // The bytes of a command that is not whole yet: fed to another parser they bring it to the same point.
-  std::string Unfinished() const;
-  // The command, once whole; the next one may be fed then.
+  // The bytes of an incomplete command; feeding them to a new parser brings it to the same state.
+  std::string PartialCommand() const;
+  // Returns the complete command; the next one may be fed afterwards.
   std::vector<std::string> Take();
 
  private:
-  enum class Step { kArray, kLength, kBytes, kEnd };
+  enum class Step { kArrayHeader, kBulkLength, kBulkBytes, kBulkEnd };
 
   void OnLine();
-  long Number(char mark, long most);
-  void Bad(const char* why);
+  long ParseNumber(char prefix, long max_value);
+  void Fail(const char* error);
 
-  State state_ = State::kMore;
-  Step step_ = Step::kArray;
+  State state_ = State::kIncomplete;
+  Step step_ = Step::kArrayHeader;
   const char* error_ = "";
   std::string line_;
-  std::size_t arguments_ = 0;  // of the command at hand
-  std::size_t length_ = 0;     // of the argument at hand
-  std::size_t in_all_ = 0;     // of all arguments so far
+  std::size_t argument_count_ = 0;   // of the current command
+  std::size_t argument_length_ = 0;  // of the current argument, bytes
+  std::size_t command_bytes_ = 0;    // of all arguments so far
   std::vector<std::string> command_;
 };
 
+// An error reply and a bulk string reply.
 std::string RespError(std::string_view text);
 std::string RespBulk(std::string_view text);
 
--- a/src/proto/ring_buffer.cpp
+++ b/src/proto/ring_buffer.cpp
@@ -4,7 +4,7 @@
 
 namespace oxbowspread::proto {
 namespace {
-constexpr std::size_t kFirst = 4096;
+constexpr std::size_t kInitialCapacity = 4096;
 }  // namespace
 
 std::string_view RingBuffer::Front() const {
@@ -14,18 +14,18 @@
 void RingBuffer::Consume(std::size_t count) {
   size_ -= count;
   head_ = size_ == 0 ? 0 : (head_ + count) % bytes_.size();
-  // Hundreds of idle connections must not each keep the room of their largest body.
-  if (size_ == 0 && bytes_.size() > kFirst) std::vector<char>().swap(bytes_);
+  // Hundreds of idle connections must not each keep memory for their largest body.
+  if (size_ == 0 && bytes_.size() > kInitialCapacity) std::vector<char>().swap(bytes_);
 }
 
-std::string RingBuffer::Text() const {
-  const std::string_view first = Front();
-  std::string all(first);
-  all.append(bytes_.data(), size_ - first.size());
-  return all;
+std::string RingBuffer::Contents() const {
+  const std::string_view front_run = Front();
+  std::string contents(front_run);
+  contents.append(bytes_.data(), size_ - front_run.size());
+  return contents;
 }
 
-std::span<char> RingBuffer::Space() {
+std::span<char> RingBuffer::WritableSpan() {
   if (full()) return {};
   if (size_ == bytes_.size()) Grow(size_ + 1);
   const std::size_t tail = (head_ + size_) % bytes_.size();
@@ -37,23 +37,23 @@
   if (bytes.size() > limit_ - size_) return false;
   if (size_ + bytes.size() > bytes_.size()) Grow(size_ + bytes.size());
   while (!bytes.empty()) {
-    const std::span<char> space = Space();
-    const std::size_t count = std::min(space.size(), bytes.size());
-    std::copy_n(bytes.data(), count, space.data());
+    const std::span<char> writable = WritableSpan();
+    const std::size_t count = std::min(writable.size(), bytes.size());
+    std::copy_n(bytes.data(), count, writable.data());
     Commit(count);
     bytes.remove_prefix(count);
   }
   return true;
 }
 
-void RingBuffer::Grow(std::size_t least) {
-  std::size_t capacity = std::max(kFirst, bytes_.size());
-  while (capacity < least) capacity *= 2;
-  std::vector<char> grown(std::max(least, std::min(capacity, limit_)));
-  const std::string_view first = Front();
-  std::copy(first.begin(), first.end(), grown.begin());
-  std::copy_n(bytes_.begin(), size_ - first.size(),
-              grown.begin() + static_cast<std::ptrdiff_t>(first.size()));
+void RingBuffer::Grow(std::size_t min_capacity) {
+  std::size_t capacity = std::max(kInitialCapacity, bytes_.size());
+  while (capacity < min_capacity) capacity *= 2;
+  std::vector<char> grown(std::max(min_capacity, std::min(capacity, limit_)));
+  const std::string_view front_run = Front();
+  std::copy(front_run.begin(), front_run.end(), grown.begin());
+  std::copy_n(bytes_.begin(), size_ - front_run.size(),
+              grown.begin() + static_cast<std::ptrdiff_t>(front_run.size()));
   bytes_ = std::move(grown);
   head_ = 0;
 }
--- a/src/proto/ring_buffer.hpp
+++ b/src/proto/ring_buffer.hpp
@@ -1,4 +1,4 @@
-// A ring of bytes that grows on demand up to a limit: one per direction of a connection.
+// Ring buffer of bytes that grows on demand up to a limit; a connection has one for each direction.
 #pragma once
 
 #include <cstddef>
@@ -17,20 +17,21 @@
   bool empty() const { return size_ == 0; }
   bool full() const { return size_ >= limit_; }
 
-  // The longest run of bytes at the front, to be consumed in part or whole.
+  // The longest contiguous run of bytes at the front; valid until the buffer changes.
   std::string_view Front() const;
+  // Removes `count` bytes from the front; at most size().
   void Consume(std::size_t count);
-  std::string Text() const;  // all of it, not consumed
+  std::string Contents() const;  // a copy of all bytes; consumes nothing
 
-  // Room for new bytes at the back, in one run; empty when the limit is reached. Commit what was filled.
-  std::span<char> Space();
+  // Contiguous free space at the back; empty when the limit is reached. Commit adds the bytes written to it.
+  std::span<char> WritableSpan();
   void Commit(std::size_t count) { size_ += count; }
 
-  // All or nothing; false when the limit doesn't allow it.
+  // Appends all bytes, or none and returns false if they would exceed the limit.
   bool Append(std::string_view bytes);
 
  private:
-  void Grow(std::size_t least);
+  void Grow(std::size_t min_capacity);
 
   std::vector<char> bytes_;
   std::size_t limit_;
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -70,7 +70,7 @@
 void Discovery::CloseLeaving() {
   for (std::unique_ptr<Call>& call : std::exchange(leaving_, {})) {
     call->ReadAndClose();
-    loop_.Dispose(std::move(call));
+    loop_.DestroyLater(std::move(call));
   }
 }
 
@@ -81,7 +81,7 @@
   std::unique_ptr<Call> left = std::move(*it);
   leaving_.erase(it);
   left->Close();
-  loop_.Dispose(std::move(left));
+  loop_.DestroyLater(std::move(left));
 }
 
 void Discovery::Stop() {
@@ -189,14 +189,14 @@
   calls_.erase(it);
   LogEnd(*call, end);
   call->ReadAndClose();
-  loop_.Dispose(std::move(call));
+  loop_.DestroyLater(std::move(call));
 }
 
 void Discovery::CloseAll(CallEnd end) {
   for (std::unique_ptr<Call>& call : std::exchange(calls_, {})) {
     LogEnd(*call, end);
     call->ReadAndClose();
-    loop_.Dispose(std::move(call));
+    loop_.DestroyLater(std::move(call));
   }
 }
 
@@ -217,7 +217,7 @@
   for (std::unique_ptr<Call>& call : closing) {
     LogEnd(*call, CallEnd::kNotNeeded);
     call->ReadAndClose();
-    loop_.Dispose(std::move(call));
+    loop_.DestroyLater(std::move(call));
   }
 }
 
@@ -290,19 +290,19 @@
 // A change that has come is told before anything that goes by the list is done.
 void Discovery::Call::OnConnected() {
   connected_ = true;
-  connection_->First();
+  connection_->Prioritize();
   connection_->Send(request_);
 }
 
 void Discovery::Call::OnBytes(proto::RingBuffer& in) {
   while (!in.empty() && !over_) {
     in.Consume(reader_.Feed(in.Front()));
-    if (reader_.state() == proto::HttpReader::State::kBad) return Fail(CallEnd::kUnreadable);
-    if (reader_.state() == proto::HttpReader::State::kWhole) return;
+    if (reader_.state() == proto::HttpResponseParser::State::kInvalid) return Fail(CallEnd::kUnreadable);
+    if (reader_.state() == proto::HttpResponseParser::State::kComplete) return;
   }
 }
 
-void Discovery::Call::OnHead(const proto::HttpHead& head) {
+void Discovery::Call::OnHead(const proto::HttpResponseHead& head) {
   if (head.status != 200) Fail(CallEnd::kRefused);
 }
 
@@ -323,7 +323,7 @@
 }
 
 // A watch lasts until its connection ends: one that is whole has ended.
-void Discovery::Call::OnWhole(bool) { Fail(listed_ ? CallEnd::kEnded : CallEnd::kClosed); }
+void Discovery::Call::OnComplete(bool) { Fail(listed_ ? CallEnd::kEnded : CallEnd::kClosed); }
 
 void Discovery::Call::OnClosed() {
   if (!connected_) return Fail(CallEnd::kNotConnected);
--- a/src/routing/discovery.hpp
+++ b/src/routing/discovery.hpp
@@ -65,7 +65,7 @@
   static const char* NameOf(CallEnd end);
 
   // One call, from its connection's start to its end: first unanswered, then the subscription.
-  class Call final : public net::Connection::User, private proto::HttpReader::Handler {
+  class Call final : public net::Connection::Handler, private proto::HttpResponseParser::Handler {
    public:
     Call(Discovery& discovery, Number number);
     bool Open(const Place& place, std::int64_t from_revision);
@@ -86,9 +86,9 @@
     void OnConnected() override;
     void OnBytes(proto::RingBuffer& in) override;
     void OnClosed() override;
-    void OnHead(const proto::HttpHead& head) override;
+    void OnHead(const proto::HttpResponseHead& head) override;
     void OnBody(std::string_view bytes) override;
-    void OnWhole(bool keep_alive) override;
+    void OnComplete(bool keep_alive) override;
     void Fail(CallEnd end);
 
     Discovery& discovery_;
@@ -97,7 +97,7 @@
     bool connected_ = false;  // once
     bool over_ = false;
     bool leaving_ = false;
-    proto::HttpReader reader_;
+    proto::HttpResponseParser reader_;
     std::unique_ptr<net::Connection> connection_;
     std::string request_;
     ListStream stream_;
--- a/src/standin/client_line.hpp
+++ b/src/standin/client_line.hpp
@@ -12,7 +12,7 @@
 // An array of bulk strings, as RESP2 wants a command.
 std::string RespCommand(const std::vector<std::string>& words);
 
-class ClientLine final : private net::Connection::User {
+class ClientLine final : private net::Connection::Handler {
  public:
   struct Break {
     bool asking = false;     // a request waited for its answer
--- a/src/standin/load.cpp
+++ b/src/standin/load.cpp
@@ -103,7 +103,7 @@
   const std::size_t relay = it->second.relay;
   Try t = it->second.asking;
   line.Close();
-  loop_.Dispose(std::move(it->second.line));
+  loop_.DestroyLater(std::move(it->second.line));
   lines_.erase(it);
   if (!how.connected) passed_over_until_[relay] = net::Loop::Now() + options_.front_notices_after;
   if (!how.asking) return;
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -25,7 +25,7 @@
   return size + text + "\r\n";
 }
 
-class HttpServer::Seat final : public net::Connection::User {
+class HttpServer::Seat final : public net::Connection::Handler {
  public:
   Seat(HttpServer& server, std::uint64_t number, int fd)
       : server_(server),
@@ -33,7 +33,7 @@
         reader_([this](Request request) { server_.handler_(number_, request); }),
         connection_(server.loop_, fd, *this) {}
   bool Write(const std::string& bytes) { return connection_.Send(bytes); }
-  bool Ended() const { return connection_.Ended(); }
+  bool Ended() const { return connection_.ClosedByPeer(); }
   void Close() { connection_.Close(); }
 
  private:
@@ -84,7 +84,7 @@
   const auto it = seats_.find(number);
   if (it == seats_.end()) return;
   it->second->Close();
-  loop_.Dispose(std::move(it->second));
+  loop_.DestroyLater(std::move(it->second));
   seats_.erase(it);
 }
 
--- a/tests/lab/pool_test.cpp
+++ b/tests/lab/pool_test.cpp
@@ -18,7 +18,7 @@
 using namespace std::chrono_literals;
 
 // Takes connections and keeps what comes.
-class Place final : public net::Connection::User {
+class Place final : public net::Connection::Handler {
  public:
   Place(net::Loop& loop, std::function<void()> told)
       : port_(standin::FreePort()),
