--- a/include/wheathub/beliefs.hpp
+++ b/include/wheathub/beliefs.hpp
@@ -1,7 +1,9 @@
-// What a sender has come to believe of endpoints, so that one process can give it over to the next. Plain
-// values: the figures they start from, and all that is done with them, are in src/decide.cpp. Moments are on
-// the clock of Step(), which both processes must share; Time counts microseconds, names in _s are seconds.
-// Nothing here throws but what strings do, or points anywhere.
+// What a sender has learned about endpoints, so that one process can pass it on to the next one.
+//
+// Plain values that own all they hold; nothing throws but the copying of strings. The initial values used for
+// an endpoint and every rule that reads or updates these fields are in src/decide.cpp. Points in time are on
+// the clock that is passed to Decider::Step(), which both processes must share. Time counts microseconds;
+// fields whose name ends in _s are in seconds.
 #pragma once
 
 #include <chrono>
@@ -9,34 +11,43 @@
 
 namespace wheathub {
 
-enum class State { kUp, kDown, kCold };
+enum class State { kUp, kDown, kCold };  // kCold: back after an outage, with reduced capacity
 
-// What the design keeps per destination, or per endpoint where routes are apart.
+// What is known of a route: a destination, or one endpoint where DestinationKind::separate_routes is set.
 struct RouteBelief {
   using Time = std::chrono::microseconds;
-  double tokens = 0;                         // repeats that may go
-  Time gap{0}, next_send{0}, wait_until{0};  // a span, and two moments
-  Time told_turn{0}, turn{0}, next_turn{0};  // span of the part (0: not told), learned span, last call
-  Time widened_at = Time::min();
-  double told_limit = 0;           // calls a second for all senders; 0: not told
-  Time down_since{0}, backoff{0};  // a moment, and a span
-  Time cold_until{0};              // an outage was seen here less than the warm-up ago
-  Time next_in_trouble{0};         // the next trial, or call to a cold endpoint
+  double tokens = 0;           // retry budget: repeats that may be sent
+  Time gap{0},                 // mean span between calls; refusals widen it, served calls shrink it
+      next_send_at{0},         // no call is sent earlier, because of the gap
+      wait_until{0};           // end of the wait that an endpoint asked for
+  Time announced_interval{0},  // between calls, by this sender's share of the announced limit; 0: no limit
+      call_interval{0},        // the same span, as learned from served and refused calls
+      last_call_at{0};
+  Time gap_widened_at = Time::min();
+  double announced_limit_per_s = 0;  // calls a second for all senders together; 0: not announced
+  Time down_since{0},                // a point in time
+      backoff{0};                    // a span
+  Time cold_until{0};     // until then, the last outage seen here is less than the warm-up time ago
+  Time next_trial_at{0};  // no earlier trial call to a down endpoint, and no earlier call to a cold one
 };
 
+// What is known of the health of one endpoint.
 struct EndpointBelief {
   using Time = std::chrono::microseconds;
   static constexpr Time kNever = Time::min() / 2;
-  double latency_s = 0;
-  Time last_served = kNever, unconnected_at = kNever;  // last served call, last failed connect
-  Time served_sent = kNever;                           // latest send of a call that was served
+  double latency_s = 0;               // moving mean over served calls
+  Time last_served_at = kNever,       // when the last served call ended
+      connect_failed_at = kNever;     // when the last attempt to connect failed
+  Time last_served_sent_at = kNever;  // latest send time of a call that was served
   State state = State::kUp;
-  int strikes = 0;           // failures in a row
-  double failing = 0;        // share of calls that failed while not down, moving mean
-  bool eats = false;         // the trouble may have run what it took: no place for an unsafe message
-  bool second_look = false;  // down by a lone failed connect
-  Time cold_since{0}, failed_at = kNever;
-  Time warm_by{0};  // it is warm then, however late it was found
+  int consecutive_failures = 0;
+  double failure_rate = 0;  // share of calls that failed while not down, moving mean
+  // The last failure may have processed the message, so messages that must not be repeated are kept away.
+  bool failure_may_have_run = false;
+  bool single_connect_failure = false;  // the only failure so far is one attempt to connect
+  Time cold_since{0},                   // since when the capacity is taken to grow
+      failed_at = kNever;  // when the last call failed, or the end of a long wait that was asked for
+  Time warm_at{0};         // the full capacity is back by then, however late the return was noticed
 };
 
 struct Belief {
--- a/include/wheathub/decide.hpp
+++ b/include/wheathub/decide.hpp
@@ -1,21 +1,20 @@
-// wheathub: the interface of the decision module (src/decide.cpp). Types only: no value here decides
-// anything.
+// The interface of the decision module, which chooses when and where each message is sent. The rules are in
+// src/decide.cpp; the types here only carry data.
 //
-// Contract. One Decider is one sender. The embedder hands over, in the order in which they happened, all
-// events of one moment in one Step() call, with the time of that moment, and carries out the actions that
-// Step() returns, in their order, before the next call.
-// - Time is a count of microseconds since any fixed origin; it never goes back (a smaller one is read as the
-//   latest seen). The module reads no clock: it asks for timers and gets TimerDue.
-// - Each Message ends exactly once: by an AttemptEnded with `closed`, or by a Refuse or Fail action. Every
+// Contract. One Decider acts for one sender. The embedder collects all events of one moment, in the order in
+// which they happened, passes them to one call of Step() together with the time of that moment, and carries
+// out the returned actions in order before the next call.
+// - Time is a count of microseconds since any fixed origin. It never goes back: a smaller value is read as
+//   the latest one seen. The module reads no clock; it asks for timers with SetTimer and is told by TimerDue.
+// - Each Message ends exactly once: by an AttemptEnded with `closed`, or by a Refuse or Fail action. Each
 // Send
-//   and Probe gets exactly one AttemptEnded or ProbeEnded. The first Send for a message is attempt 0, the
-//   next 1.
-// - The first event of a new Decider should be a ListUpdate with what is remembered (it may be empty).
-// - Same settings, seed and events give the same actions. There is no I/O, thread or global state; a Decider
-//   must not be used from two threads at once. It owns copies of all it keeps.
-// - The constructor throws std::invalid_argument, in words for the operator, if the settings can't work.
-// Step()
-//   throws nothing but what the standard containers throw (std::bad_alloc). Events about unknown or ended
+//   and each Probe is followed by exactly one AttemptEnded or ProbeEnded. The first Send of a message is
+//   attempt 0, the next one attempt 1.
+// - The first event of a new Decider should be a ListUpdate with the remembered list, which may be empty.
+// - The same settings, seed and events give the same actions. There is no I/O, no thread and no global state.
+//   A Decider must not be used from two threads at once. It owns copies of all that it keeps.
+// - The constructor throws std::invalid_argument, with a text for the operator, if the settings can't work.
+//   Step() throws only what the standard containers throw (std::bad_alloc). Events about unknown or ended
 //   messages, endpoints and timers are ignored.
 #pragma once
 
@@ -32,92 +31,102 @@
 
 namespace wheathub {
 
-using Time = std::chrono::microseconds;  // a moment, or a span
+using Time = std::chrono::microseconds;  // a point in time, or a span
 using MessageId = std::string;
 using EndpointId = std::string;
 using DestinationId = std::int64_t;
 
 enum class Semantics { kIdempotent, kDeduplicated, kAtMostOnce };
-enum class Decay { kEven, kByHalf };                   // how worth falls after the aim
-enum class WeightMeaning { kNone, kNominal, kRough };  // kRough: the rate, up to half too high or too low
+// How the worth of a message falls after its aim: in a straight line, or by half for each further aim.
+enum class Decay { kLinear, kExponential };
+// What the weight of an endpoint in the list says of its limit in calls a second: nothing, the exact limit,
+// or up to half too high or too low (kRough).
+enum class WeightMeaning { kNone, kNominal, kRough };
 enum class Lifecycle { kUp, kDraining, kRemoved };
+// What a list update holds: changes only, the whole list, the list that an earlier process had stored, or
+// nothing because the call for it failed.
 enum class ListScope { kChanges, kAll, kRemembered, kFailed };
 
 enum class Outcome {
   kServed,
   kError,         // may have run
-  kRefused,       // as full, shut or draining: never ran
+  kRefused,       // the endpoint is full, closed or draining: never ran
   kTimedOut,      // may have run or still run
   kNoConnection,  // never ran
   kReset,         // may have run
   kCancelled,     // may have run
-  kNotSent        // the embedder had no slot or the message was over: never ran
+  kNotSent        // the embedder had no free slot, or the message had ended: never ran
 };
 
+// The rules that all messages of one class share.
 struct MessageClass {
   std::string name;
   Semantics semantics = Semantics::kAtMostOnce;
-  bool repeats_bound_to_zone = false;  // kDeduplicated: only receivers of one zone drop repeats
-  bool ordered = false;                // messages of one key go one at a time
-  Time aim{0};                         // full worth until then
-  Time deadline{0};
-  Time repeat_window{0};
+  bool repeats_bound_to_zone = false;  // kDeduplicated: repeats are dropped within one zone only
+  bool ordered = false;                // messages with the same key are sent one at a time
+  Time aim{0};                         // since arrival; the worth is full until then
+  Time deadline{0};                    // since arrival
+  Time repeat_window{0};               // kDeduplicated: how long endpoints recognise a repeat
   double worth = 1;
-  double late_value = 0;  // share of the worth left at the deadline
+  double late_value = 0;  // share of the worth that is left at the deadline
 
   bool operator==(const MessageClass&) const = default;
 };
 
 struct Tenant {
   std::string name;
-  double quota_per_s = 0;  // over all senders; 0: none
+  double quota_per_s = 0;  // messages a second over all senders; 0: no quota
 };
 
+// What all destinations of one kind have in common.
 struct DestinationKind {
   std::string name;
-  bool routes_apart = false;  // each endpoint has its own limit, pace, outages and told waits
-  int bundle_max = 1;         // messages in one call at most
+  bool separate_routes = false;  // each endpoint has its own limit, pacing, outages and waits
+  int bundle_max = 1;            // most messages in one call
 };
 
 struct Settings {
-  int senders = 1;  // of this tier
-  int rank = 0;     // of this one, from 0
+  int senders = 1;  // processes that send to the same destinations
+  int rank = 0;     // number of this one among them, from 0
   std::vector<MessageClass> classes;
   std::vector<Tenant> tenants;
   std::vector<DestinationKind> kinds;
-  // Share of the whole result lost if one call were refused above a limit for each message; 0: not told.
+  // What calls refused above a limit cost: the share of the total result that is lost if there is one such
+  // call for each message; 0: not given.
   double refused_price = 0;
-  std::vector<double> zone_fee;  // of a message taken on in that zone by a route apart
-  Decay decay = Decay::kEven;
+  std::vector<double> zone_fee;  // by zone: fee of a message delivered there over a separate route
+  Decay decay = Decay::kLinear;
   WeightMeaning weights = WeightMeaning::kNone;
-  double over_share_worth = 1;
-  bool list_must_be_asked_for = false;
-  bool reports_allowance = false;  // AttemptEnded carries allowance figures
-  // Limits. 0 stands for "no such limit" unless said otherwise.
-  int slots = 0;  // calls out at once
-  int max_open = 0;
-  int max_attempts = 0;
+  double over_quota_worth_factor = 1;  // on the worth of messages beyond their tenant's quota
+  bool must_request_list = false;      // the list comes only after SubscribeToList
+  bool reports_allowance = false;      // AttemptEnded carries an Allowance
+  // Limits; 0 means that there is none.
+  int slots = 0;         // calls in flight at once
+  int max_open = 0;      // messages held at once
+  int max_attempts = 0;  // for one message
   bool may_cancel = false;
   bool may_probe = false;
-  bool may_tell_peers = false;
+  bool may_message_peers = false;
   bool may_give_retry_after = false;
   Time max_retry_after{0};
   Time connect_timeout{0};
   Time keepalive{0};
-  Time tick{0};  // Step() is called no more often than this
-  // Figures of the rules.
-  double cold_from = 1;  // share of its capacity with which a destination returns, or more
-  Time cold{0};          // all of it after this at the latest
-  Time drain_grace{0};
-  Time ask_within{0};
-  Time order_settle{0};
-  Time answer_grace{0};
+  Time tick{0};  // shortest time between two calls of Step()
+  // What is known of the destinations and demanded of senders.
+  double warm_up_start_share = 1;  // least share of its capacity that a destination has on its return
+  Time warm_up{0};                 // longest time from the return to the full capacity
+  Time drain_grace{0};             // calls may begin so long after a drain counts as known
+  Time ask_within{0};              // the list must be requested within this time
+  Time order_settle{0};            // a key's next message waits so long after an attempt that may still run
+  Time answer_grace{0};            // a message may be answered so long after its time has ended
+  // A cold endpoint fails again under calls of so many times its present capacity for so long.
   double fall_multiple = 0;
   Time tip_after{0};
 };
 
 // ---- events ----
 
+// An endpoint as discovery lists it.
 struct EndpointInfo {
   EndpointId id;
   DestinationId destination = 0;
@@ -133,40 +142,45 @@
   std::vector<EndpointInfo> endpoints;
 };
 
-struct History {      // of a message that an earlier life of this sender took on; nothing for a new one
-  bool kept = false;  // there is one: it is not given up for room that others want
-  int sends = 0;      // ended, but for one that is out; one that surely never ran has its next send paid
+// What an earlier process of this sender did with a message; empty for a new one.
+struct History {
+  bool recovered = false;  // accepted by an earlier process: it is never refused to make room for others
+  int sends = 0;  // attempts begun; if none may have run, the retry token of the next is already spent
   bool may_have_run = false;
-  Time since_risk{0};  // since the send of the first attempt that may have run, and its zone
-  int risk_zone = 0;
+  Time since_risk{0};  // since the send of the first attempt that may have run
+  int risk_zone = 0;   // zone of that attempt
   EndpointId last_endpoint{};
-  bool out = false;    // its last send is still out: an AttemptEnded comes for it
-  Time since_sent{0};  // of that one
+  bool in_flight = false;  // the last attempt is still in flight: an AttemptEnded will come for it
+  Time since_sent{0};      // since the send of that attempt
 };
 
+// A message that a client handed in.
 struct Message {
   MessageId id;
   int message_class = 0;
   int tenant = -1;  // -1: none
   DestinationId destination = 0;
-  std::string key{};  // of the order; empty: none
-  Time expires_in{0};
-  bool again = false;  // came before, to this or another sender
-  History history{};   // the next Send is attempt number history.sends
+  std::string key{};         // messages of an ordered class and the same key are sent in turn; empty: none
+  Time expires_in{0};        // until its deadline
+  bool resubmitted = false;  // handed in before, to this or another sender
+  History history{};         // the next Send is attempt number history.sends
 };
 
-struct Withdrawn {  // nobody wants the message any more
+// The client no longer wants the message.
+struct Withdrawn {
   MessageId id;
 };
 
-struct StreamStarted {  // the attempt now belongs to the client
+// The response of the attempt is being passed on to the client, so the message can't be sent elsewhere.
+struct StreamStarted {
   MessageId id;
   int attempt = 0;
 };
 
+// What an endpoint reports of its limit.
 struct Allowance {
-  double left_share = 0;   // of the limit, just now
-  double limit_per_s = 0;  // 0: no limit
+  double left_share = 0;   // share of the limit that is unused at present
+  double limit_per_s = 0;  // calls a second; 0: no limit
 };
 
 struct AttemptEnded {
@@ -175,8 +189,8 @@
   EndpointId endpoint;
   Outcome outcome = Outcome::kServed;
   Time latency{0};
-  bool closed = false;  // the message is over
-  Time told_wait{0};    // with kRefused; 0: none told
+  bool closed = false;  // the message has ended
+  Time retry_after{0};  // with kRefused: how long the endpoint asks to wait; 0: not given
   std::optional<Allowance> allowance;
 };
 
@@ -184,11 +198,12 @@
   EndpointId endpoint;
   Outcome outcome = Outcome::kServed;
   Time latency{0};
-  Time told_wait{0};
+  Time retry_after{0};
   std::optional<Allowance> allowance;
 };
 
-struct PeerNote {
+// Bytes from another sender.
+struct PeerData {
   int from = 0;
   std::string bytes;
 };
@@ -197,26 +212,27 @@
   std::string token;
 };
 
-// Other settings from now on. A class keeps its number while anything is held under it, and there are never
-// fewer; tenants stay as they were. They must be such that a Decider could be made with them.
+// Replaces the settings. Each class must keep its index while messages of it are held, and the number of
+// classes must not shrink; the tenants stay as they were. The constructor must accept the new settings.
 struct NewSettings {
   Settings settings;
 };
 
-// Until when the list may be used: no message is sent at that moment or later. Never over where none is told.
+// Until when the list may be used: no message is sent at that time or later. Without this event there is no
+// end.
 struct ListValidity {
   Time until = Time::max();
 };
 
-// That endpoint told a wait in answer to a call that was sent to another one, at whose address it stands by
-// now. Passed over for an endpoint that no list has named.
-struct ToldWait {
+// An endpoint asked for a wait in answer to a call that was sent to the endpoint that formerly had its
+// address. Ignored for an endpoint that no list has named.
+struct RetryAfterReceived {
   EndpointId endpoint;
   Time until{0};
 };
 
-using Event = std::variant<ListUpdate, Message, Withdrawn, StreamStarted, AttemptEnded, ProbeEnded, PeerNote,
-                           TimerDue, NewSettings, Belief, ListValidity, ToldWait>;
+using Event = std::variant<ListUpdate, Message, Withdrawn, StreamStarted, AttemptEnded, ProbeEnded, PeerData,
+                           TimerDue, NewSettings, Belief, ListValidity, RetryAfterReceived>;
 
 // ---- actions ----
 
@@ -226,32 +242,38 @@
   Time timeout{0};  // 0: until the client stops waiting
 };
 
-struct Refuse {  // ends the message; trying again is harmless
+// Ends the message, which certainly never ran: the client may safely try again.
+struct Refuse {
   MessageId id;
   Time retry_after{0};  // 0: no advice
 };
 
-struct Fail {  // ends the message; promises nothing
+// Ends the message, which may have run.
+struct Fail {
   MessageId id;
 };
 
+// Asks to abort an attempt in flight.
 struct Cancel {
   MessageId id;
   int attempt = 0;
 };
 
+// Asks whether an endpoint is healthy, without a message.
 struct Probe {
   EndpointId endpoint;
 };
 
-struct CloseIdle {  // give back idle connections
+// Closes the idle connections to an endpoint.
+struct CloseIdle {
   EndpointId endpoint;
 };
 
-struct WatchList {};  // subscribe to changes of the list
-struct FetchList {};  // ask for the whole list once
+struct SubscribeToList {};  // to changes of the list
+struct FetchList {};        // requests the whole list once
 
-struct TellPeers {  // all other senders
+// Sends bytes to all other senders.
+struct SendToPeers {
   std::string bytes;
 };
 
@@ -264,9 +286,10 @@
   std::string text;
 };
 
-using Action = std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdle, WatchList, FetchList, TellPeers,
-                            SetTimer, Log>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, Probe, CloseIdle, SubscribeToList, FetchList,
+                            SendToPeers, SetTimer, Log>;
 
+// Decides for one sender; see the contract at the top of this file.
 class Decider {
  public:
   Decider(Settings settings, std::uint64_t seed);
@@ -274,16 +297,18 @@
   Decider(Decider&&) noexcept;
   Decider& operator=(Decider&&) noexcept;
 
+  // Handles the events of one moment and returns the actions to carry out.
   std::vector<Action> Step(Time now, std::span<const Event> events);
 
-  // What is held now, for gauges: messages not over, calls out, endpoints, routes and keys known.
+  // Numbers of objects held at present, for gauges: messages that have not ended, attempts in flight, and the
+  // endpoints, routes and order keys that are known.
   struct Held {
     std::size_t messages, calls, endpoints, routes, keys;
   };
   Held held() const;
 
-  // Of all endpoints known. A new Decider that gets them as events, right after a list that names them and
-  // before any message, goes on from there.
+  // What is known of each endpoint. A new Decider that gets these as events, right after a list that names
+  // the endpoints and before any message, continues from there.
   std::vector<Belief> beliefs() const;
 
  private:
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -134,14 +134,14 @@
   }
 
   static wheathub::ListSubscription::Options ListOptionsOf(const config::Config& c) {
-    return {.pushed = !c.settings.list_must_be_asked_for,
+    return {.pushed_by_agent = !c.settings.must_request_list,
             .senders = c.settings.senders,
-            .failures_are_told = false};
+            .failures_are_reported = false};
   }
 
   static endpoint::Pool::Limits LimitsOf(const config::Config& c) {
     std::vector<bool> apart;
-    for (const auto& kind : c.settings.kinds) apart.push_back(kind.routes_apart);
+    for (const auto& kind : c.settings.kinds) apart.push_back(kind.separate_routes);
     return {c.most_lines(), c.settings.connect_timeout, c.settings.keepalive, apart};
   }
 
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1,6 +1,6 @@
-// wheathub: all decisions; interface: include/wheathub/decide.hpp. In order: constants; what is remembered;
-// the design; health and slow start; what goes where; events. A step touches what its events and alarms
-// concern.
+// The decision module; its interface and contract are in include/wheathub/decide.hpp. In this order:
+// constants; the state that is kept; retries and final answers; order by key; health and slow start; the
+// choice of endpoints; events. A step only visits what its events and alarms concern.
 #include "wheathub/decide.hpp"
 
 #include <algorithm>
@@ -20,182 +20,218 @@
 using namespace std::chrono_literals;
 
 // ---- constants ----
-// Retry budget (tokens): repeats stay under a third of first sends but for the cap, spent once.
-constexpr double kTokenPerFirstSend = 0.3;
-constexpr double kTokenCap = 5;
-// Pacing gap after refusals, of one held message: few soon learn a limit, a clump of many drains slowly.
-constexpr double kFewest = 4;  // senders at least, before any counts as one of many
-constexpr Time kGapStep = 60ms, kGapStepMany = 2s, kGapMax = 2s, kGapMaxMany = 20s;
+// Retry budget in tokens, one for each repeat. Repeats stay below a third of the first attempts, except for
+// the initial stock, which is spent once.
+constexpr double kTokensPerFirstSend = 0.3;
+constexpr double kMaxTokens = 5;
+// Up to this number of senders the values for a small fleet hold; see FleetFactor().
+constexpr double kSmallFleet = 4;
+// Gap between calls after refusals, for one waiting message. In a small fleet a sender soon learns the limit;
+// in a large one a burst that all senders hold drains slowly, so the gap is longer.
+constexpr Time kGapStep = 60ms, kGapStepLargeFleet = 2s, kGapMax = 2s, kGapMaxLargeFleet = 20s;
 constexpr double kGapShrink = 0.12;  // share of the gap that a served call takes off
-constexpr Time kPause = 1500ms;      // of the destination's other endpoints, for one of many
-// Turns: between calls of this sender to an endpoint, by its part of the told limit and as learned.
-// Times bolder over the number of senders; told at most so long, learned: longer would serve too late.
-constexpr double kTurnFew = 10, kTurnToldS = 8, kTurnMostS = 12;
-constexpr double kTurnKeptS = 0.4, kTurnWaitS = 2;  // unused it lapses, but nobody waits longer for one
-constexpr double kTurnShrink = 0.08, kTurnWiden = 3, kTurnLeast = 0.3, kTurnMost = 3;  // see ScaleTurn
-// Pace: times all turns, from all calls. It holds the refused share at what the price allows.
-constexpr double kPaceShrink = 0.025, kPaceLeast = 0.2, kPaceMost = 1.4;
-constexpr double kRefusedAt = 0.05, kRefusedPrice = 0.1, kRefusedMost = 0.3;  // that share, at that price
+// In a large fleet, a refusal pauses the other endpoints of the destination for up to so long.
+constexpr Time kSiblingPause = 1500ms;
+// Interval between calls of this sender to an endpoint. It starts from the sender's share of the announced
+// limit, times 1 + kSmallFleetBonus / senders, and is adjusted by what is served and refused. The longest
+// intervals, in seconds, at the start and in use: with longer ones messages would be served too late.
+constexpr double kSmallFleetBonus = 10, kMaxAnnouncedIntervalS = 8, kMaxIntervalS = 12;
+// A call that was not made when its interval ended may be made for at least the first time; after that it has
+// to wait for the next interval, but no longer than the second time.
+constexpr double kMinUnusedIntervalS = 0.4, kMaxIntervalWaitS = 2;
+// Shrunk by a served call, widened by a refusal, within these factors of the announced interval.
+constexpr double kIntervalShrink = 0.08, kIntervalWiden = 3, kMinIntervalFactor = 0.3, kMaxIntervalFactor = 3;
+// Pace: a factor on all intervals, learned from all calls. It holds the share of refused calls at a level
+// that depends on their price.
+constexpr double kPaceShrink = 0.025, kMinPace = 0.2, kMaxPace = 1.4;
+// That level: the least one holds at the reference price and above, the largest one where refusals are cheap.
+constexpr double kMinRefusedShare = 0.05, kReferenceRefusedPrice = 0.1, kMaxRefusedShare = 0.3;
 // Health.
-constexpr double kChance = 0.02;         // failures in a row less likely than this by chance are an outage
-constexpr int kStrikesMost = 5;          // failures in a row are an outage however many calls fail anyway
-constexpr double kFailingWeight = 0.05;  // of a new outcome in the share that fails
-constexpr int kStrikes = 2;              // failures in a row: one may be chance
-constexpr Time kFreshService = 1s;       // a call served so lately speaks against an outage
-constexpr Time kShun = 15s;              // a class keeps off an endpoint that failed it
-constexpr Time kBackoffFirst = 500ms, kBackoffMax = 2500ms;  // between tries of what is down, doubling
-constexpr double kOverdueTimes = 5;  // a call is overdue after so many times the usual latency
-constexpr Time kOverdueLeast = 1500ms;
-constexpr int kTimeoutOverdue = 2;       // times that, for repeatable messages: a repeat costs a token
-constexpr double kColdPatience = 2.5;    // times longer for a cold endpoint, at most
+// Consecutive failures count as an outage if they are less likely than this by chance.
+constexpr double kMaxChanceOfFalseOutage = 0.02;
+constexpr int kMaxFailuresToGoDown = 5;      // an outage, whatever share of calls fails anyway
+constexpr double kFailureRateWeight = 0.05;  // of a new outcome in the moving mean
+constexpr int kMinFailuresToGoDown = 2;      // a single failure may be chance
+constexpr Time kRecentlyServed = 1s;         // a call that was served so recently speaks against an outage
+constexpr Time kClassAvoidTime = 15s;        // for a class and an endpoint that failed one of its messages
+constexpr Time kFirstBackoff = 500ms, kMaxBackoff = 2500ms;  // between trials of a down endpoint, doubling
+constexpr double kOverdueLatencies = 5;  // a call is overdue after this multiple of the usual latency
+constexpr Time kMinOverdue = 1500ms;
+// Repeatable messages time out after this multiple of the overdue time; it is above 1 because a repeat costs
+// a token.
+constexpr int kTimeoutFactor = 2;
+constexpr double kMaxColdFactor = 2.5;   // on the overdue time of a cold endpoint
 constexpr double kLatencyWeight = 0.15;  // of a new latency in the moving mean
-constexpr Time kLatencyGuess = 400ms;    // before any call was served
+constexpr Time kInitialLatency = 400ms;  // assumed before any call was served
 // Slow start.
-constexpr double kLeastRate = 2;     // calls a second that any destination takes from all senders together
-constexpr double kTrialShare = 0.3;  // of this sender's part, for trials of a destination that is down
-constexpr double kFoundLate = 0.5;   // share of the time since the last failure for which it is back
-constexpr double kHorizonS = 30, kShortPastS = 5;  // arrivals are counted over so long; a clump is no rate
-constexpr double kOutageGuessS = 5;  // an outage is older than this sender's first failure there
-// What goes where, in seconds of a call's time.
-constexpr double kColdCost = 1, kTrialCost = 10;  // a trial: first for what may be repeated, else last
-constexpr double kFeeCost = 5;                    // a point of fee
-constexpr double kDrawCost = 1;      // each sender prefers endpoints of its own, by weight: see Draw
-constexpr double kHeadStartS = 4;    // e times the worth lost a second goes before what came so much earlier
-constexpr double kLateMargin = 1.5;  // usual latencies before its aim a message is late: calls vary
-// A call served so soon after at most so many failed connects: crowded, not down; so often over a kind.
-constexpr Time kCrowdedWithin = 3s;
-constexpr int kCrowdedStrikes = 2;
-constexpr double kCrowdedAfter = 0.9;
-constexpr Time kSecondLook = 1s;      // after a lone failed connect
-constexpr double kSlotShare = 0.4;    // of all slots for one destination at most
-constexpr double kFullAt = 0.92;      // share of max_open from which the least worth is given up
-constexpr Time kAnswerMargin = 60ms;  // an unsent message is answered this long before its time ends
-constexpr Time kRetryAfter = 1s;      // advice to a refused client where nothing better is known
-// A tenant's share is counted over so long, and over so many messages at least: one of many sees few.
-constexpr double kQuotaBurstS = 2, kQuotaBurst = 2;
+constexpr double kMinDestinationRate = 2;  // calls a second that any destination takes from all senders
+constexpr double kTrialShare = 0.3;  // of this sender's share of the rate, for trials of a down endpoint
+// An endpoint that is found up again is taken to be up for this share of the time since its last failure.
+constexpr double kReturnEstimate = 0.5;
+// Seconds over which arrivals are counted. The second value is added so that a short burst is not taken for a
+// rate.
+constexpr double kArrivalWindowS = 30, kMinArrivalWindowS = 5;
+constexpr double kUnseenOutageS = 5;  // from the start of an outage to this sender's first failure
+// Choice of endpoints: costs, in seconds of call time.
+// The trial of a down endpoint counts as a gain for messages that may be repeated, and as a cost for others.
+constexpr double kColdCostS = 1, kTrialCostS = 10;
+constexpr double kFeeCostS = 5;  // for each unit of fee
+// Weight of the preference of each sender for certain endpoints; see RendezvousCost().
+constexpr double kRendezvousCostS = 1;
+// A message that loses e times as much worth in a second is sent before one whose aim is so much earlier.
+constexpr double kWorthHeadStartS = 4;
+// A message is late from this multiple of the usual latency before its aim; above 1 because latencies vary.
+constexpr double kLateLatencies = 1.5;
+// A call that is served within this time after this number of failed connects at most shows that connections
+// are exhausted, not that the endpoint is down. A kind of
+// destination is taken to be short of connections from this decaying count of such calls.
+constexpr Time kServedSoonAfterConnectFailure = 3s;
+constexpr int kMaxConnectFailures = 2;
+constexpr double kConnectionsExhaustedCount = 0.9;
+constexpr Time kConnectRecheck = 1s;   // until the next trial after a single failed connect
+constexpr double kMaxSlotShare = 0.4;  // of all slots, for one route
+// Above this share of max_open the waiting messages of least worth are refused.
+constexpr double kSheddingThreshold = 0.92;
+constexpr Time kAnswerMargin = 60ms;     // an unsent message is answered this long before its time ends
+constexpr Time kDefaultRetryAfter = 1s;  // advice to a refused client where nothing better is known
+// A tenant's quota may be used in bursts of this many seconds plus this many messages. The second is for
+// large fleets, where one sender sees few messages of a tenant.
+constexpr double kQuotaBurstS = 2, kQuotaBurstMessages = 2;
 
 constexpr Time kNever = EndpointBelief::kNever;
-double Seconds(Time t) { return static_cast<double>(t.count()) * 1e-6; }
-Time Micros(double s) { return Time(static_cast<std::int64_t>(std::llround(s * 1e6))); }
+double Seconds(Time time) { return static_cast<double>(time.count()) * 1e-6; }
+Time Micros(double seconds) { return Time(static_cast<std::int64_t>(std::llround(seconds * 1e6))); }
 
-// ---- what is remembered ----
+// ---- state ----
 
 struct Destination;
-struct Pending;
-struct Call;
-// What is due: the list, a look at a destination, a message's answer, a call's judgement, the end of a rest.
-using Due = std::variant<std::monostate, Destination*, Pending*, Call*, std::string>;
-using Agenda = std::multimap<Time, Due>;
-using Alarm = std::optional<Agenda::iterator>;
-using CallKey = std::pair<MessageId, int>;
-using Order = std::pair<double, std::int64_t>;  // of messages, by a figure and then by arrival
+struct PendingMessage;
+struct Attempt;
+// What an alarm is for: the list (monostate), a destination that may take a message, a message that is late
+// or has to be answered, an overdue attempt, or an order key that is blocked no more.
+using AlarmTarget = std::variant<std::monostate, Destination*, PendingMessage*, Attempt*, std::string>;
+using Schedule = std::multimap<Time, AlarmTarget>;
+using Alarm = std::optional<Schedule::iterator>;
+using AttemptKey = std::pair<MessageId, int>;
+using SortKey = std::pair<double, std::int64_t>;  // of messages: a number, then the order of arrival
 
+// A destination, or one of its endpoints where routes are separate: it has one limit, pacing and retry
+// budget.
 struct Route : RouteBelief {
-  int endpoints = 0, calls = 0;  // listed, out
-  Time spread{0}, kept{0};       // the gap drawn after the last call; how long a turn is kept
-  double drawn = 1;              // of the turn after it
+  int endpoints = 0, calls_in_flight = 0;
+  Time gap_drawn{0}, interval_kept{0};  // random gap after the last call; how long an unused call may be made
+  double interval_jitter = 1;           // random factor on the interval after the last call
 
-  Route() { tokens = kTokenCap; }
+  Route() { tokens = kMaxTokens; }
 
-  bool DrawToken() {
+  bool TakeToken() {
     if (tokens < 1) return false;
     tokens -= 1;
     return true;
   }
-  void ShrinkGap(bool waiting) {
-    if (waiting) ScaleTurn(1 - kTurnShrink);
+  void OnServed(bool waiting) {
+    if (waiting) ScaleInterval(1 - kIntervalShrink);
     gap = Micros(Seconds(gap) * (1 - kGapShrink));
     if (gap < kGapStep / 4) gap = 0us;
   }
-  void ScaleTurn(double by) {
-    const double part = Seconds(told_turn), least = std::min(part, kTurnToldS / 2) * kTurnLeast;
-    turn = Micros(std::clamp(Seconds(turn) * by, least, part * kTurnMost));
-  }
-  // By the messages held: the more, the shorter is the turn and the closer go calls after a refusal.
-  Time FreeAt(Time now, double pace, double held) const {
-    const Time each = Micros(std::min(kTurnMostS, pace * Seconds(turn) / std::sqrt(held)));
-    Time at = next_turn + Micros(drawn * Seconds(each));
-    const Time late = now - kept - at;
-    if (late > 0us && each > 0us) at += each * (late / each + 1);
-    return std::max({wait_until, next_send - spread + Micros(Seconds(spread) / held), at});
-  }
-  Time KeptUntil() const { return endpoints > 0 ? Time::max() : std::max(wait_until, cold_until); }
+  void ScaleInterval(double factor) {
+    const double announced_s = Seconds(announced_interval),
+                 least = std::min(announced_s, kMaxAnnouncedIntervalS / 2) * kMinIntervalFactor;
+    call_interval =
+        Micros(std::clamp(Seconds(call_interval) * factor, least, announced_s * kMaxIntervalFactor));
+  }
+  // The earliest time of the next call. The larger the backlog of waiting messages, the shorter are the
+  // interval and the gap after a refusal.
+  Time NextCallAt(Time now, double pace, double backlog) const {
+    const Time interval = Micros(std::min(kMaxIntervalS, pace * Seconds(call_interval) / std::sqrt(backlog)));
+    Time at = last_call_at + Micros(interval_jitter * Seconds(interval));
+    const Time lapsed = now - interval_kept - at;
+    if (lapsed > 0us && interval > 0us) at += interval * (lapsed / interval + 1);
+    return std::max({wait_until, next_send_at - gap_drawn + Micros(Seconds(gap_drawn) / backlog), at});
+  }
+  Time RememberedUntil() const { return endpoints > 0 ? Time::max() : std::max(wait_until, cold_until); }
 };
 
 struct Endpoint : EndpointBelief {
   EndpointInfo info;
-  Destination* home = nullptr;
+  Destination* destination = nullptr;
   Route* route = nullptr;
-  bool listed = false, trying = false;  // trying: a probe or a trial message is out
-  int calls = 0;                        // out
-  std::vector<Call*> out;               // messages in them
-  double draw = 0;                      // of this sender for this endpoint
-  std::map<int, Time> shunned;          // by classes that failed here, until then
+  bool listed = false, trial_in_flight = false;  // a probe or a trial message is in flight
+  int calls_in_flight = 0;
+  std::vector<Attempt*> attempts;     // in flight; a call holds one for each message
+  double rendezvous_cost = 0;         // of this sender for this endpoint; see RendezvousCost()
+  std::map<int, Time> avoided_until;  // by class of messages that failed here
 
-  Endpoint() { latency_s = Seconds(kLatencyGuess); }
+  Endpoint() { latency_s = Seconds(kInitialLatency); }
   bool Usable() const { return listed && info.lifecycle == Lifecycle::kUp; }
 };
 
-struct Pending {
-  Message m;
-  std::int64_t seq = 0;
-  Destination* home = nullptr;
-  Order order;  // place in its lane: smaller goes first
+struct PendingMessage {
+  Message message;
+  std::int64_t sequence = 0;
+  Destination* destination = nullptr;
+  SortKey sort_key;  // within its queue: the smallest is sent first
   Time aim_at{0}, ends_at{0};
   double worth = 1;
   int sends = 0, risk_zone = 0;
-  bool queued = false, out = false, may_have_run = false, streaming = false;
-  bool late = false;      // can't be served within its aim any more
-  Time first_risk_at{0};  // send of the first attempt that may have run; risk_zone: its zone
+  bool queued = false, in_flight = false, may_have_run = false, streaming = false;
+  bool late = false;      // can no longer be served within its aim
+  Time first_risk_at{0};  // when the first attempt that may have run was sent; risk_zone is its zone
   Alarm alarm;
 
-  Order ShedOrder() const { return {worth, -seq}; }  // of two alike the later one goes
-  std::size_t Lane() const { return static_cast<std::size_t>(m.message_class) * 2 + may_have_run; }
+  SortKey SheddingKey() const { return {worth, -sequence}; }  // the later of two equals is refused first
+  std::size_t QueueIndex() const {
+    return static_cast<std::size_t>(message.message_class) * 2 + may_have_run;
+  }
 };
 
-struct Count {  // of what came lately
-  double n = 0;
+// A count in which each event loses weight exponentially over time.
+struct DecayingCount {
+  double value = 0;
   Time at{0};
 
-  double At(Time now) const { return n * std::exp(-Seconds(now - at) / kHorizonS); }
+  double At(Time now) const { return value * std::exp(-Seconds(now - at) / kArrivalWindowS); }
   void Add(Time now) { *this = {At(now) + 1, now}; }
 };
 
-// Messages of one class that may go to the same endpoints stand in one lane: if its first can't go, none can.
+// Each queue holds messages of one class that may go to the same endpoints: if its first message can't be
+// sent, none of them can.
 struct Destination {
   DestinationId id = 0;
   std::vector<Endpoint*> endpoints;  // by id
   std::map<EndpointId, Route> routes;
-  std::vector<std::map<Order, Pending*>> lanes;
-  int held = 0, waiting = 0;                             // messages not over, of them in lanes
-  double weight = 0;                                     // of its endpoints, summed
-  Time refused_at = EndpointBelief::kNever, pause{0};    // the last refusal as full, and what follows it
-  std::optional<std::pair<Order, DestinationId>> ready;  // its place among those that may send
+  std::vector<std::map<SortKey, PendingMessage*>> queues;
+  int held = 0, waiting = 0;  // messages that have not ended; those of them in queues
+  double weight = 0;          // sum over its endpoints
+  Time refused_at = EndpointBelief::kNever, pause{0};      // the last refusal, and the pause after it
+  std::optional<std::pair<SortKey, DestinationId>> ready;  // its entry in ready_
   bool touched = false;
-  Count arrivals;
+  DecayingCount arrivals;
   Alarm alarm;
 };
 
-struct Call {
-  CallKey key;
+// An attempt in flight.
+struct Attempt {
+  AttemptKey key;
   int message_class = 0;
   Endpoint* endpoint = nullptr;
   std::string order_key;
-  std::uint64_t bundle = 0;
-  Time sent_at{0}, allowed{0};        // overdue after so long
-  int overdue = 0;                    // 1: overdue, 2: for twice the time
-  bool trial = false, stuck = false;  // stuck: may be called off
+  std::uint64_t bundle_id = 0;
+  Time sent_at{0}, overdue_after{0};        // after sent_at
+  int overdue_count = 0;                    // 1: overdue; 2: twice the time has passed
+  bool trial = false, cancellable = false;  // may be cancelled to free its slot
   Alarm alarm;
 };
 
-struct Share {  // of a tenant, at this sender
+// This sender's share of the quota of a tenant, as a token bucket.
+struct TenantQuota {
   double per_s = 0;
   double tokens = 0;
   Time at{0};
 
   bool Take(Time now) {
     if (at != Time::min())
-      tokens = std::min(kQuotaBurst + per_s * kQuotaBurstS, tokens + per_s * Seconds(now - at));
+      tokens = std::min(kQuotaBurstMessages + per_s * kQuotaBurstS, tokens + per_s * Seconds(now - at));
     at = now;
     const bool within = tokens >= 1;
     tokens -= within;
@@ -203,9 +239,10 @@
   }
 };
 
-struct KeyLine {
-  std::deque<MessageId> line;
-  Time rest_until{0};
+// The messages of one order key, in order; the first one may be sent.
+struct KeyQueue {
+  std::deque<MessageId> messages;
+  Time blocked_until{0};
   Alarm alarm;
 };
 
@@ -214,796 +251,927 @@
 class Decider::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed)
-      : s_(std::move(settings)),
+      : settings_(std::move(settings)),
         random_(seed),
-        list_({false, s_.senders, true}, s_.list_must_be_asked_for ? random_() : 0) {
-    if (s_.classes.empty()) throw std::invalid_argument("no message class is given: nothing can be sent");
-    if (s_.senders < 1) throw std::invalid_argument("the number of senders must be 1 or more");
-    for (const MessageClass& c : s_.classes) {
-      const bool timed = c.deadline > 0us && c.aim >= 0us && c.aim <= c.deadline;
-      const bool windowed = c.semantics != Semantics::kDeduplicated || c.repeat_window > 0us;
-      if (!timed) throw std::invalid_argument(c.name + ": the aim must lie between 0 and the deadline");
-      if (!windowed) throw std::invalid_argument(c.name + ": deduplicated needs a repeat window above 0");
+        list_subscription_({false, settings_.senders, true}, settings_.must_request_list ? random_() : 0) {
+    if (settings_.classes.empty())
+      throw std::invalid_argument("no message class is given: nothing can be sent");
+    if (settings_.senders < 1) throw std::invalid_argument("the number of senders must be 1 or more");
+    for (const MessageClass& message_class : settings_.classes) {
+      const bool valid_times = message_class.deadline > 0us && message_class.aim >= 0us &&
+                               message_class.aim <= message_class.deadline;
+      const bool valid_window =
+          message_class.semantics != Semantics::kDeduplicated || message_class.repeat_window > 0us;
+      if (!valid_times)
+        throw std::invalid_argument(message_class.name + ": the aim must lie between 0 and the deadline");
+      if (!valid_window)
+        throw std::invalid_argument(message_class.name + ": deduplicated needs a repeat window above 0");
     }
-    for (const Tenant& t : s_.tenants) {
-      const double per_s = t.quota_per_s / s_.senders;
-      shares_.push_back({per_s, kQuotaBurst + per_s * kQuotaBurstS, Time::min()});
+    for (const Tenant& tenant : settings_.tenants) {
+      const double per_s = tenant.quota_per_s / settings_.senders;
+      tenant_quotas_.push_back({per_s, kQuotaBurstMessages + per_s * kQuotaBurstS, Time::min()});
     }
   }
 
   std::vector<Action> Step(Time now, std::span<const Event> events) {
     now_ = started_at_ ? std::max(now_, now) : now;
     actions_.clear();
-    if (!started_at_) StepList(ListSubscription::Started{});
+    if (!started_at_) StepListSubscription(ListSubscription::Started{});
     if (!started_at_) started_at_ = now;
-    for (const Event& event : events) std::visit([this](const auto& e) { On(e); }, event);
-    while (!agenda_.empty() && agenda_.begin()->first <= now_) {
-      const Due due = agenda_.begin()->second;
-      std::visit([this](const auto& what) { OnDue(what); }, due);
+    for (const Event& event : events) std::visit([this](const auto& typed_event) { On(typed_event); }, event);
+    while (!schedule_.empty() && schedule_.begin()->first <= now_) {
+      const AlarmTarget due = schedule_.begin()->second;
+      std::visit([this](const auto& target) { OnAlarm(target); }, due);
     }
     Dispatch();
     if (Shed()) Dispatch();
-    DropIdle();
+    RemoveUnused();
     SetTimerForNext();
     return std::move(actions_);
   }
 
   std::vector<Belief> beliefs() const {
     std::vector<Belief> all;
-    for (const auto& [id, e] : endpoints_) all.push_back({id, *e.route, e});
+    for (const auto& [id, endpoint] : endpoints_) all.push_back({id, *endpoint.route, endpoint});
     return all;
   }
   Decider::Held held() const {
     std::size_t routes = 0;
-    for (const auto& [id, d] : destinations_) routes += d.routes.size();
-    return {messages_.size(), calls_.size(), endpoints_.size(), routes, keys_.size()};
+    for (const auto& [id, destination] : destinations_) routes += destination.routes.size();
+    return {messages_.size(), attempts_.size(), endpoints_.size(), routes, key_queues_.size()};
   }
 
  private:
-  const MessageClass& ClassOf(const Message& m) const {
-    return s_.classes[static_cast<std::size_t>(m.message_class)];
+  const MessageClass& ClassOf(const Message& message) const {
+    return settings_.classes[static_cast<std::size_t>(message.message_class)];
   }
   DestinationKind KindOf(const EndpointInfo& info) const {
     const auto kind = static_cast<std::size_t>(info.kind);
-    return kind < s_.kinds.size() ? s_.kinds[kind] : DestinationKind();
+    return kind < settings_.kinds.size() ? settings_.kinds[kind] : DestinationKind();
   }
-  Destination& Home(DestinationId id) {
-    Destination& d = destinations_[id];
-    d.id = id;
-    d.lanes.resize(s_.classes.size() * 2);
-    return d;
+  Destination& DestinationFor(DestinationId id) {
+    Destination& destination = destinations_[id];
+    destination.id = id;
+    destination.queues.resize(settings_.classes.size() * 2);
+    return destination;
   }
-  double Uniform(double from, double to) {  // spelled out: the library's distributions differ between systems
+  // Not a distribution of the standard library: those give different values on different systems.
+  double Uniform(double from, double to) {
     return from + (to - from) * (static_cast<double>(random_() >> 11) * 0x1p-53);
   }
 
-  void SetAlarm(Alarm& alarm, Time at, Due what) {
+  void SetAlarm(Alarm& alarm, Time at, AlarmTarget target) {
     ClearAlarm(alarm);
-    alarm = agenda_.emplace(at, std::move(what));
+    alarm = schedule_.emplace(at, std::move(target));
   }
   void ClearAlarm(Alarm& alarm) {
-    if (alarm) agenda_.erase(*alarm);
+    if (alarm) schedule_.erase(*alarm);
     alarm.reset();
   }
-  void OnDue(std::monostate) { StepList(ListSubscription::Elapsed{}); }
-  void OnDue(Destination* d) { ClearAlarm(d->alarm), Touch(*d); }
-  void OnDue(Pending* p) { now_ < UnsentUntil(*p) ? FallBehind(*p) : GiveUp(*p); }
-  void OnDue(Call* call) { FindOverdue(*call); }
-  void OnDue(const std::string& key) { AdvanceLine(key); }
-  // One timer for what is due next; those set before can't be withdrawn.
+  void OnAlarm(std::monostate) { StepListSubscription(ListSubscription::Elapsed{}); }
+  void OnAlarm(Destination* destination) { ClearAlarm(destination->alarm), Touch(*destination); }
+  void OnAlarm(PendingMessage* pending) { now_ < AnswerBy(*pending) ? MarkLate(*pending) : GiveUp(*pending); }
+  void OnAlarm(Attempt* attempt) { CheckOverdue(*attempt); }
+  void OnAlarm(const std::string& key) { AdvanceKeyQueue(key); }
+  // Asks for one timer, for the next alarm. Timers that were asked for before can't be cancelled.
   void SetTimerForNext() {
     if (timer_at_ <= now_) timer_at_ = Time::max();
-    if (agenda_.empty() || agenda_.begin()->first >= timer_at_) return;
-    timer_at_ = std::max(agenda_.begin()->first, now_ + 1us);
+    if (schedule_.empty() || schedule_.begin()->first >= timer_at_) return;
+    timer_at_ = std::max(schedule_.begin()->first, now_ + 1us);
     actions_.push_back(SetTimer{"due", timer_at_});
   }
 
-  // ---- the design: what a failure means, budget, final answers ----
-  // An unsent message is answered then: its time ends, or a keyed one that may have run is past its window.
-  Time UnsentUntil(const Pending& p) const {
-    const MessageClass& c = ClassOf(p.m);
-    const Time end = p.ends_at - kAnswerMargin;
-    if (!p.may_have_run || c.semantics != Semantics::kDeduplicated) return end;
-    return std::min(end, p.first_risk_at + c.repeat_window);
-  }
-  // A failed message that its class lets go again draws its token for the repeat at once, or ends at once.
-  void RepeatOrEnd(Pending& p, Route& r) {
-    const bool spent = (s_.max_attempts > 0 && p.sends >= s_.max_attempts) || now_ >= UnsentUntil(p);
-    if (spent || (p.may_have_run && !Repeatable(p)) || !r.DrawToken()) return GiveUp(p);
-    Hold(p);
-  }
-  void GiveUp(const Pending& p) {
-    const MessageId id = p.m.id;
-    actions_.push_back(p.may_have_run ? Action(Fail{id}) : Action(Refuse{id, RetryAfter(p)}));
-    Forget(id);
-  }
-  Time RetryAfter(const Pending& p) {
-    if (!s_.may_give_retry_after) return 0us;
-    const Time soonest = SoonestOpen(*p.home);
-    const Time wait = soonest == Time::max() ? kRetryAfter : std::max(soonest - now_, kRetryAfter);
-    const Time most = s_.max_retry_after > 0us ? s_.max_retry_after : Time::max();
+  // ---- retries and final answers ----
+  // When a waiting message has to be answered: shortly before its time ends, or, for a deduplicated message
+  // that may have run, at the end of the repeat window.
+  Time AnswerBy(const PendingMessage& pending) const {
+    const MessageClass& message_class = ClassOf(pending.message);
+    const Time end = pending.ends_at - kAnswerMargin;
+    if (!pending.may_have_run || message_class.semantics != Semantics::kDeduplicated) return end;
+    return std::min(end, pending.first_risk_at + message_class.repeat_window);
+  }
+  // After a failed attempt: takes a token for the repeat at once, or ends the message at once if its class
+  // does not allow a repeat or no token is left.
+  void RetryOrEnd(PendingMessage& pending, Route& route) {
+    const bool no_retry_left =
+        (settings_.max_attempts > 0 && pending.sends >= settings_.max_attempts) || now_ >= AnswerBy(pending);
+    if (no_retry_left || (pending.may_have_run && !Repeatable(pending)) || !route.TakeToken())
+      return GiveUp(pending);
+    Hold(pending);
+  }
+  void GiveUp(const PendingMessage& pending) {
+    const MessageId id = pending.message.id;
+    actions_.push_back(pending.may_have_run ? Action(Fail{id}) : Action(Refuse{id, RetryAfter(pending)}));
+    RemoveMessage(id);
+  }
+  Time RetryAfter(const PendingMessage& pending) {
+    if (!settings_.may_give_retry_after) return 0us;
+    const Time soonest = NextOpening(*pending.destination);
+    const Time wait =
+        soonest == Time::max() ? kDefaultRetryAfter : std::max(soonest - now_, kDefaultRetryAfter);
+    const Time most = settings_.max_retry_after > 0us ? settings_.max_retry_after : Time::max();
     return std::min(most, Micros(Seconds(wait) * Uniform(1.0, 1.3)));
   }
 
-  void Hold(Pending& p) {
-    p.late = now_ >= LateAt(p);
-    p.order = {Standing(p), p.seq};
-    SetAlarm(p.alarm, p.late ? UnsentUntil(p) : std::min(LateAt(p), UnsentUntil(p)), &p);
-    if (!p.may_have_run && !p.m.history.kept) sheddable_.emplace(p.ShedOrder(), &p);
-    Enqueue(p);
-  }
-  // Too late for its aim: what can still be in time goes first. Helps when more comes than can go: a queue by
-  // arrival would serve all of it late. Harm: what fell behind may wait until its time ends.
-  void FallBehind(Pending& p) {
-    Dequeue(p);
-    Hold(p);
-  }
-  Time LateAt(const Pending& p) const {
-    double least_s = Seconds(kLatencyGuess);
-    for (const Endpoint* e : p.home->endpoints) least_s = std::min(least_s, e->latency_s);
-    return p.aim_at - Micros(kLateMargin * least_s);
-  }
-  void Enqueue(Pending& p) {
-    if (p.queued || !HasTurn(p)) return;
-    p.queued = p.home->lanes[p.Lane()].emplace(p.order, &p).second;
-    p.home->waiting += 1;
-    Touch(*p.home);
-  }
-  void Dequeue(Pending& p) {
-    ClearAlarm(p.alarm);
-    sheddable_.erase(p.ShedOrder());
-    if (!std::exchange(p.queued, false)) return;
-    p.home->lanes[p.Lane()].erase(p.order);
-    p.home->waiting -= 1;
-  }
-  void Forget(const MessageId& id) {
+  // Lets the message wait to be sent.
+  void Hold(PendingMessage& pending) {
+    pending.late = now_ >= LateAt(pending);
+    pending.sort_key = {DispatchKey(pending), pending.sequence};
+    SetAlarm(pending.alarm, pending.late ? AnswerBy(pending) : std::min(LateAt(pending), AnswerBy(pending)),
+             &pending);
+    if (!pending.may_have_run && !pending.message.history.recovered)
+      sheddable_.emplace(pending.SheddingKey(), &pending);
+    Enqueue(pending);
+  }
+  // The message is too late for its aim, so messages that can still be in time are sent first. This helps
+  // under overload, where a queue in order of arrival would serve all messages late. Drawback: a late message
+  // may wait until its time ends.
+  void MarkLate(PendingMessage& pending) {
+    Dequeue(pending);
+    Hold(pending);
+  }
+  Time LateAt(const PendingMessage& pending) const {
+    double least_s = Seconds(kInitialLatency);
+    for (const Endpoint* endpoint : pending.destination->endpoints)
+      least_s = std::min(least_s, endpoint->latency_s);
+    return pending.aim_at - Micros(kLateLatencies * least_s);
+  }
+  void Enqueue(PendingMessage& pending) {
+    if (pending.queued || !IsNextOfItsKey(pending)) return;
+    pending.queued =
+        pending.destination->queues[pending.QueueIndex()].emplace(pending.sort_key, &pending).second;
+    pending.destination->waiting += 1;
+    Touch(*pending.destination);
+  }
+  void Dequeue(PendingMessage& pending) {
+    ClearAlarm(pending.alarm);
+    sheddable_.erase(pending.SheddingKey());
+    if (!std::exchange(pending.queued, false)) return;
+    pending.destination->queues[pending.QueueIndex()].erase(pending.sort_key);
+    pending.destination->waiting -= 1;
+  }
+  void RemoveMessage(const MessageId& id) {
     const auto it = messages_.find(id);
     if (it == messages_.end()) return;
-    Pending& p = it->second;
-    Dequeue(p);
-    p.home->held -= 1;
-    Touch(*p.home);
-    const std::string key = !p.out && Ordered(p.m) ? p.m.key : std::string();
+    PendingMessage& pending = it->second;
+    Dequeue(pending);
+    pending.destination->held -= 1;
+    Touch(*pending.destination);
+    const std::string key =
+        !pending.in_flight && IsOrdered(pending.message) ? pending.message.key : std::string();
     messages_.erase(it);
-    if (!key.empty()) LeaveLine(key, id);
+    if (!key.empty()) RemoveFromKeyQueue(key, id);
   }
 
   // ---- order by key ----
-  bool Ordered(const Message& m) const { return !m.key.empty() && ClassOf(m).ordered; }
-  void LeaveLine(const std::string& key, const MessageId& id) {
-    std::erase(keys_.at(key).line, id);
-    AdvanceLine(key);
-  }
-  void AdvanceLine(const std::string& key) {
-    KeyLine& k = keys_.at(key);
-    ClearAlarm(k.alarm);
-    if (k.rest_until > now_) return SetAlarm(k.alarm, k.rest_until, key);
-    const auto first = k.line.empty() ? messages_.end() : messages_.find(k.line.front());
-    if (first != messages_.end() && !first->second.out) Enqueue(first->second);
-    if (k.line.empty()) keys_.erase(std::string(key));
-  }
-  bool HasTurn(const Pending& p) const {
-    if (!Ordered(p.m)) return true;
-    const KeyLine& k = keys_.at(p.m.key);
-    return k.line.front() == p.m.id && (p.sends > 0 || k.rest_until <= now_);
+  bool IsOrdered(const Message& message) const { return !message.key.empty() && ClassOf(message).ordered; }
+  void RemoveFromKeyQueue(const std::string& key, const MessageId& id) {
+    std::erase(key_queues_.at(key).messages, id);
+    AdvanceKeyQueue(key);
+  }
+  void AdvanceKeyQueue(const std::string& key) {
+    KeyQueue& key_queue = key_queues_.at(key);
+    ClearAlarm(key_queue.alarm);
+    if (key_queue.blocked_until > now_) return SetAlarm(key_queue.alarm, key_queue.blocked_until, key);
+    const auto first =
+        key_queue.messages.empty() ? messages_.end() : messages_.find(key_queue.messages.front());
+    if (first != messages_.end() && !first->second.in_flight) Enqueue(first->second);
+    if (key_queue.messages.empty()) key_queues_.erase(std::string(key));
+  }
+  bool IsNextOfItsKey(const PendingMessage& pending) const {
+    if (!IsOrdered(pending.message)) return true;
+    const KeyQueue& key_queue = key_queues_.at(pending.message.key);
+    return key_queue.messages.front() == pending.message.id &&
+           (pending.sends > 0 || key_queue.blocked_until <= now_);
   }
 
   // ---- health and slow start ----
-  void NoteServed(Endpoint& e, Time latency, bool probe) {
-    // A cold one's calls came by its warmth, not by turns: that they were served tells nothing of turns.
-    const bool hindered = e.state == State::kUp && e.home->waiting > 0;
-    e.route->ShrinkGap(hindered);
-    if (!probe && hindered) pace_ = std::max(kPaceLeast, pace_ * (1 - kPaceShrink));
-    e.last_served = now_;
-    e.served_sent = std::max(e.served_sent, now_ - latency);
+  void RecordServed(Endpoint& endpoint, Time latency, bool probe) {
+    // Calls to a cold endpoint are paced by its capacity, not by the interval, so they say nothing about the
+    // interval.
+    const bool backlogged = endpoint.state == State::kUp && endpoint.destination->waiting > 0;
+    endpoint.route->OnServed(backlogged);
+    if (!probe && backlogged) pace_ = std::max(kMinPace, pace_ * (1 - kPaceShrink));
+    endpoint.last_served_at = now_;
+    endpoint.last_served_sent_at = std::max(endpoint.last_served_sent_at, now_ - latency);
     if (!probe) {
-      e.failing -= kFailingWeight * e.failing;
-      e.latency_s += kLatencyWeight * (Seconds(latency) - e.latency_s);
+      endpoint.failure_rate -= kFailureRateWeight * endpoint.failure_rate;
+      endpoint.latency_s += kLatencyWeight * (Seconds(latency) - endpoint.latency_s);
     }
-    if (e.state == State::kDown && e.second_look) e.state = State::kUp;
-    // What is served before the end of a long told wait was sent before that was told: no return.
-    if (e.state == State::kDown && now_ >= e.failed_at) {
-      e.state = State::kCold;
-      // Found late by one of many: it came back at any time since the last failure here. It is paced by what
-      // it bears if it came back half way between, but until the latest moment at which it can be cold: paced
-      // no more at the earlier one, all that is held would go at once to one that is not warm yet.
-      e.cold_since = now_ - Micros(kFoundLate * Seconds(now_ - std::max(e.failed_at, now_ - s_.cold)));
-      e.warm_by = now_ + s_.cold;
-      e.route->cold_until = e.cold_since + s_.cold;
-      e.route->next_in_trouble = now_ + ColdInterval(e, ColdShare(e)) / 2;  // the trial was a call
-      actions_.push_back(Log{"returning " + e.info.id});
+    if (endpoint.state == State::kDown && endpoint.single_connect_failure) endpoint.state = State::kUp;
+    // A call that is served before the end of a long wait was sent before the wait was asked for, so it does
+    // not show that the endpoint is back.
+    if (endpoint.state == State::kDown && now_ >= endpoint.failed_at) {
+      endpoint.state = State::kCold;
+      // In a large fleet a sender notices the return late: it came at some time since the last failure here.
+      // The endpoint is paced by the capacity that it has if it came back half way between. But it is paced
+      // until the latest time at which it can be cold: if pacing ended earlier, all waiting messages would be
+      // sent at once to an endpoint that may not be warm yet.
+      endpoint.cold_since =
+          now_ -
+          Micros(kReturnEstimate * Seconds(now_ - std::max(endpoint.failed_at, now_ - settings_.warm_up)));
+      endpoint.warm_at = now_ + settings_.warm_up;
+      endpoint.route->cold_until = endpoint.cold_since + settings_.warm_up;
+      endpoint.route->next_trial_at =
+          now_ + ColdInterval(endpoint, ColdCapacity(endpoint)) / 2;  // the trial counts as a call
+      actions_.push_back(Log{"returning " + endpoint.info.id});
     }
-    e.strikes = 0;
-    e.unconnected_at = kNever;
-  }
-  // Lone failed connects where calls sent soon after are served: idle connections of all senders fill what
-  // this kind takes. None is kept, and such failures count less. Harm: a handshake a call; a flap unseen.
-  bool Crowded(const Endpoint& e) const {
-    return crowded_.count(e.info.kind) > 0 && crowded_.at(e.info.kind).At(now_) >= kCrowdedAfter;
-  }
-  // Failures in a row that make an endpoint down: one where nothing was served lately, more where some calls
-  // fail all the time. Harm: a lossy one's outage is seen later; a lone failure holds rare messages.
-  int StrikesToGoDown(const Endpoint& e) const {
-    if (Crowded(e)) return kStrikesMost;
-    if (e.failing <= kFailingWeight) return now_ - e.last_served > kFreshService ? 1 : kStrikes;
-    const double strikes = std::log(kChance) / std::log(std::min(e.failing, 0.99));
-    return static_cast<int>(std::ceil(std::clamp<double>(strikes, kStrikes, kStrikesMost)));
-  }
-  void NoteFailed(Endpoint& e, Outcome o) {
-    e.strikes += 1;
-    e.failed_at = now_;
-    e.eats = MayHaveRun(o);
-    if (e.state == State::kDown) return;
-    e.failing += kFailingWeight * (1 - e.failing);
-    e.second_look = o == Outcome::kNoConnection && e.strikes == 1 && now_ >= e.route->cold_until;
-    if (e.strikes >= StrikesToGoDown(e)) GoDown(e, "failures");
-    if (e.second_look) e.route->next_in_trouble = now_ + Drawn(kSecondLook);
-  }
-  // Doubles on a refusal as full. Departures: drawn, of one held message, past a told wait as well: of a
-  // clump all senders send again what was refused over some seconds. The refusal of a call sent before the
-  // gap last grew tells nothing new, else a burst shuts the sender out. Harm: a second fall is learned late.
-  void WidenGap(const Endpoint& e, Time sent_at) {
-    Route& r = *e.route;
-    const double dear = s_.refused_price > 0 ? kRefusedPrice / s_.refused_price : 1;
-    const double share = std::clamp(kRefusedAt * dear * dear, kRefusedAt, kRefusedMost);
-    pace_ = std::min(kPaceMost, pace_ * std::exp(kPaceShrink * (1 - share) / share));
-    if (sent_at >= r.widened_at) {
-      r.widened_at = now_;
-      r.ScaleTurn(kTurnWiden);
-      r.gap = std::clamp(r.gap * 2, Between(kGapStep, kGapStepMany), Between(kGapMax, kGapMaxMany));
+    endpoint.consecutive_failures = 0;
+    endpoint.connect_failed_at = kNever;
+  }
+  // Single failed connects, where calls sent soon after are served, show that the idle connections of all
+  // senders use up the connections that this kind accepts. Then no idle connection is kept, and it takes more
+  // failures to go down. Drawback: each call needs a handshake, and a short outage may go unnoticed.
+  bool ConnectionsExhausted(const Endpoint& endpoint) const {
+    return exhausted_counts_.count(endpoint.info.kind) > 0 &&
+           exhausted_counts_.at(endpoint.info.kind).At(now_) >= kConnectionsExhaustedCount;
+  }
+  // The number of consecutive failures that make an endpoint down: one if nothing was served recently, more
+  // where some calls fail all the time. Drawback: the outage of an endpoint with many failures is noticed
+  // later, and where calls are rare a single failure holds messages back.
+  int FailuresToGoDown(const Endpoint& endpoint) const {
+    if (ConnectionsExhausted(endpoint)) return kMaxFailuresToGoDown;
+    if (endpoint.failure_rate <= kFailureRateWeight)
+      return now_ - endpoint.last_served_at > kRecentlyServed ? 1 : kMinFailuresToGoDown;
+    const double failures =
+        std::log(kMaxChanceOfFalseOutage) / std::log(std::min(endpoint.failure_rate, 0.99));
+    return static_cast<int>(
+        std::ceil(std::clamp<double>(failures, kMinFailuresToGoDown, kMaxFailuresToGoDown)));
+  }
+  void RecordFailure(Endpoint& endpoint, Outcome outcome) {
+    endpoint.consecutive_failures += 1;
+    endpoint.failed_at = now_;
+    endpoint.failure_may_have_run = MayHaveRun(outcome);
+    if (endpoint.state == State::kDown) return;
+    endpoint.failure_rate += kFailureRateWeight * (1 - endpoint.failure_rate);
+    endpoint.single_connect_failure = outcome == Outcome::kNoConnection &&
+                                      endpoint.consecutive_failures == 1 &&
+                                      now_ >= endpoint.route->cold_until;
+    if (endpoint.consecutive_failures >= FailuresToGoDown(endpoint)) GoDown(endpoint, "failures");
+    if (endpoint.single_connect_failure) endpoint.route->next_trial_at = now_ + Jittered(kConnectRecheck);
+  }
+  // After a refusal: slows the pace, doubles the gap and widens the interval. The next call is at a random
+  // time within the gap, also after a requested wait, so that the senders that were refused in one burst
+  // spread their repeats over some seconds. The refusal of a call that was sent before the gap last grew
+  // gives no new information; if it counted, a burst would stop this sender. Drawback: a further drop of the
+  // limit is learned late.
+  void SlowDown(const Endpoint& endpoint, Time sent_at) {
+    Route& route = *endpoint.route;
+    const double price_ratio =
+        settings_.refused_price > 0 ? kReferenceRefusedPrice / settings_.refused_price : 1;
+    const double refused_share =
+        std::clamp(kMinRefusedShare * price_ratio * price_ratio, kMinRefusedShare, kMaxRefusedShare);
+    pace_ = std::min(kMaxPace, pace_ * std::exp(kPaceShrink * (1 - refused_share) / refused_share));
+    if (sent_at >= route.gap_widened_at) {
+      route.gap_widened_at = now_;
+      route.ScaleInterval(kIntervalWiden);
+      route.gap = std::clamp(route.gap * 2, ByFleetSize(kGapStep, kGapStepLargeFleet),
+                             ByFleetSize(kGapMax, kGapMaxLargeFleet));
     }
-    r.spread = Drawn(r.gap) - (r.wait_until > now_ ? r.gap / 2 : 0us);
-    r.next_send = std::max(r.next_send, std::max(now_, r.wait_until) + r.spread);
-    // What filled this endpoint is filling its siblings. Harm: one that had room is used later.
-    e.home->refused_at = now_;
-    e.home->pause =
-        Drawn(std::min(Between(0us, kPause), Micros(kHorizonS / (0.01 + e.home->arrivals.At(now_)))));
-  }
-  double Many() const { return std::max(0.0, 1 - kFewest / s_.senders); }
-  Time Between(Time few, Time many) const { return few + Micros(Many() * Seconds(many - few)); }
-  Time Drawn(Time mean) { return Micros(Seconds(mean) * Uniform(0.5, 1.5)); }
-  void NoteRefused(Endpoint& e, Time told_wait, Time sent_at) {
-    Route& r = *e.route;
-    r.wait_until = std::max(r.wait_until, now_ + told_wait);
-    WidenGap(e, sent_at);
-    if (e.state == State::kDown) BackOff(e);
-    if (told_wait > kGapMax) ShutUntilWaitEnds(r, *e.home);
-  }
-  // A long told wait: the route is shut, and cold when it opens.
-  void ShutUntilWaitEnds(const Route& r, const Destination& d) {
-    for (Endpoint* other : d.endpoints) {
-      if (other->route != &r || other->state == State::kDown) continue;
-      other->eats = false;
-      other->failed_at = r.wait_until;  // out until then
+    route.gap_drawn = Jittered(route.gap) - (route.wait_until > now_ ? route.gap / 2 : 0us);
+    route.next_send_at = std::max(route.next_send_at, std::max(now_, route.wait_until) + route.gap_drawn);
+    // The load that filled this endpoint also fills the other ones. Drawback: one that has room is used
+    // later.
+    endpoint.destination->refused_at = now_;
+    endpoint.destination->pause =
+        Jittered(std::min(ByFleetSize(0us, kSiblingPause),
+                          Micros(kArrivalWindowS / (0.01 + endpoint.destination->arrivals.At(now_)))));
+  }
+  // 0 for a small fleet, towards 1 for a large one.
+  double FleetFactor() const { return std::max(0.0, 1 - kSmallFleet / settings_.senders); }
+  Time ByFleetSize(Time small, Time large) const {
+    return small + Micros(FleetFactor() * Seconds(large - small));
+  }
+  Time Jittered(Time mean) { return Micros(Seconds(mean) * Uniform(0.5, 1.5)); }
+  void RecordRefusal(Endpoint& endpoint, Time retry_after, Time sent_at) {
+    Route& route = *endpoint.route;
+    route.wait_until = std::max(route.wait_until, now_ + retry_after);
+    SlowDown(endpoint, sent_at);
+    if (endpoint.state == State::kDown) ScheduleTrial(endpoint);
+    if (retry_after > kGapMax) GoDownUntilWaitEnds(route, *endpoint.destination);
+  }
+  // A long wait was asked for: the route is down until its end, and cold then.
+  void GoDownUntilWaitEnds(const Route& route, const Destination& destination) {
+    for (Endpoint* other : destination.endpoints) {
+      if (other->route != &route || other->state == State::kDown) continue;
+      other->failure_may_have_run = false;
+      other->failed_at = route.wait_until;  // down until then
       GoDown(*other, "a long told wait");
     }
   }
-  void GoDown(Endpoint& e, const char* why) {
-    e.state = State::kDown;
-    if (e.route->cold_until < now_) e.route->down_since = now_;
-    e.route->cold_until = now_ + s_.cold;
-    e.route->backoff = kBackoffFirst / 2;
-    BackOff(e);
-    for (Call* call : e.out) MarkStuck(*call);
-    actions_.push_back(Log{"down " + e.info.id + " after " + why});
-  }
-  // To the next trial: all senders that saw the outage try at their own moments, together no more often than
-  // the destination can bear as it returns. Harm: the return of one with little traffic is found late.
-  void BackOff(Endpoint& e) {
-    Route& r = *e.route;
-    r.backoff = std::min(kBackoffMax, r.backoff * 2);
-    const Time apart = std::max(r.backoff, Micros(1 / (kTrialShare * OutagePart(e))));
-    // Told to wait, all come at that moment, to a cold one: the first calls are spaced as those that follow.
-    const Time told = r.wait_until + Micros(Many() * Uniform(0, 1) * Seconds(ColdInterval(e, s_.cold_from)));
-    r.next_in_trouble = std::max(r.next_in_trouble, r.wait_until > now_ ? told : now_ + Drawn(apart));
-  }
-  // This sender's part: of the limit where told, else of what came in, drawn to the mean. Calls a second.
-  double PartOf(const Endpoint& e) const {
-    if (e.route->told_limit > 0) return e.route->told_limit / s_.senders;
-    const double seen_s = kShortPastS + kHorizonS * (1 - std::exp(-Seconds(now_ - *started_at_) / kHorizonS));
-    const double mean = (arrivals_.At(now_) + 1) / seen_s / static_cast<double>(destinations_.size());
-    const double part = (e.home->arrivals.At(now_) + 1) / (seen_s + 1 / mean);
-    return std::max(part / static_cast<double>(e.home->routes.size()), kLeastRate / s_.senders);
-  }
-  void SetTurns(const Endpoint& e) {
-    Route& r = *e.route;
-    if (r.told_limit <= 0) return;
-    const double each_s = 1 / ((1 + kTurnFew / s_.senders) * PartOf(e));
-    // A long part is waited for by those that were refused only: if all did, the endpoint would stand idle;
-    // if none did, it would serve nothing.
-    const Time first = Micros(std::min(each_s, std::max(kTurnToldS / 2, kTurnToldS * kTurnToldS / each_s)));
-    r.kept = Many() > 0 ? Micros(std::max(kTurnKeptS, each_s - kTurnWaitS)) : Time::max() / 2;
-    if (r.told_turn == 0us) r.next_turn = now_, r.drawn = Uniform(0, 1);
-    if (std::exchange(r.told_turn, Micros(each_s)) != Micros(each_s)) r.turn = first;
-  }
-  // Only senders that saw an outage hold messages; where calls are rare they are few, and each may send more.
-  double OutagePart(const Endpoint& e) const {
-    const double part = PartOf(e), rate = std::max(part, e.home->arrivals.At(now_) / kHorizonS);
-    const Time lasts = std::max(now_, e.route->wait_until) - e.route->down_since;
-    return part / (1 - std::exp(-rate * (Seconds(lasts) + kOutageGuessS)));
-  }
-  // Between calls of this sender to a cold endpoint; what that gains until the next is due counts.
-  Time ColdInterval(const Endpoint& e, double share) {
-    const double calls = Uniform(0.5, 1.5) / OutagePart(e);
-    const double gain = s_.cold > 0us && share < 1 ? (1 - s_.cold_from) / Seconds(s_.cold) : 0;
-    return Micros(gain <= 0 ? calls / share : (std::sqrt(share * share + 2 * gain * calls) - share) / gain);
-  }
-  double ColdShare(const Endpoint& e) const {
-    const double grown = s_.cold > 0us ? Seconds(now_ - e.cold_since) / Seconds(s_.cold) : 1;
-    return std::clamp(s_.cold_from + (1 - s_.cold_from) * grown, 0.05, 1.0);
-  }
-  // A class that failed at an endpoint goes to a sound sibling for a while. Harm: so does one chance.
-  bool Failed(const Endpoint& e, const Pending& p) const {
-    const auto it = e.shunned.find(p.m.message_class);
-    return it != e.shunned.end() && it->second > now_;
-  }
-  bool Shunned(const Endpoint& e, const Pending& p) const {
-    const auto& all = e.home->endpoints;
-    return Failed(e, p) && std::any_of(all.begin(), all.end(), [&](const Endpoint* o) {
-             return o->Usable() && o->state == State::kUp && InGroup(*o, p) && !Failed(*o, p);
+  void GoDown(Endpoint& endpoint, const char* why) {
+    endpoint.state = State::kDown;
+    if (endpoint.route->cold_until < now_) endpoint.route->down_since = now_;
+    endpoint.route->cold_until = now_ + settings_.warm_up;
+    endpoint.route->backoff = kFirstBackoff / 2;
+    ScheduleTrial(endpoint);
+    for (Attempt* attempt : endpoint.attempts) MarkCancellable(*attempt);
+    actions_.push_back(Log{"down " + endpoint.info.id + " after " + why});
+  }
+  // Sets the time of the next trial. The senders that noticed the outage make their trials at different
+  // times, and together no more often than the destination can serve on its return. Drawback: the return of a
+  // destination with little traffic is noticed late.
+  void ScheduleTrial(Endpoint& endpoint) {
+    Route& route = *endpoint.route;
+    route.backoff = std::min(kMaxBackoff, route.backoff * 2);
+    const Time interval = std::max(route.backoff, Micros(1 / (kTrialShare * OutageRateShare(endpoint))));
+    // After a requested wait all senders would call a cold endpoint at the same time, so their first calls
+    // are spread like the following ones.
+    const Time after_wait =
+        route.wait_until + Micros(FleetFactor() * Uniform(0, 1) *
+                                  Seconds(ColdInterval(endpoint, settings_.warm_up_start_share)));
+    route.next_trial_at =
+        std::max(route.next_trial_at, route.wait_until > now_ ? after_wait : now_ + Jittered(interval));
+  }
+  // This sender's share of the rate of an endpoint, in calls a second: of the announced limit, else of the
+  // arrivals for the destination, moved towards the mean of all destinations.
+  double RateShare(const Endpoint& endpoint) const {
+    if (endpoint.route->announced_limit_per_s > 0)
+      return endpoint.route->announced_limit_per_s / settings_.senders;
+    const double observed_s =
+        kMinArrivalWindowS +
+        kArrivalWindowS * (1 - std::exp(-Seconds(now_ - *started_at_) / kArrivalWindowS));
+    const double mean_rate =
+        (arrivals_.At(now_) + 1) / observed_s / static_cast<double>(destinations_.size());
+    const double rate = (endpoint.destination->arrivals.At(now_) + 1) / (observed_s + 1 / mean_rate);
+    return std::max(rate / static_cast<double>(endpoint.destination->routes.size()),
+                    kMinDestinationRate / settings_.senders);
+  }
+  void UpdateIntervals(const Endpoint& endpoint) {
+    Route& route = *endpoint.route;
+    if (route.announced_limit_per_s <= 0) return;
+    const double interval_s = 1 / ((1 + kSmallFleetBonus / settings_.senders) * RateShare(endpoint));
+    // A long interval is kept only after refusals. If all senders kept it, the endpoint would be idle; if
+    // none did, it would be overloaded and serve nothing.
+    const Time first =
+        Micros(std::min(interval_s, std::max(kMaxAnnouncedIntervalS / 2,
+                                             kMaxAnnouncedIntervalS * kMaxAnnouncedIntervalS / interval_s)));
+    route.interval_kept = FleetFactor() > 0
+                              ? Micros(std::max(kMinUnusedIntervalS, interval_s - kMaxIntervalWaitS))
+                              : Time::max() / 2;
+    if (route.announced_interval == 0us) route.last_call_at = now_, route.interval_jitter = Uniform(0, 1);
+    if (std::exchange(route.announced_interval, Micros(interval_s)) != Micros(interval_s))
+      route.call_interval = first;
+  }
+  // This sender's share of the rate after an outage, in calls a second. Only senders that noticed the outage
+  // hold messages. Where calls are rare these are few, so each may send more.
+  double OutageRateShare(const Endpoint& endpoint) const {
+    const double share = RateShare(endpoint),
+                 rate = std::max(share, endpoint.destination->arrivals.At(now_) / kArrivalWindowS);
+    const Time outage = std::max(now_, endpoint.route->wait_until) - endpoint.route->down_since;
+    return share / (1 - std::exp(-rate * (Seconds(outage) + kUnseenOutageS)));
+  }
+  // Time between calls of this sender to a cold endpoint that now has `capacity`, a share of the full one.
+  // The growth of the capacity until the next call is taken into account.
+  Time ColdInterval(const Endpoint& endpoint, double capacity) {
+    const double interval_s = Uniform(0.5, 1.5) / OutageRateShare(endpoint);
+    const double growth_per_s = settings_.warm_up > 0us && capacity < 1
+                                    ? (1 - settings_.warm_up_start_share) / Seconds(settings_.warm_up)
+                                    : 0;
+    return Micros(growth_per_s <= 0
+                      ? interval_s / capacity
+                      : (std::sqrt(capacity * capacity + 2 * growth_per_s * interval_s) - capacity) /
+                            growth_per_s);
+  }
+  // The share of its full capacity that a cold endpoint has now.
+  double ColdCapacity(const Endpoint& endpoint) const {
+    const double growth =
+        settings_.warm_up > 0us ? Seconds(now_ - endpoint.cold_since) / Seconds(settings_.warm_up) : 1;
+    return std::clamp(settings_.warm_up_start_share + (1 - settings_.warm_up_start_share) * growth, 0.05,
+                      1.0);
+  }
+  // After a failure at an endpoint, messages of that class go to another healthy endpoint for a while.
+  // Drawback: so they do after a failure by chance.
+  bool FailedRecently(const Endpoint& endpoint, const PendingMessage& pending) const {
+    const auto it = endpoint.avoided_until.find(pending.message.message_class);
+    return it != endpoint.avoided_until.end() && it->second > now_;
+  }
+  bool Avoided(const Endpoint& endpoint, const PendingMessage& pending) const {
+    const auto& all = endpoint.destination->endpoints;
+    return FailedRecently(endpoint, pending) &&
+           std::any_of(all.begin(), all.end(), [&](const Endpoint* other) {
+             return other->Usable() && other->state == State::kUp && InAllowedZone(*other, pending) &&
+                    !FailedRecently(*other, pending);
            });
   }
-  // Silence: long overdue calls with nothing served meanwhile count as failures before any time-out.
-  void FindOverdue(Call& call) {
-    Endpoint& e = *call.endpoint;
-    ClearAlarm(call.alarm);
-    if (++call.overdue == 1) SetAlarm(call.alarm, now_ + call.allowed, &call);
-    if (call.overdue > 1 || e.state == State::kDown) MarkStuck(call);
-    if (e.state == State::kDown || now_ - e.last_served < OverdueAfter(e)) return;
-    int count = e.strikes;
-    for (const Call* c : e.out) count += c->sent_at > e.served_sent ? std::min(c->overdue, kStrikes) : 0;
-    if (count < std::max(kStrikes, StrikesToGoDown(e))) return;
-    e.eats = true;
-    GoDown(e, "silence");
-    Touch(*e.home);
-  }
-  // A cold endpoint is slow: more time, so that slowness is not taken for another outage.
-  Time OverdueAfter(const Endpoint& e) const {
-    double patience = e.state == State::kDown ? kColdPatience : 1;
-    if (e.state == State::kCold) patience = std::clamp(1 / ColdShare(e), 1.0, kColdPatience);
-    return Micros(patience * std::max(Seconds(kOverdueLeast), kOverdueTimes * e.latency_s));
-  }
-  // A list that is too old tells of nobody who may be called: see ListLease.
+  // Overdue attempts count as failures before any time-out, if nothing was served in the meantime.
+  void CheckOverdue(Attempt& attempt) {
+    Endpoint& endpoint = *attempt.endpoint;
+    ClearAlarm(attempt.alarm);
+    if (++attempt.overdue_count == 1) SetAlarm(attempt.alarm, now_ + attempt.overdue_after, &attempt);
+    if (attempt.overdue_count > 1 || endpoint.state == State::kDown) MarkCancellable(attempt);
+    if (endpoint.state == State::kDown || now_ - endpoint.last_served_at < OverdueAfter(endpoint)) return;
+    int count = endpoint.consecutive_failures;
+    for (const Attempt* other : endpoint.attempts)
+      count += other->sent_at > endpoint.last_served_sent_at
+                   ? std::min(other->overdue_count, kMinFailuresToGoDown)
+                   : 0;
+    if (count < std::max(kMinFailuresToGoDown, FailuresToGoDown(endpoint))) return;
+    endpoint.failure_may_have_run = true;
+    GoDown(endpoint, "silence");
+    Touch(*endpoint.destination);
+  }
+  // A cold endpoint is slow, so it gets more time; else it would be taken to be down again.
+  Time OverdueAfter(const Endpoint& endpoint) const {
+    double factor = endpoint.state == State::kDown ? kMaxColdFactor : 1;
+    if (endpoint.state == State::kCold) factor = std::clamp(1 / ColdCapacity(endpoint), 1.0, kMaxColdFactor);
+    return Micros(factor * std::max(Seconds(kMinOverdue), kOverdueLatencies * endpoint.latency_s));
+  }
+  // By a list that is too old no endpoint may be called; see ListLease.
   bool ListValid() const { return now_ < list_valid_until_; }
-  void SendProbe(Endpoint& e) {
-    if (!ListValid() || !s_.may_probe || e.state != State::kDown || e.trying || !e.Usable() ||
-        now_ < OpensAt(e))
+  void SendProbe(Endpoint& endpoint) {
+    if (!ListValid() || !settings_.may_probe || endpoint.state != State::kDown || endpoint.trial_in_flight ||
+        !endpoint.Usable() || now_ < OpensAt(endpoint))
       return;
-    e.trying = true;
-    BackOff(e);
-    actions_.push_back(Probe{e.info.id});
-  }
-
-  // ---- what goes where ----
-  bool Repeatable(const Pending& p) const { return ClassOf(p.m).semantics != Semantics::kAtMostOnce; }
-  bool SlotsFull() const { return s_.slots > 0 && static_cast<int>(bundles_.size()) >= s_.slots; }
-  // The repeat of a keyed message that may have run stays where its repeats are dropped.
-  bool InGroup(const Endpoint& e, const Pending& p) const {
-    return !p.may_have_run || !ClassOf(p.m).repeats_bound_to_zone || e.info.zone == p.risk_zone;
-  }
-  bool Open(const Endpoint& e, const Pending& p) const {
-    if (!ListValid() || !e.Usable() || !InGroup(e, p) || Shunned(e, p) || OpensAt(e) > now_) return false;
-    if (s_.slots > 0 && e.route->calls >= std::max(2, static_cast<int>(kSlotShare * s_.slots))) return false;
-    const bool suits = Repeatable(p) || !e.eats || e.route->backoff >= kBackoffMax;
-    return e.state != State::kDown || (!s_.may_probe && suits);
-  }
-  double Cost(const Endpoint& e, const Pending& p) const {
-    double cost = e.latency_s * (e.calls + 1);
-    // Else one that was down is never tried beside healthy ones. Harm: a token where it still is down.
-    if (e.state == State::kDown) cost += Repeatable(p) ? -kTrialCost : kTrialCost;
-    if (e.state == State::kCold) cost += kColdCost;
-    const double mean = e.home->weight / static_cast<double>(e.home->endpoints.size());
-    cost += Many() * kDrawCost * e.draw * mean / std::max({e.info.weight, 0.01 * mean, 1e-9});
-    const auto zone = static_cast<std::size_t>(e.info.zone);
-    if (KindOf(e.info).routes_apart && zone < s_.zone_fee.size()) cost += s_.zone_fee[zone] * kFeeCost;
+    endpoint.trial_in_flight = true;
+    ScheduleTrial(endpoint);
+    actions_.push_back(Probe{endpoint.info.id});
+  }
+
+  // ---- choice of endpoints ----
+  bool Repeatable(const PendingMessage& pending) const {
+    return ClassOf(pending.message).semantics != Semantics::kAtMostOnce;
+  }
+  bool SlotsFull() const {
+    return settings_.slots > 0 && static_cast<int>(bundle_outcomes_.size()) >= settings_.slots;
+  }
+  // A message that may have run is repeated only in the zone in which its repeats are recognised.
+  bool InAllowedZone(const Endpoint& endpoint, const PendingMessage& pending) const {
+    return !pending.may_have_run || !ClassOf(pending.message).repeats_bound_to_zone ||
+           endpoint.info.zone == pending.risk_zone;
+  }
+  bool CanTake(const Endpoint& endpoint, const PendingMessage& pending) const {
+    if (!ListValid() || !endpoint.Usable() || !InAllowedZone(endpoint, pending) ||
+        Avoided(endpoint, pending) || OpensAt(endpoint) > now_)
+      return false;
+    if (settings_.slots > 0 &&
+        endpoint.route->calls_in_flight >= std::max(2, static_cast<int>(kMaxSlotShare * settings_.slots)))
+      return false;
+    const bool trial_allowed =
+        Repeatable(pending) || !endpoint.failure_may_have_run || endpoint.route->backoff >= kMaxBackoff;
+    return endpoint.state != State::kDown || (!settings_.may_probe && trial_allowed);
+  }
+  double Cost(const Endpoint& endpoint, const PendingMessage& pending) const {
+    double cost = endpoint.latency_s * (endpoint.calls_in_flight + 1);
+    // Without this bonus, a down endpoint is never tried beside healthy ones. Drawback: a token is lost if it
+    // is still down.
+    if (endpoint.state == State::kDown) cost += Repeatable(pending) ? -kTrialCostS : kTrialCostS;
+    if (endpoint.state == State::kCold) cost += kColdCostS;
+    const double mean_weight =
+        endpoint.destination->weight / static_cast<double>(endpoint.destination->endpoints.size());
+    cost += FleetFactor() * kRendezvousCostS * endpoint.rendezvous_cost * mean_weight /
+            std::max({endpoint.info.weight, 0.01 * mean_weight, 1e-9});
+    const auto zone = static_cast<std::size_t>(endpoint.info.zone);
+    if (KindOf(endpoint.info).separate_routes && zone < settings_.zone_fee.size())
+      cost += settings_.zone_fee[zone] * kFeeCostS;
     return cost;
   }
-  Endpoint* Pick(const Pending& p) const {
+  Endpoint* PickEndpoint(const PendingMessage& pending) const {
     Endpoint* best = nullptr;
-    for (Endpoint* e : p.home->endpoints) {
-      if (Open(*e, p) && (best == nullptr || Cost(*e, p) < Cost(*best, p))) best = e;
+    for (Endpoint* endpoint : pending.destination->endpoints) {
+      if (CanTake(*endpoint, pending) && (best == nullptr || Cost(*endpoint, pending) < Cost(*best, pending)))
+        best = endpoint;
     }
     return best;
   }
-  Time TimeoutFor(const Pending& p, const Endpoint& e, bool trial) const {
-    const Time t = OverdueAfter(e) * (trial ? 1 : kTimeoutOverdue);
-    return !Repeatable(p) || now_ + t >= p.ends_at ? 0us : t;
-  }
-  void OpenCall(Pending& p, Endpoint& e) {
-    const bool trial = e.state == State::kDown;
-    if (trial) BackOff(e);
-    if (e.state == State::kCold) e.route->next_in_trouble = now_ + ColdInterval(e, ColdShare(e));
-    Route& r = *e.route;
-    r.spread = Drawn(r.gap);
-    r.next_send = now_ + r.spread;
-    r.next_turn = now_;
-    r.drawn = Uniform(0.5, 1.5);
-    TakeUp(e);
-    SendTo(p, e, trial);
+  Time TimeoutFor(const PendingMessage& pending, const Endpoint& endpoint, bool trial) const {
+    const Time timeout = OverdueAfter(endpoint) * (trial ? 1 : kTimeoutFactor);
+    return !Repeatable(pending) || now_ + timeout >= pending.ends_at ? 0us : timeout;
+  }
+  void StartCall(PendingMessage& pending, Endpoint& endpoint) {
+    const bool trial = endpoint.state == State::kDown;
+    if (trial) ScheduleTrial(endpoint);
+    if (endpoint.state == State::kCold)
+      endpoint.route->next_trial_at = now_ + ColdInterval(endpoint, ColdCapacity(endpoint));
+    Route& route = *endpoint.route;
+    route.gap_drawn = Jittered(route.gap);
+    route.next_send_at = now_ + route.gap_drawn;
+    route.last_call_at = now_;
+    route.interval_jitter = Uniform(0.5, 1.5);
+    CountCall(endpoint);
+    SendMessage(pending, endpoint, trial);
     if (trial) return;
-    for (int room = KindOf(e.info).bundle_max - 1; room > 0; --room) {
-      const auto heads = Heads(*e.home);
-      const auto next =
-          std::find_if(heads.begin(), heads.end(), [&](auto* head) { return InGroup(e, *head); });
+    for (int room = KindOf(endpoint.info).bundle_max - 1; room > 0; --room) {
+      const auto heads = QueueHeads(*endpoint.destination);
+      const auto next = std::find_if(heads.begin(), heads.end(),
+                                     [&](auto* head) { return InAllowedZone(endpoint, *head); });
       if (next == heads.end()) return;
-      SendTo(**next, e, false);
+      SendMessage(**next, endpoint, false);
     }
   }
-  void TakeUp(Endpoint& e) {  // one more call
-    e.route->calls += 1;
-    e.calls += 1;
+  void CountCall(Endpoint& endpoint) {
+    endpoint.route->calls_in_flight += 1;
+    endpoint.calls_in_flight += 1;
     ++last_bundle_;
   }
-  void SendTo(Pending& p, Endpoint& e, bool trial) {
-    if (p.sends == 0) e.route->tokens = std::min(kTokenCap, e.route->tokens + kTokenPerFirstSend);
-    Dequeue(p);
-    Touch(*p.home);
-    bundles_[last_bundle_] += 1;
-    const CallKey key{p.m.id, p.sends};
-    const std::string order_key = Ordered(p.m) ? p.m.key : std::string();
-    Call& call = calls_[key];
-    call = {key, p.m.message_class, &e, order_key, last_bundle_, now_, OverdueAfter(e), 0, trial, false, {}};
-    e.out.push_back(&call);
-    SetAlarm(call.alarm, now_ + call.allowed, &call);
-    actions_.push_back(Send{p.m.id, e.info.id, TimeoutFor(p, e, trial)});
-    p.sends += 1;
-    p.out = true;
-  }
-
-  // Worth lost by a second of waiting, as a head start against time: an order that never changes.
-  double Standing(const Pending& p) const {
-    const MessageClass& c = ClassOf(p.m);
-    const bool even = s_.decay == Decay::kEven;
-    const double lost = even ? 1 - c.late_value : std::log(2.0);
-    const double slope = p.worth * lost / std::max(0.001, Seconds(even ? c.deadline - c.aim : c.aim));
-    const double behind = p.late ? Seconds(c.deadline) : 0;
-    return Seconds(p.aim_at) + behind - kHeadStartS * std::log(std::max(slope, 1e-6));
-  }
-  static std::vector<Pending*> Heads(const Destination& d) {
-    std::vector<Pending*> heads;
-    for (const auto& lane : d.lanes) {
-      if (!lane.empty()) heads.push_back(lane.begin()->second);
+  void SendMessage(PendingMessage& pending, Endpoint& endpoint, bool trial) {
+    if (pending.sends == 0)
+      endpoint.route->tokens = std::min(kMaxTokens, endpoint.route->tokens + kTokensPerFirstSend);
+    Dequeue(pending);
+    Touch(*pending.destination);
+    bundle_outcomes_[last_bundle_] += 1;
+    const AttemptKey key{pending.message.id, pending.sends};
+    const std::string order_key = IsOrdered(pending.message) ? pending.message.key : std::string();
+    Attempt& attempt = attempts_[key];
+    attempt = {key,  pending.message.message_class, &endpoint, order_key, last_bundle_,
+               now_, OverdueAfter(endpoint),        0,         trial,     false,
+               {}};
+    endpoint.attempts.push_back(&attempt);
+    SetAlarm(attempt.alarm, now_ + attempt.overdue_after, &attempt);
+    actions_.push_back(Send{pending.message.id, endpoint.info.id, TimeoutFor(pending, endpoint, trial)});
+    pending.sends += 1;
+    pending.in_flight = true;
+  }
+
+  // The order in which messages are sent: by their aim, with a head start for the worth that they lose in a
+  // second of waiting. It does not depend on the present time, so the order of two messages never changes.
+  double DispatchKey(const PendingMessage& pending) const {
+    const MessageClass& message_class = ClassOf(pending.message);
+    const bool linear = settings_.decay == Decay::kLinear;
+    const double loss = linear ? 1 - message_class.late_value : std::log(2.0);
+    const double loss_per_s =
+        pending.worth * loss /
+        std::max(0.001, Seconds(linear ? message_class.deadline - message_class.aim : message_class.aim));
+    const double late_penalty_s = pending.late ? Seconds(message_class.deadline) : 0;
+    return Seconds(pending.aim_at) + late_penalty_s - kWorthHeadStartS * std::log(std::max(loss_per_s, 1e-6));
+  }
+  static std::vector<PendingMessage*> QueueHeads(const Destination& destination) {
+    std::vector<PendingMessage*> heads;
+    for (const auto& queue : destination.queues) {
+      if (!queue.empty()) heads.push_back(queue.begin()->second);
     }
-    std::sort(heads.begin(), heads.end(), [](const auto* a, const auto* b) { return a->order < b->order; });
+    std::sort(heads.begin(), heads.end(),
+              [](const auto* left, const auto* right) { return left->sort_key < right->sort_key; });
     return heads;
   }
-  // Marks a destination about which something has changed: it is looked at in this step.
-  void Touch(Destination& d) {
-    if (!d.touched) touched_.push_back(&d);
-    d.touched = true;
-    if (d.ready) ready_.erase(*d.ready);
-    d.ready.reset();
-    if (d.waiting == 0) return;
-    d.ready = *ready_.insert({Heads(d).front()->order, d.id}).first;
+  // Marks a destination that has changed, so that this step visits it.
+  void Touch(Destination& destination) {
+    if (!destination.touched) touched_.push_back(&destination);
+    destination.touched = true;
+    if (destination.ready) ready_.erase(*destination.ready);
+    destination.ready.reset();
+    if (destination.waiting == 0) return;
+    destination.ready = *ready_.insert({QueueHeads(destination).front()->sort_key, destination.id}).first;
   }
   void Dispatch() {
-    while (!ready_.empty() && !SlotsFull()) ServeOne(destinations_.at(ready_.begin()->second));
-    if (!ready_.empty() && s_.may_cancel) FreeSlots();
-  }
-  // Sends the first message of a destination that can go, or sets the alarm for when one can.
-  void ServeOne(Destination& d) {
-    for (Endpoint* e : d.endpoints) {
-      if (e->state == State::kCold && now_ >= e->warm_by) e->state = State::kUp;
-      SendProbe(*e);
+    while (!ready_.empty() && !SlotsFull()) ServeDestination(destinations_.at(ready_.begin()->second));
+    if (!ready_.empty() && settings_.may_cancel) CancelOverdue();
+  }
+  // Sends the first message of a destination that can be sent, or sets the alarm for when one can.
+  void ServeDestination(Destination& destination) {
+    for (Endpoint* endpoint : destination.endpoints) {
+      if (endpoint->state == State::kCold && now_ >= endpoint->warm_at) endpoint->state = State::kUp;
+      SendProbe(*endpoint);
     }
-    for (Pending* p : Heads(d)) {
-      Endpoint* e = Pick(*p);
-      if (e != nullptr) return OpenCall(*p, *e);
+    for (PendingMessage* pending : QueueHeads(destination)) {
+      Endpoint* endpoint = PickEndpoint(*pending);
+      if (endpoint != nullptr) return StartCall(*pending, *endpoint);
     }
-    ready_.erase(*d.ready);
-    d.ready.reset();
-    ClearAlarm(d.alarm);
-    const Time soonest = SoonestOpen(d);
-    if (soonest < Time::max()) SetAlarm(d.alarm, soonest, &d);
-  }
-  Time SoonestOpen(const Destination& d) const {  // of the endpoints that don't take a message now
+    ready_.erase(*destination.ready);
+    destination.ready.reset();
+    ClearAlarm(destination.alarm);
+    const Time soonest = NextOpening(destination);
+    if (soonest < Time::max()) SetAlarm(destination.alarm, soonest, &destination);
+  }
+  // When the first of the endpoints that can't take a message now will be able to.
+  Time NextOpening(const Destination& destination) const {
     Time soonest = Time::max();
     if (!ListValid()) return soonest;
-    for (const Endpoint* e : d.endpoints) {
-      if (e->Usable() && OpensAt(*e) > now_) soonest = std::min(soonest, OpensAt(*e));
+    for (const Endpoint* endpoint : destination.endpoints) {
+      if (endpoint->Usable() && OpensAt(*endpoint) > now_) soonest = std::min(soonest, OpensAt(*endpoint));
     }
     return soonest;
   }
-  Time OpensAt(const Endpoint& e) const {
-    const Route& r = *e.route;
-    if (e.state == State::kDown) return std::max(r.wait_until, r.next_in_trouble);
-    const double held = std::pow(std::max(1, e.home->waiting), Many());
-    const Time paused = e.home->refused_at + Micros(Seconds(e.home->pause) / held);
-    const Time free = std::max(r.FreeAt(now_, pace_, held), paused);
-    if (e.state == State::kUp) return free;
-    return std::max(free, std::min(r.next_in_trouble, e.warm_by));
-  }
-  void MarkStuck(Call& call) {
-    const auto it = messages_.find(call.key.first);
-    if (call.overdue == 0 || (it != messages_.end() && it->second.streaming)) return;
-    if (!std::exchange(call.stuck, true)) stuck_.insert({call.sent_at, call.key});
-  }
-  // Overdue calls are called off, oldest first, when others could use their slots: guards against silence
-  // that holds them all. Harm: an answer that would still have come; so only where slots are short.
-  void FreeSlots() {
-    int wanted = -called_off_;
-    for (const auto& [order, id] : ready_) {
-      if (wanted >= static_cast<int>(stuck_.size())) break;
-      const auto heads = Heads(destinations_.at(id));
-      wanted += std::any_of(heads.begin(), heads.end(), [&](Pending* p) { return Pick(*p) != nullptr; });
+  Time OpensAt(const Endpoint& endpoint) const {
+    const Route& route = *endpoint.route;
+    if (endpoint.state == State::kDown) return std::max(route.wait_until, route.next_trial_at);
+    const double backlog = std::pow(std::max(1, endpoint.destination->waiting), FleetFactor());
+    const Time paused =
+        endpoint.destination->refused_at + Micros(Seconds(endpoint.destination->pause) / backlog);
+    const Time free = std::max(route.NextCallAt(now_, pace_, backlog), paused);
+    if (endpoint.state == State::kUp) return free;
+    return std::max(free, std::min(route.next_trial_at, endpoint.warm_at));
+  }
+  void MarkCancellable(Attempt& attempt) {
+    const auto it = messages_.find(attempt.key.first);
+    if (attempt.overdue_count == 0 || (it != messages_.end() && it->second.streaming)) return;
+    if (!std::exchange(attempt.cancellable, true)) cancellable_.insert({attempt.sent_at, attempt.key});
+  }
+  // Cancels overdue attempts, the oldest first, if other messages could use their slots. Without it,
+  // endpoints that don't answer could hold all slots. Drawback: an answer may be lost that would still have
+  // come, so this is done only if no slot is free.
+  void CancelOverdue() {
+    int wanted = -cancels_in_flight_;
+    for (const auto& [sort_key, id] : ready_) {
+      if (wanted >= static_cast<int>(cancellable_.size())) break;
+      const auto heads = QueueHeads(destinations_.at(id));
+      wanted += std::any_of(heads.begin(), heads.end(),
+                            [&](PendingMessage* pending) { return PickEndpoint(*pending) != nullptr; });
     }
-    for (; wanted > 0 && !stuck_.empty(); --wanted) {
-      const CallKey key = stuck_.begin()->second;
-      stuck_.erase(stuck_.begin());
-      called_off_ += 1;
+    for (; wanted > 0 && !cancellable_.empty(); --wanted) {
+      const AttemptKey key = cancellable_.begin()->second;
+      cancellable_.erase(cancellable_.begin());
+      cancels_in_flight_ += 1;
       actions_.push_back(Cancel{key.first, key.second});
     }
   }
-  // Near max_open, what is worth least and can't go now is refused while the client can still come again.
+  // Near max_open, refuses the waiting messages of least worth while their clients still have time to retry.
   bool Shed() {
-    const auto full = static_cast<std::size_t>(std::max(1.0, kFullAt * s_.max_open));
-    const bool over = s_.max_open > 0 && messages_.size() > full;
-    while (over && messages_.size() > full && !sheddable_.empty()) GiveUp(*sheddable_.begin()->second);
+    const auto limit = static_cast<std::size_t>(std::max(1.0, kSheddingThreshold * settings_.max_open));
+    const bool over = settings_.max_open > 0 && messages_.size() > limit;
+    while (over && messages_.size() > limit && !sheddable_.empty()) GiveUp(*sheddable_.begin()->second);
     return over;
   }
-  double WorthOf(const Message& m) {
-    const double worth = ClassOf(m).worth;
-    const auto t = static_cast<std::size_t>(m.tenant);
-    if (m.tenant < 0 || t >= shares_.size() || shares_[t].per_s <= 0) return worth;
-    return shares_[t].Take(now_) ? worth : worth * s_.over_share_worth;
+  double WorthOf(const Message& message) {
+    const double worth = ClassOf(message).worth;
+    const auto tenant = static_cast<std::size_t>(message.tenant);
+    if (message.tenant < 0 || tenant >= tenant_quotas_.size() || tenant_quotas_[tenant].per_s <= 0)
+      return worth;
+    return tenant_quotas_[tenant].Take(now_) ? worth : worth * settings_.over_quota_worth_factor;
   }
 
   // ---- events ----
-  // The simulator answers each call by one event and tells the end of a subscription by kFailed; the relay on
-  // sockets asks by itself and is not told by this.
-  void StepList(const ListSubscription::Event& event) {
-    if (!s_.list_must_be_asked_for) return;
-    for (const ListSubscription::Call& call : list_.Step(now_, event)) {
-      list_call_ = call.number;
-      actions_.push_back(WatchList{});
+  // Used with the simulator, which answers each call by one event and reports the end of a subscription by
+  // kFailed. The relay on sockets calls discovery by itself and does not set must_request_list.
+  void StepListSubscription(const ListSubscription::Event& event) {
+    if (!settings_.must_request_list) return;
+    for (const ListSubscription::Call& list_call : list_subscription_.Step(now_, event)) {
+      list_call_ = list_call.number;
+      actions_.push_back(SubscribeToList{});
     }
     ClearAlarm(list_alarm_);
-    if (list_.alarm() != Time::max()) SetAlarm(list_alarm_, list_.alarm(), std::monostate());
+    if (list_subscription_.alarm() != Time::max())
+      SetAlarm(list_alarm_, list_subscription_.alarm(), std::monostate());
   }
   void On(const ListUpdate& update) {
-    if (update.scope == ListScope::kFailed) return StepList(ListSubscription::Failed{list_call_});
-    if (update.scope != ListScope::kRemembered) StepList(ListSubscription::Heard{list_call_});
-    for (auto& [id, e] : endpoints_) {
+    if (update.scope == ListScope::kFailed) return StepListSubscription(ListSubscription::Failed{list_call_});
+    if (update.scope != ListScope::kRemembered) StepListSubscription(ListSubscription::Received{list_call_});
+    for (auto& [id, endpoint] : endpoints_) {
       if (update.scope == ListScope::kChanges) break;
-      e.listed = false;
-      Touch(*e.home);
+      endpoint.listed = false;
+      Touch(*endpoint.destination);
     }
-    for (const EndpointInfo& info : update.endpoints) Adopt(info);
+    for (const EndpointInfo& info : update.endpoints) AddOrUpdate(info);
   }
-  void Adopt(const EndpointInfo& info) {
+  void AddOrUpdate(const EndpointInfo& info) {
     const auto [it, is_new] = endpoints_.try_emplace(info.id);
-    Endpoint& e = it->second;
-    if (!is_new) Detach(e);
-    const bool back = !is_new && info.lifecycle == Lifecycle::kUp && e.info.lifecycle == Lifecycle::kDraining;
-    e.info = info;
-    e.listed = info.lifecycle != Lifecycle::kRemoved;
-    Destination& d = Home(info.destination);
-    const auto later = [](const Endpoint* a, const Endpoint* b) { return a->info.id < b->info.id; };
-    d.endpoints.insert(std::upper_bound(d.endpoints.begin(), d.endpoints.end(), &e, later), &e);
-    e.home = &d;
-    d.weight += info.weight;
-    e.draw = Draw(info.id);
-    e.route = &d.routes[KindOf(info).routes_apart ? info.id : EndpointId()];
-    e.route->endpoints += 1;
-    e.route->calls += e.calls;
-    if (s_.weights != WeightMeaning::kNone) e.route->told_limit = info.weight;
-    SetTurns(e);
-    // New to a destination that is out or cold, or where messages wait: cold, else it gets the backlog at
-    // once. So is one that drained and takes calls again. Harm: a sound one is fed slowly.
-    if (back || (is_new && (d.waiting > 0 || now_ < e.route->cold_until))) e.state = State::kCold;
-    if (is_new || back) e.cold_since = now_;
-    if (is_new || back) e.warm_by = now_ + s_.cold;
-    Touch(d);
-  }
-  // Weighted rendezvous: each endpoint is first for its part of the senders; one more moves its part only.
-  double Draw(const EndpointId& id) const {
-    std::uint64_t h = 0x9e3779b97f4a7c15 * static_cast<std::uint64_t>(s_.rank + 1);
-    for (const char c : id) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3;
-    for (const int by : {30, 27}) h = (h ^ (h >> by)) * 0xbf58476d1ce4e5b9;
-    return -std::log((static_cast<double>((h ^ (h >> 31)) >> 11) + 0.5) * 0x1p-53);
-  }
-  void Detach(Endpoint& e) {
-    std::erase(e.home->endpoints, &e);
-    e.home->weight -= e.info.weight;
-    e.route->endpoints -= 1;
-    e.route->calls -= e.calls;
-    Touch(*e.home);
-  }
-  void On(const Message& m) {
-    if (messages_.count(m.id) > 0) return;
-    const auto c = static_cast<std::size_t>(m.message_class);
-    const bool known = m.message_class >= 0 && c < s_.classes.size();
-    if (!known || m.expires_in <= 0us) {
-      return actions_.push_back(m.history.may_have_run ? Action(Fail{m.id}) : Action(Refuse{m.id, 0us}));
+    Endpoint& endpoint = it->second;
+    if (!is_new) Detach(endpoint);
+    const bool back =
+        !is_new && info.lifecycle == Lifecycle::kUp && endpoint.info.lifecycle == Lifecycle::kDraining;
+    endpoint.info = info;
+    endpoint.listed = info.lifecycle != Lifecycle::kRemoved;
+    Destination& destination = DestinationFor(info.destination);
+    const auto later = [](const Endpoint* left, const Endpoint* right) {
+      return left->info.id < right->info.id;
+    };
+    destination.endpoints.insert(
+        std::upper_bound(destination.endpoints.begin(), destination.endpoints.end(), &endpoint, later),
+        &endpoint);
+    endpoint.destination = &destination;
+    destination.weight += info.weight;
+    endpoint.rendezvous_cost = RendezvousCost(info.id);
+    endpoint.route = &destination.routes[KindOf(info).separate_routes ? info.id : EndpointId()];
+    endpoint.route->endpoints += 1;
+    endpoint.route->calls_in_flight += endpoint.calls_in_flight;
+    if (settings_.weights != WeightMeaning::kNone) endpoint.route->announced_limit_per_s = info.weight;
+    UpdateIntervals(endpoint);
+    // An endpoint that is new to a destination that is down or cold, or that has messages waiting, starts
+    // cold; else it would get the whole backlog at once. The same holds for one that drained and is up again.
+    // Drawback: a healthy endpoint gets calls slowly.
+    if (back || (is_new && (destination.waiting > 0 || now_ < endpoint.route->cold_until)))
+      endpoint.state = State::kCold;
+    if (is_new || back) endpoint.cold_since = now_;
+    if (is_new || back) endpoint.warm_at = now_ + settings_.warm_up;
+    Touch(destination);
+  }
+  // Weighted rendezvous hashing: each endpoint is the first choice of its share of the senders, and a new
+  // endpoint changes the choice of its own share only.
+  double RendezvousCost(const EndpointId& id) const {
+    std::uint64_t hash = 0x9e3779b97f4a7c15 * static_cast<std::uint64_t>(settings_.rank + 1);
+    for (const char character : id) hash = (hash ^ static_cast<unsigned char>(character)) * 0x100000001b3;
+    for (const int shift : {30, 27}) hash = (hash ^ (hash >> shift)) * 0xbf58476d1ce4e5b9;
+    return -std::log((static_cast<double>((hash ^ (hash >> 31)) >> 11) + 0.5) * 0x1p-53);
+  }
+  void Detach(Endpoint& endpoint) {
+    std::erase(endpoint.destination->endpoints, &endpoint);
+    endpoint.destination->weight -= endpoint.info.weight;
+    endpoint.route->endpoints -= 1;
+    endpoint.route->calls_in_flight -= endpoint.calls_in_flight;
+    Touch(*endpoint.destination);
+  }
+  void On(const Message& message) {
+    if (messages_.count(message.id) > 0) return;
+    const auto class_index = static_cast<std::size_t>(message.message_class);
+    const bool valid_class = message.message_class >= 0 && class_index < settings_.classes.size();
+    if (!valid_class || message.expires_in <= 0us) {
+      return actions_.push_back(message.history.may_have_run ? Action(Fail{message.id})
+                                                             : Action(Refuse{message.id, 0us}));
     }
-    Pending& p = messages_[m.id];
-    p.m = m;
-    p.seq = ++last_seq_;
-    p.home = &Home(m.destination);
-    p.home->held += 1;
-    if (!m.again) arrivals_.Add(now_);
-    if (!m.again) p.home->arrivals.Add(now_);
-    p.ends_at = now_ + m.expires_in;
-    p.aim_at = p.ends_at - (s_.classes[c].deadline - s_.classes[c].aim);
-    p.worth = WorthOf(m);
-    if (Ordered(m)) keys_[m.key].line.push_back(m.id);
-    m.history.sends > 0 ? Restore(p) : Hold(p);
-  }
-  // Sent by an earlier life: the same rules. Its repeat costs a token, but for one that has drawn it already.
-  void Restore(Pending& p) {
-    const History& h = p.m.history;
-    p.sends = h.sends;
-    p.may_have_run = h.may_have_run;
-    p.first_risk_at = now_ - h.since_risk;
-    p.risk_zone = h.risk_zone;
+    PendingMessage& pending = messages_[message.id];
+    pending.message = message;
+    pending.sequence = ++last_sequence_;
+    pending.destination = &DestinationFor(message.destination);
+    pending.destination->held += 1;
+    if (!message.resubmitted) arrivals_.Add(now_);
+    if (!message.resubmitted) pending.destination->arrivals.Add(now_);
+    pending.ends_at = now_ + message.expires_in;
+    pending.aim_at =
+        pending.ends_at - (settings_.classes[class_index].deadline - settings_.classes[class_index].aim);
+    pending.worth = WorthOf(message);
+    if (IsOrdered(message)) key_queues_[message.key].messages.push_back(message.id);
+    message.history.sends > 0 ? Restore(pending) : Hold(pending);
+  }
+  // For a message that an earlier process has sent, under the same rules. The repeat costs a token, unless
+  // the earlier process has taken it already.
+  void Restore(PendingMessage& pending) {
+    const History& history = pending.message.history;
+    pending.sends = history.sends;
+    pending.may_have_run = history.may_have_run;
+    pending.first_risk_at = now_ - history.since_risk;
+    pending.risk_zone = history.risk_zone;
     Route unlisted;
-    const auto last = endpoints_.find(h.last_endpoint);
-    if (h.out && last != endpoints_.end()) {  // sent already: all but the action
-      p.sends -= 1;
-      TakeUp(last->second);
-      SendTo(p, last->second, false);
-      Call& call = calls_.at({p.m.id, h.sends - 1});
-      call.sent_at = now_ - h.since_sent;
-      SetAlarm(call.alarm, std::max(now_, call.sent_at + call.allowed), &call);
+    const auto last = endpoints_.find(history.last_endpoint);
+    if (history.in_flight &&
+        last != endpoints_.end()) {  // already sent: all is recorded, but the Send is taken back
+      pending.sends -= 1;
+      CountCall(last->second);
+      SendMessage(pending, last->second, false);
+      Attempt& attempt = attempts_.at({pending.message.id, history.sends - 1});
+      attempt.sent_at = now_ - history.since_sent;
+      SetAlarm(attempt.alarm, std::max(now_, attempt.sent_at + attempt.overdue_after), &attempt);
       return actions_.pop_back();
     }
-    RepeatOrEnd(p, last == endpoints_.end() || !h.may_have_run ? unlisted : *last->second.route);
+    RetryOrEnd(pending, last == endpoints_.end() || !history.may_have_run ? unlisted : *last->second.route);
   }
-  void On(const Withdrawn& w) {
-    const auto it = messages_.find(w.id);
+  void On(const Withdrawn& withdrawn) {
+    const auto it = messages_.find(withdrawn.id);
     if (it == messages_.end()) return;
-    const Pending& p = it->second;
-    if (p.out && s_.may_cancel && !p.streaming) actions_.push_back(Cancel{w.id, p.sends - 1});
-    Forget(w.id);
+    const PendingMessage& pending = it->second;
+    if (pending.in_flight && settings_.may_cancel && !pending.streaming)
+      actions_.push_back(Cancel{withdrawn.id, pending.sends - 1});
+    RemoveMessage(withdrawn.id);
   }
   void On(const StreamStarted& started) {
     if (messages_.count(started.id) > 0) messages_.at(started.id).streaming = true;
   }
   void On(const AttemptEnded& ended) {
-    const auto found = calls_.find({ended.id, ended.attempt});
-    if (found == calls_.end()) return;
-    const Call call = TakeOff(found->second);
-    Endpoint& e = *call.endpoint;
-    Learn(e, ended, call.sent_at, call.trial, false);
+    const auto found = attempts_.find({ended.id, ended.attempt});
+    if (found == attempts_.end()) return;
+    const Attempt attempt = RemoveAttempt(found->second);
+    Endpoint& endpoint = *attempt.endpoint;
+    RecordOutcome(endpoint, ended, attempt.sent_at, attempt.trial, false);
     const auto it = messages_.find(ended.id);
-    const Outcome o = ended.outcome;
-    if (o == Outcome::kServed) e.shunned.erase(call.message_class);
-    const bool failed = MayHaveRun(o) && o != Outcome::kServed && o != Outcome::kCancelled;
-    if (failed) e.shunned[call.message_class] = now_ + Drawn(kShun);
-    const bool may_still_run = o == Outcome::kTimedOut || o == Outcome::kReset || o == Outcome::kCancelled;
-    if (!call.order_key.empty() && may_still_run) {
-      keys_.at(call.order_key).rest_until = now_ + s_.order_settle;
+    const Outcome outcome = ended.outcome;
+    if (outcome == Outcome::kServed) endpoint.avoided_until.erase(attempt.message_class);
+    const bool failed = MayHaveRun(outcome) && outcome != Outcome::kServed && outcome != Outcome::kCancelled;
+    if (failed) endpoint.avoided_until[attempt.message_class] = now_ + Jittered(kClassAvoidTime);
+    const bool may_still_run =
+        outcome == Outcome::kTimedOut || outcome == Outcome::kReset || outcome == Outcome::kCancelled;
+    if (!attempt.order_key.empty() && may_still_run) {
+      key_queues_.at(attempt.order_key).blocked_until = now_ + settings_.order_settle;
     }
-    if (!call.order_key.empty() && it == messages_.end()) LeaveLine(call.order_key, ended.id);
+    if (!attempt.order_key.empty() && it == messages_.end()) RemoveFromKeyQueue(attempt.order_key, ended.id);
     if (it == messages_.end()) return;
-    Pending& p = it->second;
-    p.out = false;
-    if (ended.closed || p.streaming) return Forget(ended.id);
-    if (MayHaveRun(o) && !p.may_have_run) {
-      p.may_have_run = true;
-      p.first_risk_at = call.sent_at;
-      p.risk_zone = e.info.zone;
+    PendingMessage& pending = it->second;
+    pending.in_flight = false;
+    if (ended.closed || pending.streaming) return RemoveMessage(ended.id);
+    if (MayHaveRun(outcome) && !pending.may_have_run) {
+      pending.may_have_run = true;
+      pending.first_risk_at = attempt.sent_at;
+      pending.risk_zone = endpoint.info.zone;
     }
-    RepeatOrEnd(p, *e.route);
-  }
-  Call TakeOff(Call& call) {
-    Endpoint& e = *call.endpoint;
-    ClearAlarm(call.alarm);
-    if (call.stuck && stuck_.erase({call.sent_at, call.key}) == 0) called_off_ -= 1;
-    std::erase(e.out, &call);
-    if (--bundles_[call.bundle] == 0) {
-      bundles_.erase(call.bundle);
-      e.route->calls -= 1;
-      e.calls -= 1;
+    RetryOrEnd(pending, *endpoint.route);
+  }
+  Attempt RemoveAttempt(Attempt& attempt) {
+    Endpoint& endpoint = *attempt.endpoint;
+    ClearAlarm(attempt.alarm);
+    if (attempt.cancellable && cancellable_.erase({attempt.sent_at, attempt.key}) == 0)
+      cancels_in_flight_ -= 1;
+    std::erase(endpoint.attempts, &attempt);
+    if (--bundle_outcomes_[attempt.bundle_id] == 0) {
+      bundle_outcomes_.erase(attempt.bundle_id);
+      endpoint.route->calls_in_flight -= 1;
+      endpoint.calls_in_flight -= 1;
     }
-    const Call copy = call;
-    calls_.erase(copy.key);
+    const Attempt copy = attempt;
+    attempts_.erase(copy.key);
     return copy;
   }
-  static bool MayHaveRun(Outcome o) {
-    return o != Outcome::kRefused && o != Outcome::kNoConnection && o != Outcome::kNotSent;
+  static bool MayHaveRun(Outcome outcome) {
+    return outcome != Outcome::kRefused && outcome != Outcome::kNoConnection && outcome != Outcome::kNotSent;
   }
   template <typename Ended>
-  void Learn(Endpoint& e, const Ended& ended, Time sent_at, bool trial, bool probe) {
+  void RecordOutcome(Endpoint& endpoint, const Ended& ended, Time sent_at, bool trial, bool probe) {
     if (ended.allowance && ended.allowance->limit_per_s > 0) {
-      e.route->told_limit = ended.allowance->limit_per_s;
+      endpoint.route->announced_limit_per_s = ended.allowance->limit_per_s;
     }
-    const Outcome o = ended.outcome;
-    if (trial) e.trying = false;
-    if (o == Outcome::kNoConnection) e.unconnected_at = now_;
-    const bool soon = o == Outcome::kServed && now_ - e.unconnected_at <= kCrowdedWithin;
-    if (soon && e.strikes <= kCrowdedStrikes && sent_at >= e.unconnected_at) crowded_[e.info.kind].Add(now_);
-    e.second_look = e.second_look && soon;
-    if (probe && o != Outcome::kServed) e.strikes += 1;
-    if (o == Outcome::kServed) {
-      NoteServed(e, ended.latency, probe);
-    } else if (o == Outcome::kRefused) {
-      NoteRefused(e, ended.told_wait, sent_at);
-    } else if (!probe && o != Outcome::kCancelled && o != Outcome::kNotSent) {
-      if (e.state != State::kDown || trial) NoteFailed(e, o);
+    const Outcome outcome = ended.outcome;
+    if (trial) endpoint.trial_in_flight = false;
+    if (outcome == Outcome::kNoConnection) endpoint.connect_failed_at = now_;
+    const bool served_soon =
+        outcome == Outcome::kServed && now_ - endpoint.connect_failed_at <= kServedSoonAfterConnectFailure;
+    if (served_soon && endpoint.consecutive_failures <= kMaxConnectFailures &&
+        sent_at >= endpoint.connect_failed_at)
+      exhausted_counts_[endpoint.info.kind].Add(now_);
+    endpoint.single_connect_failure = endpoint.single_connect_failure && served_soon;
+    if (probe && outcome != Outcome::kServed) endpoint.consecutive_failures += 1;
+    if (outcome == Outcome::kServed) {
+      RecordServed(endpoint, ended.latency, probe);
+    } else if (outcome == Outcome::kRefused) {
+      RecordRefusal(endpoint, ended.retry_after, sent_at);
+    } else if (!probe && outcome != Outcome::kCancelled && outcome != Outcome::kNotSent) {
+      if (endpoint.state != State::kDown || trial) RecordFailure(endpoint, outcome);
     }
-    if (e.calls == 0 && Crowded(e)) actions_.push_back(CloseIdle{e.info.id});
-    Touch(*e.home);
+    if (endpoint.calls_in_flight == 0 && ConnectionsExhausted(endpoint))
+      actions_.push_back(CloseIdle{endpoint.info.id});
+    Touch(*endpoint.destination);
   }
   void On(const ProbeEnded& ended) {
     const auto it = endpoints_.find(ended.endpoint);
-    if (it != endpoints_.end()) Learn(it->second, ended, now_ - ended.latency, true, true);
+    if (it != endpoints_.end()) RecordOutcome(it->second, ended, now_ - ended.latency, true, true);
   }
-  void On(const NewSettings& n) {
-    s_ = n.settings;
-    for (auto& [id, d] : destinations_) d.lanes.resize(s_.classes.size() * 2), Touch(d);
+  void On(const NewSettings& update) {
+    settings_ = update.settings;
+    for (auto& [id, destination] : destinations_)
+      destination.queues.resize(settings_.classes.size() * 2), Touch(destination);
   }
-  // What waited for the list may go once it is valid again.
+  // Messages that waited for the list may be sent when it is valid again.
   void On(const ListValidity& validity) {
     const bool was_valid = ListValid();
     list_valid_until_ = validity.until;
     if (was_valid || !ListValid()) return;
-    for (auto& [id, d] : destinations_) Touch(d);
-  }
-  void On(const ToldWait& told) {
-    const auto it = endpoints_.find(told.endpoint);
-    if (it == endpoints_.end() || told.until <= it->second.route->wait_until) return;
-    Endpoint& e = it->second;
-    e.route->wait_until = told.until;
-    if (told.until - now_ > kGapMax) ShutUntilWaitEnds(*e.route, *e.home);
-    Touch(*e.home);
-  }
-  void On(const Belief& b) {
-    const auto it = endpoints_.find(b.endpoint);
+    for (auto& [id, destination] : destinations_) Touch(destination);
+  }
+  void On(const RetryAfterReceived& received) {
+    const auto it = endpoints_.find(received.endpoint);
+    if (it == endpoints_.end() || received.until <= it->second.route->wait_until) return;
+    Endpoint& endpoint = it->second;
+    endpoint.route->wait_until = received.until;
+    if (received.until - now_ > kGapMax) GoDownUntilWaitEnds(*endpoint.route, *endpoint.destination);
+    Touch(*endpoint.destination);
+  }
+  void On(const Belief& belief) {
+    const auto it = endpoints_.find(belief.endpoint);
     if (it == endpoints_.end()) return;
-    static_cast<EndpointBelief&>(it->second) = b.health;
-    if (b.health.warm_by == 0us) it->second.warm_by = b.health.cold_since + s_.cold;  // not told
-    static_cast<RouteBelief&>(*it->second.route) = b.route;
-    Touch(*it->second.home);
-  }
-  void On(const auto&) {}  // notes of peers and timers tell nothing else
-
-  // Drops what left the list and carries nothing; a told wait and the memory of an outage last their time.
-  void DropIdle() {
-    for (Destination* d : std::exchange(touched_, {})) {
-      for (Endpoint* e : std::vector(d->endpoints)) {
-        if (e->listed || e->calls > 0 || e->trying) continue;
-        Detach(*e);
-        endpoints_.erase(EndpointId(e->info.id));
+    static_cast<EndpointBelief&>(it->second) = belief.health;
+    if (belief.health.warm_at == 0us)
+      it->second.warm_at =
+          belief.health.cold_since + settings_.warm_up;  // from a process that did not give it
+    static_cast<RouteBelief&>(*it->second.route) = belief.route;
+    Touch(*it->second.destination);
+  }
+  void On(const auto&) {}  // data of peers and timers is not used
+
+  // Removes endpoints that left the list and have no call in flight, and destinations without endpoints and
+  // messages. Requested waits and outages are remembered until they end.
+  void RemoveUnused() {
+    for (Destination* destination : std::exchange(touched_, {})) {
+      for (Endpoint* endpoint : std::vector(destination->endpoints)) {
+        if (endpoint->listed || endpoint->calls_in_flight > 0 || endpoint->trial_in_flight) continue;
+        Detach(*endpoint);
+        endpoints_.erase(EndpointId(endpoint->info.id));
       }
-      d->touched = false;
-      Time kept = Time::min();
-      for (const auto& [id, r] : d->routes) kept = std::max(kept, r.KeptUntil());
-      std::erase_if(d->routes, [this](const auto& r) { return r.second.KeptUntil() <= now_; });
-      if (d->held > 0 || !d->endpoints.empty()) continue;
-      ClearAlarm(d->alarm);
-      if (kept > now_) SetAlarm(d->alarm, kept, d);
-      if (kept <= now_) destinations_.erase(DestinationId(d->id));
+      destination->touched = false;
+      Time remembered_until = Time::min();
+      for (const auto& [id, route] : destination->routes)
+        remembered_until = std::max(remembered_until, route.RememberedUntil());
+      std::erase_if(destination->routes,
+                    [this](const auto& route) { return route.second.RememberedUntil() <= now_; });
+      if (destination->held > 0 || !destination->endpoints.empty()) continue;
+      ClearAlarm(destination->alarm);
+      if (remembered_until > now_) SetAlarm(destination->alarm, remembered_until, destination);
+      if (remembered_until <= now_) destinations_.erase(DestinationId(destination->id));
     }
   }
 
-  Settings s_;
+  Settings settings_;
   std::mt19937_64 random_;
   std::optional<Time> started_at_;
-  double pace_ = 1;               // times all turns
-  Count arrivals_;                // of all destinations
-  std::map<int, Count> crowded_;  // by kind
+  double pace_ = 1;                                // a factor on all intervals
+  DecayingCount arrivals_;                         // for all destinations
+  std::map<int, DecayingCount> exhausted_counts_;  // by kind; see ConnectionsExhausted()
   Time now_{0};
   std::vector<Action> actions_;
-  Agenda agenda_;
-  Time timer_at_ = Time::max();  // the earliest that is set
+  Schedule schedule_;
+  Time timer_at_ = Time::max();  // the earliest timer that was asked for
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<DestinationId, Destination> destinations_;
-  std::map<MessageId, Pending> messages_;
-  std::map<CallKey, Call> calls_;
-  std::map<std::uint64_t, int> bundles_;  // outcomes still to come of each call out
-  std::map<std::string, KeyLine> keys_;
-  std::vector<Destination*> touched_;                // in this step
-  std::set<std::pair<Order, DestinationId>> ready_;  // may be able to send; first in order first
-  std::map<Order, Pending*> sheddable_;              // held, and never can have run
-  std::set<std::pair<Time, CallKey>> stuck_;         // calls that may be called off
-  int called_off_ = 0;                               // calls out
-  std::vector<Share> shares_;
-  ListSubscription list_;
+  std::map<MessageId, PendingMessage> messages_;
+  std::map<AttemptKey, Attempt> attempts_;
+  std::map<std::uint64_t, int> bundle_outcomes_;  // by call in flight: the number of outcomes still to come
+  std::map<std::string, KeyQueue> key_queues_;
+  std::vector<Destination*> touched_;                  // in this step
+  std::set<std::pair<SortKey, DestinationId>> ready_;  // may be able to send; ordered by their first message
+  std::map<SortKey, PendingMessage*> sheddable_;       // waiting messages that certainly never ran
+  std::set<std::pair<Time, AttemptKey>> cancellable_;  // attempts that may be cancelled
+  int cancels_in_flight_ = 0;                          // attempts that were cancelled and have not ended
+  std::vector<TenantQuota> tenant_quotas_;
+  ListSubscription list_subscription_;
   Time list_valid_until_ = Time::max();
-  ListSubscription::CallNumber list_call_ = 0;  // the last one
+  ListSubscription::CallNumber list_call_ = 0;  // the last call
   Alarm list_alarm_;
-  std::int64_t last_seq_ = 0;
+  std::int64_t last_sequence_ = 0;
   std::uint64_t last_bundle_ = 0;
 };
 
--- a/src/handover/record.cpp
+++ b/src/handover/record.cpp
@@ -37,29 +37,29 @@
   return {b.endpoint,
           r.tokens,
           r.gap.count(),
-          r.next_send.count(),
+          r.next_send_at.count(),
           r.wait_until.count(),
-          r.told_turn.count(),
-          r.turn.count(),
-          r.next_turn.count(),
-          r.widened_at.count(),
-          r.told_limit,
+          r.announced_interval.count(),
+          r.call_interval.count(),
+          r.last_call_at.count(),
+          r.gap_widened_at.count(),
+          r.announced_limit_per_s,
           r.down_since.count(),
           r.backoff.count(),
           r.cold_until.count(),
-          r.next_in_trouble.count(),
+          r.next_trial_at.count(),
           h.latency_s,
-          h.last_served.count(),
-          h.unconnected_at.count(),
-          h.served_sent.count(),
+          h.last_served_at.count(),
+          h.connect_failed_at.count(),
+          h.last_served_sent_at.count(),
           static_cast<int>(h.state),
-          h.strikes,
-          h.failing,
-          h.eats,
-          h.second_look,
+          h.consecutive_failures,
+          h.failure_rate,
+          h.failure_may_have_run,
+          h.single_connect_failure,
           h.cold_since.count(),
           h.failed_at.count(),
-          h.warm_by.count()};
+          h.warm_at.count()};
 }
 wheathub::Belief BeliefOf(const Json& j) {
   wheathub::Belief b;
@@ -69,20 +69,21 @@
   const auto next = [&]() -> const Json& { return j.at(at++); };
   b.endpoint = next();
   r.tokens = next();
-  for (Time* t : {&r.gap, &r.next_send, &r.wait_until, &r.told_turn, &r.turn, &r.next_turn, &r.widened_at}) {
+  for (Time* t : {&r.gap, &r.next_send_at, &r.wait_until, &r.announced_interval, &r.call_interval,
+                  &r.last_call_at, &r.gap_widened_at}) {
     *t = TimeOf(next());
   }
-  r.told_limit = next();
-  for (Time* t : {&r.down_since, &r.backoff, &r.cold_until, &r.next_in_trouble}) *t = TimeOf(next());
+  r.announced_limit_per_s = next();
+  for (Time* t : {&r.down_since, &r.backoff, &r.cold_until, &r.next_trial_at}) *t = TimeOf(next());
   h.latency_s = next();
-  for (Time* t : {&h.last_served, &h.unconnected_at, &h.served_sent}) *t = TimeOf(next());
+  for (Time* t : {&h.last_served_at, &h.connect_failed_at, &h.last_served_sent_at}) *t = TimeOf(next());
   h.state = static_cast<wheathub::State>(next().get<int>());
-  h.strikes = next();
-  h.failing = next();
-  h.eats = next();
-  h.second_look = next();
+  h.consecutive_failures = next();
+  h.failure_rate = next();
+  h.failure_may_have_run = next();
+  h.single_connect_failure = next();
   for (Time* t : {&h.cold_since, &h.failed_at}) *t = TimeOf(next());
-  if (at < j.size()) h.warm_by = TimeOf(next());  // an older process lacks it
+  if (at < j.size()) h.warm_at = TimeOf(next());  // an older process lacks it
   return b;
 }
 
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -58,13 +58,13 @@
            const model::TellList& known)
     : options_(options),
       around_(around),
-      list_({.pushed = !settings.list_must_be_asked_for,
+      list_({.pushed_by_agent = !settings.must_request_list,
              .senders = settings.senders,
-             .failures_are_told = false},
+             .failures_are_reported = false},
             ~options.seed),
       list_calls_before_(options.list_calls_before) {
   std::vector<bool> apart;
-  for (const auto& kind : settings.kinds) apart.push_back(kind.routes_apart);
+  for (const auto& kind : settings.kinds) apart.push_back(kind.separate_routes);
   hosts_.SetKinds(std::move(apart));
   std::filesystem::create_directories(options_.folder);
   journal_ = std::make_unique<journal::Journal>(options_.folder, options_.disk_bytes);
@@ -390,7 +390,7 @@
   if (call <= list_calls_before_) return;
   TellLease(wheathub::ListLease::Confirmed{});
   list_calls_begun_.clear();
-  StepList(wheathub::ListSubscription::Heard{NumberOf(call)});
+  StepList(wheathub::ListSubscription::Received{NumberOf(call)});
 }
 
 void Node::TellLease(const wheathub::ListLease::Event& event) {
@@ -408,7 +408,7 @@
 
 void Node::StepList(const wheathub::ListSubscription::Event& event) {
   for (const auto& call : list_.Step(Now(), event)) {
-    if (call.gives_up) around_.Tell(model::WatchEnded{options_.number, CallOf(*call.gives_up)});
+    if (call.replaced_call) around_.Tell(model::WatchEnded{options_.number, CallOf(*call.replaced_call)});
     if (list_.subscription() != 0) TellLease(wheathub::ListLease::SubscriptionBroken{});
     list_calls_begun_[call.number] = Now();
     around_.Tell(model::ListWanted{options_.number, CallOf(call.number), version_});
--- a/src/list_lease.cpp
+++ b/src/list_lease.cpp
@@ -5,18 +5,19 @@
 
 namespace wheathub {
 
-ListLease::Event ListLease::Refused(Time begun, Time now) {
-  return now - begun > kAtOnce ? Event(RefusedLate{begun}) : Event(RefusedAtOnce{});
+ListLease::Event ListLease::Refused(Time call_started_at, Time now) {
+  return now - call_started_at > kImmediateRefusal ? Event(RefusedLate{call_started_at})
+                                                   : Event(RefusedImmediately{});
 }
 
 ListLease::Time ListLease::Step(Time now, const Event& event) {
-  std::visit([&](const auto& e) { On(now, e); }, event);
+  std::visit([&](const auto& typed_event) { On(now, typed_event); }, event);
   return valid_until_;
 }
 
 void ListLease::On(Time now, const Inherited& inherited) {
-  const bool told = inherited.valid_until > Time(0);
-  valid_until_ = std::min(told ? inherited.valid_until : now + kInheritedFor, now + kConfirmedFor);
+  const bool known = inherited.valid_until > Time(0);
+  valid_until_ = std::min(known ? inherited.valid_until : now + kInheritedFor, now + kConfirmedFor);
 }
 
 void ListLease::On(Time now, const Started&) {
@@ -24,7 +25,7 @@
   outage_possible_ = true;
 }
 
-// That an outage began is seen by a subscription that ends, so none is known of while one stands.
+// The start of an outage ends the subscription, so there is no sign of one while the subscription lasts.
 void ListLease::On(Time now, const Confirmed&) {
   valid_until_ = now + kConfirmedFor;
   subscribed_ = true;
@@ -37,7 +38,7 @@
   outage_possible_ = false;
 }
 
-// One that was silent before tells nothing by its end.
+// The end of a subscription that was silent before says nothing about discovery.
 void ListLease::On(Time, const SubscriptionEnded&) {
   if (std::exchange(subscribed_, false)) outage_possible_ = true;
 }
@@ -48,7 +49,7 @@
 }
 
 void ListLease::On(Time, const RefusedLate& refused) {
-  if (outage_possible_) Extend(refused.begun + kUnreachableFor);
+  if (outage_possible_) Extend(refused.call_started_at + kUnreachableFor);
 }
 
 void ListLease::Extend(Time until) { valid_until_ = std::max(valid_until_, until); }
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -41,7 +41,7 @@
     if (entry.message.rules && !entry.ending) classes.NumberOf(*entry.message.rules);
   }
   settings.classes = classes.all();
-  settings.list_must_be_asked_for = false;  // not by the module: see Do(WatchList)
+  settings.must_request_list = false;  // not by the module: see Do(SubscribeToList)
   return settings;
 }
 
@@ -52,7 +52,7 @@
   for (const auto& [id, fresh] : fresh_) held.insert(ClassOf(fresh.message));
   classes_.Renew(settings.classes, held);
   settings.classes = classes_.all();
-  settings.list_must_be_asked_for = false;
+  settings.must_request_list = false;
   settings_ = settings;
   Queue(wheathub::NewSettings{std::move(settings)});
 }
@@ -111,9 +111,9 @@
     }
     counters_.recovered += 1;
     wheathub::Message message = MessageOf(entry);
-    message.history.kept = true;
+    message.history.recovered = true;
     if (const auto it = out.find(id); it != out.end() && entry.open) {
-      message.history.out = true;
+      message.history.in_flight = true;
       message.history.since_sent = sides_.clock.Now() - it->second;
       // Its time is up, and it can't be said that it never ran.
       if (message.expires_in <= Time(0)) message.history.may_have_run = true;
@@ -134,7 +134,7 @@
   m.message_class = ClassOf(a);
   m.destination = a.destination;
   m.expires_in = a.ends_at - sides_.clock.UnixNow();
-  m.again = a.again;
+  m.resubmitted = a.again;
   m.history.sends = entry.attempts;
   m.history.last_endpoint = entry.last_host;
   if (entry.first_risk) {
@@ -433,7 +433,7 @@
   ended.outcome = end.outcome;
   ended.latency = sides_.clock.Now() - out.begun;
   ended.closed = over;
-  ended.told_wait = end.told_wait;
+  ended.retry_after = end.told_wait;
   Queue(std::move(ended));
 }
 
@@ -500,7 +500,9 @@
   sides_.endpoints.Adopt(change);
 }
 
-void Relay::HostToldWait(const std::string& host, Time until) { Queue(wheathub::ToldWait{host, until}); }
+void Relay::HostToldWait(const std::string& host, Time until) {
+  Queue(wheathub::RetryAfterReceived{host, until});
+}
 
 void Relay::ListValidUntil(Time moment) {
   sides_.endpoints.ListValidUntil(moment);
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -137,11 +137,11 @@
   void Do(const wheathub::SetTimer& timer);
   void Do(const wheathub::CloseIdle& close) { sides_.endpoints.CloseIdle(close.endpoint); }
   // Whoever brings RoutingChanged asks for the list: the module is told that lists come by themselves.
-  void Do(const wheathub::WatchList&) {}
+  void Do(const wheathub::SubscribeToList&) {}
   void Do(const wheathub::FetchList&) {}
   void Do(const wheathub::Log& log);
   void Do(const wheathub::Probe& probe);
-  void Do(const wheathub::TellPeers&) {}  // peers are out of reach here; the settings never allow it
+  void Do(const wheathub::SendToPeers&) {}  // peers are out of reach here; the settings never allow it
 
   static wheathub::Settings Merged(wheathub::Settings settings, Classes& classes,
                                    const journal::Journal& journal);
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -31,7 +31,7 @@
       leaving_over_(loop, [this] { CloseLeaving(); }),
       behind_(loop, [this] {
         revision_ = 0;
-        Tell(Subscription::Distrusted{});
+        Tell(Subscription::ResyncRequired{});
       }) {}
 
 void Discovery::Start(const Subscription::Options& options, std::uint64_t seed,
@@ -151,9 +151,9 @@
   if (const Call* const vain = ConnectsInVain()) {
     TellLease(wheathub::ListLease::Unreachable{}, HeardOn(*vain));
   }
-  if (call.gives_up) {
+  if (call.replaced_call) {
     counters_.list_failures += 1;
-    Drop(*call.gives_up, CallEnd::kGivenUp);
+    Drop(*call.replaced_call, CallEnd::kGivenUp);
   }
   counters_.watches += 1;
   std::cout << "list: call " << call.number << " to " << place_.host << " from version " << revision_
@@ -207,7 +207,7 @@
   const Call* const heard = Find(number);
   TellLease(wheathub::ListLease::Confirmed{}, heard == nullptr ? net::Loop::Now() : HeardOn(*heard));
   const Number before = subscription_->subscription();
-  Tell(Subscription::Heard{number});
+  Tell(Subscription::Received{number});
   if (before == number || subscription_->subscription() != number) return;
   auto others = std::partition(calls_.begin(), calls_.end(),
                                [number](const auto& call) { return call->number() == number; });
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -177,7 +177,7 @@
   m.destination = static_cast<DestinationId>(std::llround(line.Number("to-exchange")));
   if (const std::string* key = line.Find("name-key")) m.key = *key;
   m.expires_in = line.Seconds("expires-in-s");
-  m.again = line.Flag("reconnect") || line.Flag("resent");
+  m.resubmitted = line.Flag("reconnect") || line.Flag("resent");
   return m;
 }
 
@@ -189,7 +189,7 @@
   e.outcome = ReadOutcome(line);
   e.latency = line.SecondsOr("delay-seen-s", Time(0));
   e.closed = line.Flag("closed");
-  e.told_wait = ReadWait(line, e.outcome);
+  e.retry_after = ReadWait(line, e.outcome);
   e.allowance = ReadAllowance(line, names);
   return e;
 }
@@ -199,7 +199,7 @@
   e.endpoint = line.Text("receiver");
   e.outcome = ReadOutcome(line);
   e.latency = line.SecondsOr("delay-seen-s", Time(0));
-  e.told_wait = ReadWait(line, e.outcome);
+  e.retry_after = ReadWait(line, e.outcome);
   e.allowance = ReadAllowance(line, names);
   return e;
 }
@@ -254,7 +254,7 @@
   s->max_attempts = limits.value("send-cap", 0);
   s->may_cancel = limits.value("cancel", false);
   s->may_probe = limits.value("probing", false);
-  s->may_tell_peers = limits.value("peers", false);
+  s->may_message_peers = limits.value("peers", false);
   s->may_give_retry_after = limits.value("retry-after", false);
   s->max_retry_after = JsonSeconds(limits, "max-retry-after-s");
   s->connect_timeout = JsonSeconds(limits, "connect-timeout-s");
@@ -262,8 +262,8 @@
 }
 
 void ReadRules(const Json& rules, Settings* s) {
-  s->cold_from = rules.value("cold-from", 1.0);
-  s->cold = JsonSeconds(rules, "cold-s");
+  s->warm_up_start_share = rules.value("cold-from", 1.0);
+  s->warm_up = JsonSeconds(rules, "cold-s");
   s->drain_grace = JsonSeconds(rules, "drain-grace-s");
   s->ask_within = JsonSeconds(rules, "ask-within-s");
   s->order_settle = JsonSeconds(rules, "order-settle-s");
@@ -274,13 +274,13 @@
 
 void ReadFamily(const Json& info, std::size_t kinds, Settings* s) {
   s->slots = info.value("calls-out", 0);
-  s->decay = info.value("decay", "even") == "by_half" ? Decay::kByHalf : Decay::kEven;
+  s->decay = info.value("decay", "even") == "by_half" ? Decay::kExponential : Decay::kLinear;
   s->refused_price = std::max(0.0, info.value("refused-price", 0.0));
   s->zone_fee = info.value("carriage", std::vector<double>());
   const auto apart = info.value("kind-apart", std::vector<bool>());
   const auto bundle = info.value("bundle-max", std::vector<int>());
   s->kinds.resize(std::max({kinds, apart.size(), bundle.size()}));
-  for (std::size_t i = 0; i < apart.size(); ++i) s->kinds[i].routes_apart = apart[i];
+  for (std::size_t i = 0; i < apart.size(); ++i) s->kinds[i].separate_routes = apart[i];
   for (std::size_t i = 0; i < bundle.size(); ++i) s->kinds[i].bundle_max = bundle[i];
 }
 
@@ -327,9 +327,9 @@
   }
   void operator()(const Probe& a) const { *out += "CHECK receiver=" + a.endpoint; }
   void operator()(const CloseIdle& a) const { *out += "DROP_CONNS receiver=" + a.endpoint; }
-  void operator()(const WatchList&) const { *out += "LISTEN enable=1"; }
+  void operator()(const SubscribeToList&) const { *out += "LISTEN enable=1"; }
   void operator()(const FetchList&) const { *out += "QUERY_ALL"; }
-  void operator()(const TellPeers& a) const {
+  void operator()(const SendToPeers& a) const {
     *out += "SAY target=* payload=";
     AppendHex(a.bytes, out);
   }
@@ -359,8 +359,8 @@
     ReadLimits(facts.value("limits", none), &s);
     ReadRules(facts.value("invariants", none), &s);
     s.weights = ReadWeights(facts.value("weights", "none"));
-    s.over_share_worth = facts.value("over-share-worth", 1.0);
-    s.list_must_be_asked_for = facts.value("discovery", "push") == "ask";
+    s.over_quota_worth_factor = facts.value("over-share-worth", 1.0);
+    s.must_request_list = facts.value("discovery", "push") == "ask";
     s.tick = JsonSeconds(facts, "tick-s");
     const Json report = facts.value("report", none);
     *report_fields = report.value("fields", std::vector<std::string>());
@@ -446,7 +446,7 @@
     } else if (name == "HEADERS") {
       add(Event(StreamStarted{line.Text("rid"), line.Integer<int>("shot")}));
     } else if (name == "PEER_DATA") {
-      add(Event(PeerNote{line.Integer<int>("author"), FromHex(line, "payload")}));
+      add(Event(PeerData{line.Integer<int>("author"), FromHex(line, "payload")}));
     } else if (name == "ATTEMPT_END") {
       add(Event(ReadAttemptEnded(line, fields())));
     } else if (name == "PROBED") {
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -85,7 +85,7 @@
   std::string RouteOf(const EndpointId& id) const {
     const EndpointInfo& e = list.at(id);
     return std::to_string(e.destination) +
-           (s_.kinds[static_cast<std::size_t>(e.kind)].routes_apart ? id : "");
+           (s_.kinds[static_cast<std::size_t>(e.kind)].separate_routes ? id : "");
   }
   bool Ordered(const Known& k) const {
     return !k.m.key.empty() && s_.classes[static_cast<std::size_t>(k.m.message_class)].ordered;
@@ -159,11 +159,11 @@
       if (const auto* m = std::get_if<Message>(&event)) audit.Take(*m, now);
       if (const auto* e = std::get_if<AttemptEnded>(&event)) {
         audit.Ended(*e, now);
-        if (e->told_wait > 0s) audit.Wait(e->endpoint, now + e->told_wait);
+        if (e->retry_after > 0s) audit.Wait(e->endpoint, now + e->retry_after);
       }
       if (const auto* p = std::get_if<ProbeEnded>(&event)) {
         audit.probing.erase(p->endpoint);
-        if (p->told_wait > 0s) audit.Wait(p->endpoint, now + p->told_wait);
+        if (p->retry_after > 0s) audit.Wait(p->endpoint, now + p->retry_after);
       }
     }
     const auto actions = decider.Step(now, events);
@@ -186,7 +186,7 @@
                                : Outcome::kReset;
         if (e.latency == limit) e.outcome = Outcome::kTimedOut;
         e.closed = e.outcome == Outcome::kServed;
-        if (e.outcome == Outcome::kRefused && draw(2) == 0) e.told_wait = Time(1000 * (1 + draw(1500)));
+        if (e.outcome == Outcome::kRefused && draw(2) == 0) e.retry_after = Time(1000 * (1 + draw(1500)));
         due.emplace(now + e.latency, e);
       }
       if (const auto* cancel = std::get_if<Cancel>(&a)) {
@@ -195,7 +195,7 @@
           AttemptEnded e = it->second;
           e.outcome = Outcome::kCancelled;
           e.closed = audit.messages.at(e.id).ended;
-          e.told_wait = 0s;
+          e.retry_after = 0s;
           due.erase(it);
           due.emplace(now + 20ms, e);
           break;
@@ -234,7 +234,7 @@
         ProbeEnded p;
         p.endpoint = id;
         p.outcome = draw(2) == 0 ? Outcome::kServed : Outcome::kRefused;
-        if (p.outcome == Outcome::kRefused) p.told_wait = Time(1000 * (1 + draw(800)));
+        if (p.outcome == Outcome::kRefused) p.retry_after = Time(1000 * (1 + draw(800)));
         events.push_back(p);
       }
     }
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -957,15 +957,15 @@
 
 TEST(List, IsAskedForAndAskedAgainAfterAFailure) {
   Settings s = BasicSettings();
-  s.list_must_be_asked_for = true;
+  s.must_request_list = true;
   Rig rig(s);
   rig.List({});
-  EXPECT_EQ(rig.Count<WatchList>(), 1);
+  EXPECT_EQ(rig.Count<SubscribeToList>(), 1);
   rig.Do({ListUpdate{ListScope::kFailed, 0, {}}});
-  int asks = rig.Count<WatchList>();
+  int asks = rig.Count<SubscribeToList>();
   for (int i = 0; i < 100; ++i) {
     rig.Pass(20ms);
-    asks += rig.Count<WatchList>();
+    asks += rig.Count<SubscribeToList>();
   }
   EXPECT_EQ(asks, 1);
 }
@@ -980,7 +980,7 @@
     for (int seed = 1; seed <= senders; ++seed) {
       Settings s = BasicSettings();
       s.senders = senders;
-      s.list_must_be_asked_for = true;
+      s.must_request_list = true;
       s.ask_within = 10s;
       Rig rig(s, static_cast<std::uint64_t>(seed));
       rig.List({At("a", 7)});
@@ -988,11 +988,11 @@
         const Time since = rig.now;
         while (!at_once && rig.now < since + 60s) {
           rig.Pass(20ms);
-          at_once = rig.Count<WatchList>() > 0;
+          at_once = rig.Count<SubscribeToList>() > 0;
         }
         return rig.now - since;
       };
-      first.push_back(asked_after(rig.Count<WatchList>() > 0));
+      first.push_back(asked_after(rig.Count<SubscribeToList>() > 0));
       rig.Do({ListUpdate{ListScope::kFailed, 0, {}}});
       second.push_back(asked_after(false));
       rig.Do({ListUpdate{ListScope::kFailed, 0, {}}});
@@ -1009,11 +1009,12 @@
     for (const auto& times : {first, second, third}) {
       const double most = senders > 3 ? 0.9 * senders : senders;
       EXPECT_LE(most_in_a_second(times), most) << senders;
-      EXPECT_LE(*std::max_element(times.begin(), times.end()), ListSubscription::kCallEvery) << senders;
+      EXPECT_LE(*std::max_element(times.begin(), times.end()), ListSubscription::kLatestNextCall) << senders;
     }
-    EXPECT_GE(*std::min_element(second.begin(), second.end()), ListSubscription::kCallLeast - 20ms)
+    EXPECT_GE(*std::min_element(second.begin(), second.end()), ListSubscription::kMinCallInterval - 20ms)
+        << senders;
+    EXPECT_GE(*std::min_element(third.begin(), third.end()), ListSubscription::kMinCallInterval - 20ms)
         << senders;
-    EXPECT_GE(*std::min_element(third.begin(), third.end()), ListSubscription::kCallLeast - 20ms) << senders;
   }
 }
 
@@ -1083,8 +1084,8 @@
   constexpr double kLimit = 40, kFrom = 0.25;
   constexpr Time kDown = 104s, kBack = 109s, kEnd = 119s;  // warm at the end
   Settings s = ManySenders(senders);
-  s.cold_from = kFrom;
-  s.cold = 10s;
+  s.warm_up_start_share = kFrom;
+  s.warm_up = 10s;
   s.classes[0].deadline = 60s;
   std::vector<Rig> rigs;
   for (int rank = 0; rank < senders; ++rank) {
@@ -1211,8 +1212,8 @@
   for (const Time wait : {Time(1500ms), Time(5s)}) {
     Rig rig;
     rig.Do({ListUpdate{ListScope::kRemembered, 1, {At("old", 7, 1)}}});
-    rig.Do({ListUpdate{ListScope::kAll, 2, {At("new", 7, 1)}}, ToldWait{"new", rig.now + wait},
-            ToldWait{"none", rig.now + wait}, rig.New("m1", 0)});
+    rig.Do({ListUpdate{ListScope::kAll, 2, {At("new", 7, 1)}}, RetryAfterReceived{"new", rig.now + wait},
+            RetryAfterReceived{"none", rig.now + wait}, rig.New("m1", 0)});
     const Time told = rig.now;
     rig.Pass(wait - 20ms);
     EXPECT_EQ(rig.Sends("m1"), 0);
@@ -1264,7 +1265,7 @@
   s.max_open = 20;
   s.slots = 1;
   s.tenants = {Tenant{"t", 4}};
-  s.over_share_worth = 0.1;
+  s.over_quota_worth_factor = 0.1;
   Rig rig(s);
   rig.List({});
   std::vector<Event> batch;
@@ -1297,7 +1298,7 @@
   s.senders = 300;
   s.max_open = 12;
   s.tenants = {Tenant{"small", 90}};
-  s.over_share_worth = 0.1;
+  s.over_quota_worth_factor = 0.1;
   Rig rig(s);
   rig.List({});
   Message small = rig.New("small", 0);
@@ -1343,7 +1344,7 @@
   ProbeEnded probe;
   probe.endpoint = "nowhere";
   Message odd = rig.New("odd", 99);
-  rig.Do({stray, probe, Withdrawn{"nobody"}, TimerDue{"what"}, PeerNote{3, "x"}, StreamStarted{"nobody", 0},
+  rig.Do({stray, probe, Withdrawn{"nobody"}, TimerDue{"what"}, PeerData{3, "x"}, StreamStarted{"nobody", 0},
           odd});
   EXPECT_TRUE(rig.Refused("odd"));
   EXPECT_TRUE(rig.sent.empty());
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -94,7 +94,7 @@
   rig.List({At("a", 7)});
   std::vector<Event> events;
   for (int i = 0; i < 9; ++i) {
-    Message m = Restored(rig, 0, {.kept = true, .sends = 1, .last_endpoint = "a"});
+    Message m = Restored(rig, 0, {.recovered = true, .sends = 1, .last_endpoint = "a"});
     m.id += std::to_string(i);
     events.push_back(m);
   }
--- a/tests/list_lease_test.cpp
+++ b/tests/list_lease_test.cpp
@@ -32,7 +32,7 @@
     const Time begun = std::max(Time(0), at - 2s);
     const std::vector<Lease::Event> kinds{
         Lease::Confirmed{},         Lease::Unreachable{},        Lease::Moved{},
-        Lease::SubscriptionEnded{}, Lease::SubscriptionBroken{}, Lease::RefusedAtOnce{},
+        Lease::SubscriptionEnded{}, Lease::SubscriptionBroken{}, Lease::RefusedImmediately{},
         Lease::RefusedLate{begun}};
     history.push_back({at, kinds[static_cast<std::size_t>(kind)]});
   }
@@ -60,7 +60,7 @@
         moved.reset();
       }
       const auto* late = std::get_if<Lease::RefusedLate>(&moment.event);
-      if (late != nullptr) most = std::max(most, late->begun + Lease::kUnreachableFor);
+      if (late != nullptr) most = std::max(most, late->call_started_at + Lease::kUnreachableFor);
       if (std::holds_alternative<Lease::Moved>(moment.event) && !moved) moved = moment.at;
       RC_ASSERT(lease.valid_until() <= most);
       if (moved) RC_ASSERT(lease.valid_until() <= *moved + Lease::kMovedFor);
@@ -73,7 +73,7 @@
     Lease lease;
     lease.Step(Time(0), Lease::Started{});
     const std::vector<Lease::Event> shows_no_outage{Lease::Confirmed{}, Lease::SubscriptionBroken{},
-                                                    Lease::RefusedAtOnce{}, Lease::Moved{}};
+                                                    Lease::RefusedImmediately{}, Lease::Moved{}};
     lease.Step(1s, shows_no_outage[*rc::gen::inRange<std::size_t>(0, 4)]);
     const Time before = lease.valid_until();
     for (int i = 1; i < *rc::gen::inRange(2, 10); ++i) {
@@ -100,7 +100,7 @@
   lease.Step(1s, Lease::Confirmed{});
   lease.Step(2s, Lease::SubscriptionEnded{});
   lease.Step(5s, Lease::RefusedLate{3s});
-  lease.Step(6s, Lease::RefusedAtOnce{});
+  lease.Step(6s, Lease::RefusedImmediately{});
   lease.Step(9s, Lease::RefusedLate{7s});
   EXPECT_EQ(lease.valid_until(), 3s + Lease::kUnreachableFor);
 }
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -49,7 +49,7 @@
     }
   }
   void Tell(const List::Event& event) {
-    if (const auto* heard = std::get_if<List::Heard>(&event)) {
+    if (const auto* heard = std::get_if<List::Received>(&event)) {
       if (now_ >= reachable_at_ && started_.at(heard->call) >= Time(0)) answered_at_ = now_;
     }
     for (const List::Call& call : list_.Step(now_, event)) Start(call);
@@ -59,14 +59,14 @@
     started_[call.number] = now_;
     if (now_ >= reachable_at_) {
       if (refused_-- > 0) return Add(now_ + kRefusesWithin, List::Failed{call.number});
-      return Add(now_ + answers_after_, List::Heard{call.number});
+      return Add(now_ + answers_after_, List::Received{call.number});
     }
     const Fate fate = script_.empty() ? Fate::kHangs : script_[starts.size() % script_.size()];
-    if (fate == Fate::kAnswered) Add(now_ + answers_after_, List::Heard{call.number});
+    if (fate == Fate::kAnswered) Add(now_ + answers_after_, List::Received{call.number});
     if (fate == Fate::kRefusedAtOnce) Add(now_, List::Failed{call.number});
     if (fate == Fate::kRefusedLate) Add(now_ + kRefusesWithin, List::Failed{call.number});
     if (fate == Fate::kEndsBehindItsList) {
-      Add(now_ + answers_after_, List::Heard{call.number});
+      Add(now_ + answers_after_, List::Received{call.number});
       Add(now_ + answers_after_, List::Failed{call.number});
     }
   }
@@ -88,8 +88,10 @@
   std::optional<Time> answered_at_;
 };
 
-List::Options Asked(int senders) { return {.pushed = false, .senders = senders, .failures_are_told = false}; }
-List::Options Pushed() { return {.pushed = true, .senders = 300, .failures_are_told = false}; }
+List::Options Asked(int senders) {
+  return {.pushed_by_agent = false, .senders = senders, .failures_are_reported = false};
+}
+List::Options Pushed() { return {.pushed_by_agent = true, .senders = 300, .failures_are_reported = false}; }
 
 rc::Gen<std::vector<Fate>> Fates() {
   return rc::gen::container<std::vector<Fate>>(rc::gen::element(
@@ -125,13 +127,13 @@
     const std::vector<List::Call> calls = round.list().Step(moved_at, List::Moved{});
     RC_ASSERT(calls.size() == 1u);
     round.list().Step(moved_at, List::Failed{calls.front().number});
-    RC_ASSERT(round.list().alarm() <= moved_at + List::kCallEvery);
-    RC_ASSERT(round.list().alarm() + 1400ms <= moved_at + List::kMovedWithin);
+    RC_ASSERT(round.list().alarm() <= moved_at + List::kLatestNextCall);
+    RC_ASSERT(round.list().alarm() + 1400ms <= moved_at + List::kKnownWithinAfterMove);
   }));
 }
 
 TEST(ListSubscription, CallsStartNoCloserThanStated) {
-  EXPECT_TRUE(rc::check("calls of one sender are kCallLeast apart, at any fleet size", [] {
+  EXPECT_TRUE(rc::check("calls of one sender are kMinCallInterval apart, at any fleet size", [] {
     const auto script = *Fates();
     Round round(Asked(*rc::gen::inRange(1, 901)), *rc::gen::arbitrary<std::uint64_t>(), script, Time::max(),
                 Time(*rc::gen::inRange<std::int64_t>(0, 3'000'000)), 0);
@@ -139,7 +141,7 @@
     round.RunUntil(60s);
     RC_ASSERT(round.starts.size() > 1u);
     for (std::size_t i = 1; i < round.starts.size(); ++i) {
-      RC_ASSERT(round.starts[i] - round.starts[i - 1] >= List::kCallLeast);
+      RC_ASSERT(round.starts[i] - round.starts[i - 1] >= List::kMinCallInterval);
     }
   }));
 }
@@ -179,14 +181,14 @@
     List list(Asked(300), seed);
     const auto first = list.Step(0s, List::Started{true});
     ASSERT_EQ(first.size(), 1u);
-    list.Step(10ms, List::Heard{1});
-    for (Time t = 2s; t <= 20s; t += 2s) EXPECT_TRUE(list.Step(t, List::Heard{1}).empty());
+    list.Step(10ms, List::Received{1});
+    for (Time t = 2s; t <= 20s; t += 2s) EXPECT_TRUE(list.Step(t, List::Received{1}).empty());
     list.Step(20s, List::Failed{1});
     alarms.push_back(list.alarm() - 20s);
   }
   std::sort(alarms.begin(), alarms.end());
-  EXPECT_GE(alarms.front(), List::kPause);
-  EXPECT_LE(alarms.back(), List::kCallEvery);
+  EXPECT_GE(alarms.front(), List::kRetryPause);
+  EXPECT_LE(alarms.back(), List::kLatestNextCall);
   EXPECT_GE(alarms[225] - alarms[75], 1s) << "the middle half is spread";
 }
 
@@ -195,7 +197,7 @@
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     List list(Asked(300), seed);
     list.Step(0s, List::Started{true});
-    list.Step(10s, List::Heard{1});
+    list.Step(10s, List::Received{1});
     alarms.push_back(list.alarm() - 10s);
     // Refused 2 s later, the next call still leaves some of the 6 s for its answer.
     const Time called = list.alarm();
@@ -204,8 +206,8 @@
     EXPECT_LE(list.alarm(), 10s + List::kKnownWithin - 700ms);
   }
   std::sort(alarms.begin(), alarms.end());
-  EXPECT_GE(alarms.front(), List::kSilentAfter);
-  EXPECT_LE(alarms.back(), List::kSilentAfter + List::kSilentSpread);
+  EXPECT_GE(alarms.front(), List::kSilenceTimeout);
+  EXPECT_LE(alarms.back(), List::kSilenceTimeout + List::kSilenceJitter);
   EXPECT_GE(alarms[225] - alarms[75], 100ms);
 }
 
@@ -217,15 +219,15 @@
     for (auto calls = list.Step(now, List::Started{true}); now < 60s;) {
       ASSERT_EQ(calls.size(), 1u);
       const List::Call call = calls.front();
-      if (call.gives_up) {
-        const bool oldest = *call.gives_up == open.begin()->first;
-        const bool old = now - open.begin()->second > List::kKeptMost;
+      if (call.replaced_call) {
+        const bool oldest = *call.replaced_call == open.begin()->first;
+        const bool old = now - open.begin()->second > List::kMaxOpenTime;
         EXPECT_EQ(oldest, old) << "the oldest is nearest to its answer, but may hang for good";
-        ASSERT_EQ(open.erase(*call.gives_up), 1u);
+        ASSERT_EQ(open.erase(*call.replaced_call), 1u);
       }
       open[call.number] = now;
-      EXPECT_LE(open.size(), List::kOpenMost);
-      EXPECT_LE(now - open.begin()->second, List::kKeptMost + List::kAnswerWithin);
+      EXPECT_LE(open.size(), List::kMaxOpenCalls);
+      EXPECT_LE(now - open.begin()->second, List::kMaxOpenTime + List::kAnswerTimeout);
       now = list.alarm();
       calls = list.Step(now, List::Elapsed{});
     }
@@ -236,23 +238,23 @@
   List list(Asked(300), 7);
   list.Step(0s, List::Started{true});
   list.Step(list.alarm(), List::Elapsed{});
-  EXPECT_TRUE(list.Step(3s, List::Heard{1}).empty());
+  EXPECT_TRUE(list.Step(3s, List::Received{1}).empty());
   EXPECT_EQ(list.subscription(), 1);
   list.Step(3s, List::Failed{2});  // closed with it: nothing of its own
-  EXPECT_GE(list.alarm(), 3s + List::kSilentAfter);
-  EXPECT_LE(list.alarm(), 3s + List::kSilentAfter + List::kSilentSpread);
+  EXPECT_GE(list.alarm(), 3s + List::kSilenceTimeout);
+  EXPECT_LE(list.alarm(), 3s + List::kSilenceTimeout + List::kSilenceJitter);
 }
 
 TEST(ListSubscription, ASubscriptionThoughtSilentThatSpeaksAgainIsKept) {
   List list(Asked(1), 7);
   list.Step(0s, List::Started{true});
-  list.Step(0s, List::Heard{1});
-  EXPECT_EQ(list.alarm(), List::kSilentAfter);
+  list.Step(0s, List::Received{1});
+  EXPECT_EQ(list.alarm(), List::kSilenceTimeout);
   ASSERT_EQ(list.Step(list.alarm(), List::Elapsed{}).size(), 1u);
-  list.Step(2600ms, List::Heard{1});
+  list.Step(2600ms, List::Received{1});
   list.Step(2700ms, List::Failed{2});
   EXPECT_EQ(list.subscription(), 1);
-  EXPECT_EQ(list.alarm(), 2600ms + List::kSilentAfter);
+  EXPECT_EQ(list.alarm(), 2600ms + List::kSilenceTimeout);
 }
 
 TEST(ListSubscription, AnAgentIsAskedAgainWithinTheGraceOfADrain) {
@@ -262,18 +264,18 @@
     const Time failed_at(*rc::gen::inRange<std::int64_t>(0, 500'000));
     list.Step(failed_at, List::Failed{1});
     RC_ASSERT(list.alarm() - failed_at <= 150ms);
-    RC_ASSERT(list.alarm() - failed_at >= List::kAgentPause);
+    RC_ASSERT(list.alarm() - failed_at >= List::kAgentRetryPause);
   }));
 }
 
 TEST(ListSubscription, WhereFailuresAreToldNothingIsTimed) {
-  List list({.pushed = false, .senders = 1, .failures_are_told = true}, 7);
+  List list({.pushed_by_agent = false, .senders = 1, .failures_are_reported = true}, 7);
   ASSERT_EQ(list.Step(0s, List::Started{false}).size(), 1u);
   EXPECT_EQ(list.alarm(), Time::max());
-  list.Step(1s, List::Heard{1});
+  list.Step(1s, List::Received{1});
   EXPECT_EQ(list.alarm(), Time::max());
   list.Step(30s, List::Failed{1});
-  EXPECT_EQ(list.alarm(), 30s + List::kPause);
+  EXPECT_EQ(list.alarm(), 30s + List::kRetryPause);
 }
 
 }  // namespace
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -79,9 +79,9 @@
   belief.endpoint = "a";
   belief.route.tokens = 2.5;
   belief.route.wait_until = 12345s;
-  belief.health.warm_by = 54321s;
+  belief.health.warm_at = 54321s;
   belief.health.state = wheathub::State::kDown;
-  belief.health.failing = 0.25;
+  belief.health.failure_rate = 0.25;
   estate.beliefs = {belief};
   estate.out = {{"m1", "a", 77s, 88s}};
   estate.waits = {{"a", 1s, 2s}};
@@ -93,7 +93,7 @@
   CHECK(read.table.hosts.at(0).info.weight == 3.5);
   CHECK(read.table.hosts.at(0).address == "127.0.0.1:1");
   CHECK(read.beliefs.at(0).route.wait_until == 12345s);
-  CHECK(read.beliefs.at(0).health.warm_by == 54321s);
+  CHECK(read.beliefs.at(0).health.warm_at == 54321s);
   CHECK(read.beliefs.at(0).health.state == wheathub::State::kDown);
   CHECK(read.beliefs.at(0).health.failed_at == wheathub::EndpointBelief::kNever);
   CHECK(read.out.at(0).begun == 77s);
--- a/tests/rig.hpp
+++ b/tests/rig.hpp
@@ -40,8 +40,8 @@
   s.may_cancel = true;
   s.may_give_retry_after = true;
   s.max_retry_after = 3s;
-  s.cold_from = 0.25;
-  s.cold = 10s;
+  s.warm_up_start_share = 0.25;
+  s.warm_up = 10s;
   s.order_settle = 300ms;
   s.drain_grace = 1s;
   s.answer_grace = 20ms;
@@ -101,7 +101,7 @@
     e.outcome = outcome;
     e.latency = 100ms;
     e.closed = outcome == Outcome::kServed;
-    e.told_wait = told_wait;
+    e.retry_after = told_wait;
     for (const Send& s : sent) {
       if (s.id == id) e.endpoint = s.endpoint;
     }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -57,8 +57,8 @@
     Settings s = BasicSettings();
     s.senders = c.senders;
     s.weights = c.limit_told ? WeightMeaning::kNominal : WeightMeaning::kNone;
-    s.cold_from = kColdFrom;
-    s.cold = kCold;
+    s.warm_up_start_share = kColdFrom;
+    s.warm_up = kCold;
     const double busy = kDestinations * c.limit / c.senders * InSeconds(kWork);
     s.slots = std::max(kLeastSlots, static_cast<int>(std::lround(kSlotsOverLoad * busy)));
     s.classes[0].deadline = 60s;
@@ -160,7 +160,7 @@
       end.outcome = outcome;
       end.latency = now_ - sent;
       end.closed = outcome == Outcome::kServed;
-      end.told_wait = told_wait;
+      end.retry_after = told_wait;
       Step(i, {end});
     });
   }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -44,16 +44,16 @@
   const Settings& s = launch.settings;
   EXPECT_EQ(s.senders, 3);
   EXPECT_EQ(s.rank, 1);
-  EXPECT_TRUE(s.list_must_be_asked_for);
+  EXPECT_TRUE(s.must_request_list);
   EXPECT_EQ(s.weights, WeightMeaning::kRough);
   EXPECT_EQ(s.slots, 9);
-  EXPECT_TRUE(s.kinds.at(0).routes_apart);
+  EXPECT_TRUE(s.kinds.at(0).separate_routes);
   EXPECT_EQ(s.kinds.at(0).bundle_max, 4);
-  EXPECT_EQ(s.decay, Decay::kByHalf);
+  EXPECT_EQ(s.decay, Decay::kExponential);
   EXPECT_EQ(s.max_attempts, 7);
-  EXPECT_TRUE(s.may_probe && s.may_cancel && s.may_tell_peers && s.may_give_retry_after);
+  EXPECT_TRUE(s.may_probe && s.may_cancel && s.may_message_peers && s.may_give_retry_after);
   EXPECT_EQ(s.max_retry_after, 2500ms);
-  EXPECT_EQ(s.cold, 9s);
+  EXPECT_EQ(s.warm_up, 9s);
   EXPECT_EQ(s.drain_grace, 250ms);
   EXPECT_TRUE(s.reports_allowance);
   const MessageClass& c = s.classes.at(0);
@@ -85,17 +85,17 @@
   const auto m = EventAt<Message>(batch, 2);
   EXPECT_EQ(m.key, "aa");
   EXPECT_EQ(m.expires_in, 240ms);
-  EXPECT_TRUE(m.again);
+  EXPECT_TRUE(m.resubmitted);
   const auto ended = EventAt<AttemptEnded>(batch, 3);
   EXPECT_EQ(ended.outcome, Outcome::kRefused);
-  EXPECT_EQ(ended.told_wait, 250ms);
+  EXPECT_EQ(ended.retry_after, 250ms);
   ASSERT_TRUE(ended.allowance.has_value());
   EXPECT_EQ(ended.allowance->left_share, 0.4);
   EXPECT_EQ(ended.allowance->limit_per_s, 12.5);
   EXPECT_FALSE(ended.closed);
-  EXPECT_EQ(EventAt<AttemptEnded>(batch, 4).told_wait, 0s) << "the note of a stale send is no wait";
+  EXPECT_EQ(EventAt<AttemptEnded>(batch, 4).retry_after, 0s) << "the note of a stale send is no wait";
   EXPECT_EQ(EventAt<ProbeEnded>(batch, 5).outcome, Outcome::kServed);
-  EXPECT_EQ(EventAt<PeerNote>(batch, 7).bytes, "hi");
+  EXPECT_EQ(EventAt<PeerData>(batch, 7).bytes, "hi");
   EXPECT_TRUE(std::holds_alternative<Teardown>(batch.items.at(9).what));
 }
 
@@ -161,9 +161,9 @@
       {Cancel{"r", 3}, "ABANDON rid=r shot=3\n"},
       {Probe{"10.0.0.1:80"}, "CHECK receiver=10.0.0.1:80\n"},
       {CloseIdle{"10.0.0.1:80"}, "DROP_CONNS receiver=10.0.0.1:80\n"},
-      {WatchList{}, "LISTEN enable=1\n"},
+      {SubscribeToList{}, "LISTEN enable=1\n"},
       {FetchList{}, "QUERY_ALL\n"},
-      {TellPeers{"hi "}, "SAY target=* payload=686920\n"},
+      {SendToPeers{"hi "}, "SAY target=* payload=686920\n"},
       {SetTimer{"sweep", 8912250us}, "AFTER handle=sweep time-s=8.912250\n"},
       {Log{"two servers known"}, "RECORD reason-text=two servers known\n"},
   };
