--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -138,7 +138,7 @@
     } else {
       // Seen for the first time: as its file says it now.
       const std::string text = group::ReadFile(instance.config_path);
-      config::Checked(text);
+      config::ParseAndValidate(text);
       wish = {change::Want::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
       store_->PutConfig(instance.name, change::VersionOf(wish.stamp), text);
       store_->PutDesired(instance.name, {NameOf(wish.want), wish.stamp, false});
@@ -292,7 +292,7 @@
     const auto text = store_->Config(instance, change::VersionOf(stamp));
     try {
       if (!text) throw std::runtime_error("the configuration " + change::VersionOf(stamp) + " is not here");
-      config::Checked(*text);
+      config::ParseAndValidate(*text);
     } catch (const std::exception& e) {
       never["error"] = e.what();
       return never;
@@ -309,7 +309,7 @@
   if (hand == hands_.end()) return Fault(options_.name + " keeps no instance '" + instance + "'");
   config::Config next;
   try {
-    next = config::Checked(text);
+    next = config::ParseAndValidate(text);
     for (const auto& [key, value] :
          {std::pair("listen", &next.listen), std::pair("discovery", &next.discovery)}) {
       if (!net::ParseAddress(*value))
@@ -322,7 +322,7 @@
   const std::string from = change::VersionOf(hand->second->keeper().desired().stamp);
   bool reload = false;
   if (const auto running = store_->Config(instance, from)) {
-    reload = config::NeedingRestart(config::Checked(*running), next).empty();
+    reload = config::KeysNeedingRestart(config::ParseAndValidate(*running), next).empty();
   }
   if (!request.value("dry_run", false)) store_->PutConfig(instance, version, text);
   return {{"ok", true}, {"instance", instance}, {"from", from}, {"to", version}, {"reload", reload}};
--- a/src/apps/oxbowctl.cpp
+++ b/src/apps/oxbowctl.cpp
@@ -105,7 +105,7 @@
   int Check() {
     for (const group::Instance& i : group_.instances) {
       try {
-        config::Checked(group::ReadFile(i.config_path));
+        config::ParseAndValidate(group::ReadFile(i.config_path));
       } catch (const config::Error& e) {
         throw group::Error(i.config_path + ": " + e.what());
       }
@@ -127,7 +127,7 @@
         if (!Chosen(i.name)) continue;
         const std::string text = group::ReadFile(i.config_path);
         try {
-          config::Checked(text);
+          config::ParseAndValidate(text);
         } catch (const config::Error& e) {
           throw group::Error(i.config_path + ": " + e.what());
         }
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -43,7 +43,7 @@
 // over.
 constexpr handover::Limit kTakeWithin = 5s;
 
-static_assert(config::Config::kDoorDescriptors == door::Door::kDescriptors,
+static_assert(config::Config::kManagementDescriptors == door::Door::kDescriptors,
               "set apart as many as the door takes");
 
 // Exit codes. 1: something that can't work, by README's rule for the start.
@@ -142,7 +142,7 @@
   static endpoint::Pool::Limits LimitsOf(const config::Config& c) {
     std::vector<bool> apart;
     for (const auto& kind : c.settings.kinds) apart.push_back(kind.routes_apart);
-    return {c.most_lines(), c.settings.connect_timeout, c.settings.keepalive, apart};
+    return {c.max_endpoint_connections(), c.settings.connect_timeout, c.settings.keepalive, apart};
   }
 
   void Entered(Phase phase) {
@@ -153,7 +153,7 @@
         break;
       case Phase::kRecovering: {
         relay::RoutingChange known =
-            routing::ReadList(config_.known, NamesOf(config_)).value_or(routing::List()).change;
+            routing::ReadList(config_.last_known_list, NamesOf(config_)).value_or(routing::List()).change;
         known.scope = wheathub::ListScope::kRemembered;
         const bool taken = start_.channel.has_value();
         discovery_.Known(taken ? start_.estate.table.revision : known.revision);
@@ -178,7 +178,7 @@
           clients_->OpenDoor();
         } else {
           clients_.emplace(loop_, AddressOf("listen", config_.listen), config_.listen_fd,
-                           config_.most_clients(), relay_, counters_, [this] { return Text(); });
+                           config_.max_clients(), relay_, counters_, [this] { return Text(); });
           for (const client::Passed& client : start_.clients) clients_->TakeUp(client);
           start_.clients.clear();
           if (config_.listen_fd >= 0) OpenHandover();
@@ -372,15 +372,15 @@
   std::optional<std::string> Reload() {
     if (phases_.now() == Phase::kGiven) return "is given over";
     try {
-      config::Config next = config::Reread(config_);
+      config::Config next = config::Reload(config_);
       const net::Address discovery = AddressOf("discovery", next.discovery);
       relay_.Renew(next.settings);  // throws before anything has changed
-      for (const std::string& key : config::NeedingRestart(config_, next)) {
+      for (const std::string& key : config::KeysNeedingRestart(config_, next)) {
         std::cout << config_.name << ": reload: " << key << " stays as it is until a restart" << std::endl;
       }
       const std::string old = std::exchange(config_.discovery, next.discovery);
       config_.sockets = next.sockets;
-      config_.text = next.text;
+      config_.file_text = next.file_text;
       config_.settings = next.settings;
       config_.zones = next.zones;
       discovery_.SetNames(NamesOf(config_));
@@ -388,7 +388,7 @@
       counters_.reloads += 1;
       std::cout << config_.name << ": reloaded, discovery at " << config_.discovery << std::endl;
       endpoints_.SetLimits(LimitsOf(config_));
-      if (clients_) clients_->SetMost(config_.most_clients());
+      if (clients_) clients_->SetMost(config_.max_clients());
       if (old == config_.discovery) return std::nullopt;
       discovery_.MoveTo({discovery, config_.discovery});
       notices_.MoveTo(discovery, config_.discovery);
@@ -463,7 +463,7 @@
   text << file.rdbuf();
   try {
     if (!file) throw config::Error("config", "can't read " + path);
-    const config::Config c = config::Checked(text.str());
+    const config::Config c = config::ParseAndValidate(text.str());
     AddressOf("listen", c.listen);
     AddressOf("discovery", c.discovery);
   } catch (const std::exception& e) {
@@ -493,7 +493,7 @@
   net::Signal::HoldBack(SIGUSR1);
   try {
     options.argv = argv;
-    const config::Config c = config::FromEnvironment();
+    const config::Config c = config::LoadFromEnvironment();
     // An end asked for from here on is one like any other; a process that waits for what another gives over
     // ends at once.
     if (c.listen_fd < 0) net::Signal::HoldBack(SIGTERM);
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,5 @@
-// The one place where configuration is read, checked and given defaults.
+// The relay's configuration: the JSON file that $ROUTER_CONFIG names and the $ROUTER_ environment variables.
+// It is read, validated and given its defaults here and nowhere else.
 #pragma once
 
 #include <cstddef>
@@ -11,48 +12,54 @@
 
 namespace oxbowspread::config {
 
-// Names the key at fault, in words for the operator.
+// An invalid or missing value. The message starts with the key (or environment variable) at fault.
 class Error : public std::runtime_error {
  public:
   Error(const std::string& key, const std::string& what) : std::runtime_error(key + ": " + what) {}
 };
 
+// A parsed configuration. Limits that the file leaves out keep the defaults below.
 struct Config {
   std::string name;
-  std::string listen;     // address:port, loopback or the relay's own
-  std::string discovery;  // address:port
-  std::string state;      // the folder that lasts
-  int listen_fd = -1;     // the clients' listening socket, held by the platform; -1: none
-  std::string mgmt;       // address:port of the operators' door; empty: none
+  std::string listen;     // address:port for clients: a loopback address or the relay's own
+  std::string discovery;  // address:port of the discovery service
+  std::string state;      // folder for the durable state
+  int listen_fd = -1;     // inherited listening socket for clients; -1: the relay opens its own
+  std::string mgmt;       // address:port of the management listener; empty: none
   std::uint64_t seed = 0;
   std::size_t memory_mb = 192;
   std::size_t sockets = 1024;
-  std::size_t disk_bytes = 3'000'000;  // limits.disk_mb, which may be a fraction
-  std::string known;                   // discovery's list as last had, as JSON text
-  std::string text;                    // the whole file, to hold the next one against
+  std::size_t disk_bytes = 3'000'000;  // from limits.disk_mb, which may be fractional
+  std::string last_known_list;         // the last known routing table, as JSON text
+  std::string file_text;               // the whole file; a reload is compared with it
   wheathub::Settings settings;
-  std::vector<std::string> zones;  // their names, in the settings' order
-
-  // Shares of the descriptors. Clients hold a third for requests, and some more may be about to leave; lines
-  // to endpoints get half; the rest is for the journal, the loop, discovery and notices, and a reserve.
-  static constexpr std::size_t kOwnDescriptors = 16;
-  static constexpr std::size_t kDoorDescriptors = 18;  // where there is a door: set apart for it
-  std::size_t shared() const { return sockets - kOwnDescriptors - (mgmt.empty() ? 0 : kDoorDescriptors); }
-  std::size_t most_clients() const { return shared() * 2 / 5; }
-  std::size_t most_lines() const { return shared() / 2; }
+  std::vector<std::string> zones;  // zone names, in the order of the settings
+
+  // How the descriptors are shared out. Clients use a third for requests, and more connections may be about
+  // to close, so clients get two fifths. Endpoint connections get half. The rest is a reserve; the journal,
+  // the event loop, discovery and notices have their own kReservedDescriptors.
+  static constexpr std::size_t kReservedDescriptors = 16;
+  static constexpr std::size_t kManagementDescriptors = 18;  // set aside when `mgmt` is set
+  std::size_t shareable_descriptors() const {
+    return sockets - kReservedDescriptors - (mgmt.empty() ? 0 : kManagementDescriptors);
+  }
+  std::size_t max_clients() const { return shareable_descriptors() * 2 / 5; }
+  std::size_t max_endpoint_connections() const { return shareable_descriptors() / 2; }
 };
 
-// From the file that $ROUTER_CONFIG names; the other $ROUTER_ variables fill in and win. Throws Error.
-Config FromEnvironment();
-// The same file read anew beside the running configuration: as whole as that, else it is turned down. The
-// environment is as old as the process, so the file's `discovery` wins over $ROUTER_DISCOVERY now. Throws
-// Error.
-Config Reread(const Config& running);
-// The keys in which two configurations differ and that only a restart can change.
-std::vector<std::string> NeedingRestart(const Config& running, const Config& next);
-// From the file's text, without the variables. Throws Error.
-Config FromText(const std::string& text);
-// The same, as a file that stands for itself: what a relay could not work with throws as well.
-Config Checked(const std::string& text);
+// Reads the file that $ROUTER_CONFIG names. The other $ROUTER_ variables override values of the file. Lowers
+// `sockets` to what the system allows. Throws Error.
+Config LoadFromEnvironment();
+// Reads the same file again while `running` is in use. Every key of the running file must be present with the
+// same type. The environment dates from the start of the process, so here the file's `discovery` takes
+// precedence over $ROUTER_DISCOVERY. Throws Error.
+Config Reload(const Config& running);
+// Returns the keys that differ between the configurations and that only a restart can change.
+std::vector<std::string> KeysNeedingRestart(const Config& running, const Config& next);
+// Parses the text of a configuration file without looking at the environment. Throws Error.
+Config Parse(const std::string& text);
+// Parses the text and also requires all values that a relay can't run without, which the environment would
+// otherwise supply. Throws Error.
+Config ParseAndValidate(const std::string& text);
 
 }  // namespace oxbowspread::config
--- a/src/config/shape.cpp
+++ b/src/config/shape.cpp
@@ -14,186 +14,193 @@
 
 using Json = nlohmann::json;
 
-constexpr double kLongestS = 7 * 24 * 3600;
-constexpr double kMostAttempts = 1000;
-constexpr double kMostWhole = 1e9;
+constexpr double kMaxDurationSeconds = 7 * 24 * 3600;
+constexpr double kMaxAttempts = 1000;
+constexpr double kMaxWholeNumber = 1e9;
 
-// What may be absent in one file and present in another: what is new with each start, and what only some
-// effects of a class need.
-const std::set<std::string> kOptional = {"known", "seed", "settings.services.key-scope",
-                                         "settings.services.repeat-window-s",
-                                         "settings.services.one-at-a-time"};
+// Keys that may be absent from a reloaded file: those that change with each start, and those that only some
+// message semantics need.
+const std::set<std::string> kOptionalKeys = {"known", "seed", "settings.services.key-scope",
+                                             "settings.services.repeat-window-s",
+                                             "settings.services.one-at-a-time"};
 
-std::string KindOf(const Json& j) { return j.is_number() ? "number" : j.type_name(); }
+std::string TypeName(const Json& value) { return value.is_number() ? "number" : value.type_name(); }
 
-void Compare(const std::string& path, const Json& running, const Json& next) {
-  if (KindOf(running) != KindOf(next))
-    throw Error(path, "must be a " + KindOf(running) + ", not " + next.dump());
+void CompareStructure(const std::string& path, const Json& running, const Json& next) {
+  if (TypeName(running) != TypeName(next))
+    throw Error(path, "must be a " + TypeName(running) + ", not " + next.dump());
   if (running.is_array() && !running.empty() && running.front().is_object()) {
-    // Each must be as whole as the first of the running ones.
-    for (const Json& item : next) Compare(path, running.front(), item);
+    // Each element must have all keys of the first element of the running array.
+    for (const Json& item : next) CompareStructure(path, running.front(), item);
   }
   if (!running.is_object()) return;
   for (const auto& [key, value] : running.items()) {
-    const std::string inner = path.empty() ? key : path + "." + key;
-    if (kOptional.count(inner) > 0) continue;
+    const std::string key_path = path.empty() ? key : path + "." + key;
+    if (kOptionalKeys.count(key_path) > 0) continue;
     const auto it = next.find(key);
-    if (it == next.end()) throw Error(inner, "is missing");
-    Compare(inner, value, *it);
+    if (it == next.end()) throw Error(key_path, "is missing");
+    CompareStructure(key_path, value, *it);
   }
 }
 
-// What the settings' keys may hold, where they are there; keys that stand nowhere here are passed over.
-enum class Holds {
+// The type of a value in the settings. Keys without a type here are not checked.
+enum class ValueType {
   kAnyNumber,
-  kNumber,
+  kNonNegative,
   kPositive,
-  kWhole,
-  kPositiveWhole,
+  kWholeNumber,
+  kPositiveWholeNumber,
   kBool,
   kText,
-  kTexts,
-  kBools,
-  kNumbers,
-  kWholes
+  kTextList,
+  kBoolList,
+  kNumberList,
+  kWholeNumberList
 };
 
-bool IsAnyNumber(const Json& j) { return j.is_number() && std::isfinite(j.get<double>()); }
-bool IsNumber(const Json& j) { return IsAnyNumber(j) && j.get<double>() >= 0; }
-bool IsWhole(const Json& j) {
-  return IsNumber(j) && j.get<double>() == std::floor(j.get<double>()) && j.get<double>() <= kMostWhole;
+bool IsAnyNumber(const Json& value) { return value.is_number() && std::isfinite(value.get<double>()); }
+bool IsNonNegative(const Json& value) { return IsAnyNumber(value) && value.get<double>() >= 0; }
+bool IsWholeNumber(const Json& value) {
+  return IsNonNegative(value) && value.get<double>() == std::floor(value.get<double>()) &&
+         value.get<double>() <= kMaxWholeNumber;
 }
-bool Each(const Json& j, bool (*holds)(const Json&)) {
-  return j.is_array() && std::all_of(j.begin(), j.end(), holds);
+bool AllElements(const Json& value, bool (*predicate)(const Json&)) {
+  return value.is_array() && std::all_of(value.begin(), value.end(), predicate);
 }
 
-void CheckValue(const std::string& path, const Json& value, Holds holds) {
-  const auto must = [&](bool good, const char* what) {
+void CheckValue(const std::string& path, const Json& value, ValueType type) {
+  const auto require = [&](bool good, const char* what) {
     if (!good) throw Error(path, std::string("must be ") + what + ", not " + value.dump());
   };
-  switch (holds) {
-    case Holds::kAnyNumber:
-      return must(IsAnyNumber(value), "a number");
-    case Holds::kNumber:
-      return must(IsNumber(value), "a number, 0 or more");
-    case Holds::kPositive:
-      return must(IsNumber(value) && value.get<double>() > 0, "a number above 0");
-    case Holds::kWhole:
-      return must(IsWhole(value), "a whole number, 0 or more");
-    case Holds::kPositiveWhole:
-      return must(IsWhole(value) && value.get<double>() > 0, "a whole number above 0");
-    case Holds::kBool:
-      return must(value.is_boolean(), "true or false");
-    case Holds::kText:
-      return must(value.is_string(), "a text");
-    case Holds::kTexts:
-      return must(Each(value, [](const Json& j) { return j.is_string(); }), "a list of texts");
-    case Holds::kBools:
-      return must(Each(value, [](const Json& j) { return j.is_boolean(); }), "a list of true and false");
-    case Holds::kNumbers:
-      return must(Each(value, IsAnyNumber), "a list of numbers");
-    case Holds::kWholes:
-      return must(Each(value, IsWhole), "a list of whole numbers, 0 or more");
+  switch (type) {
+    case ValueType::kAnyNumber:
+      return require(IsAnyNumber(value), "a number");
+    case ValueType::kNonNegative:
+      return require(IsNonNegative(value), "a number, 0 or more");
+    case ValueType::kPositive:
+      return require(IsNonNegative(value) && value.get<double>() > 0, "a number above 0");
+    case ValueType::kWholeNumber:
+      return require(IsWholeNumber(value), "a whole number, 0 or more");
+    case ValueType::kPositiveWholeNumber:
+      return require(IsWholeNumber(value) && value.get<double>() > 0, "a whole number above 0");
+    case ValueType::kBool:
+      return require(value.is_boolean(), "true or false");
+    case ValueType::kText:
+      return require(value.is_string(), "a text");
+    case ValueType::kTextList:
+      return require(AllElements(value, [](const Json& element) { return element.is_string(); }),
+                     "a list of texts");
+    case ValueType::kBoolList:
+      return require(AllElements(value, [](const Json& element) { return element.is_boolean(); }),
+                     "a list of true and false");
+    case ValueType::kNumberList:
+      return require(AllElements(value, IsAnyNumber), "a list of numbers");
+    case ValueType::kWholeNumberList:
+      return require(AllElements(value, IsWholeNumber), "a list of whole numbers, 0 or more");
   }
 }
 
-using Keys = std::vector<std::pair<const char*, Holds>>;
+using KeyTypes = std::vector<std::pair<const char*, ValueType>>;
 
-void CheckKeys(const std::string& path, const Json& object, const Keys& keys) {
+void CheckKeys(const std::string& path, const Json& object, const KeyTypes& keys) {
   if (!object.is_object()) throw Error(path, "must be an object, not " + object.dump());
-  for (const auto& [key, holds] : keys) {
+  for (const auto& [key, type] : keys) {
     const auto it = object.find(key);
-    if (it != object.end()) CheckValue(path + "." + key, *it, holds);
+    if (it != object.end()) CheckValue(path + "." + key, *it, type);
   }
 }
 
-void AtMost(const std::string& path, const Json& object, const char* key, double most) {
+void CheckAtMost(const std::string& path, const Json& object, const char* key, double maximum) {
   const auto it = object.find(key);
-  if (it != object.end() && it->get<double>() > most)
+  if (it != object.end() && it->get<double>() > maximum)
     throw Error(path + "." + key, "is too large: " + it->dump());
 }
 
-void CheckClass(const Json& service, std::set<std::string>* names) {
+void CheckClass(const Json& service, std::set<std::string>* class_names) {
   const auto name = service.is_object() ? service.find("name") : service.end();
-  const bool named = service.is_object() && name != service.end() && name->is_string() && *name != "";
-  if (!named) throw Error("settings.services.name", "a class needs a name");
-  if (!names->insert(*name).second)
+  const bool has_name = service.is_object() && name != service.end() && name->is_string() && *name != "";
+  if (!has_name) throw Error("settings.services.name", "a class needs a name");
+  if (!class_names->insert(*name).second)
     throw Error("settings.services.name", "two classes are named " + name->dump());
   const std::string path = "settings.services." + name->get<std::string>();
   CheckKeys(path, service,
-            {{"deadline-s", Holds::kPositive},
-             {"goal-time-s", Holds::kNumber},
-             {"semantics", Holds::kText},
-             {"key-scope", Holds::kText},
-             {"one-at-a-time", Holds::kBool},
-             {"repeat-window-s", Holds::kNumber},
-             {"worth", Holds::kNumber},
-             {"late-value", Holds::kAnyNumber}});
+            {{"deadline-s", ValueType::kPositive},
+             {"goal-time-s", ValueType::kNonNegative},
+             {"semantics", ValueType::kText},
+             {"key-scope", ValueType::kText},
+             {"one-at-a-time", ValueType::kBool},
+             {"repeat-window-s", ValueType::kNonNegative},
+             {"worth", ValueType::kNonNegative},
+             {"late-value", ValueType::kAnyNumber}});
   for (const char* key : {"deadline-s", "semantics"}) {
     if (service.count(key) == 0) throw Error(path + "." + key, "is missing");
   }
   for (const char* key : {"deadline-s", "goal-time-s", "repeat-window-s"})
-    AtMost(path, service, key, kLongestS);
-  static const std::set<std::string> effects = {"idempotent", "deduplicated", "at_most_once"};
-  if (effects.count(service["semantics"]) == 0)
-    throw Error(path + ".semantics", "is no effect: " + service["semantics"].dump());
+    CheckAtMost(path, service, key, kMaxDurationSeconds);
+  static const std::set<std::string> semantics = {"idempotent", "deduplicated", "at_most_once"};
+  if (semantics.count(service["semantics"]) == 0)
+    throw Error(path + ".semantics",
+                "must be idempotent, deduplicated or at_most_once, not " + service["semantics"].dump());
   if (service["semantics"] == "deduplicated" && !(service.value("repeat-window-s", 0.0) > 0))
     throw Error(path + ".repeat-window-s", "must be above 0 where repeats are dropped by key");
 }
 
 }  // namespace
 
-void CheckShape(const Json& running, const Json& next) { Compare("", running, next); }
+void CheckSameStructure(const Json& running, const Json& next) { CompareStructure("", running, next); }
 
 void CheckSettings(const Json& settings) {
   const std::string path = "settings";
   CheckKeys(path, settings,
-            {{"balancers", Holds::kPositiveWhole},
-             {"rank", Holds::kWhole},
-             {"models", Holds::kTexts},
-             {"zones", Holds::kTexts},
-             {"weights", Holds::kText},
-             {"over-share-worth", Holds::kAnyNumber},
-             {"discovery", Holds::kText},
-             {"tick-s", Holds::kNumber}});
+            {{"balancers", ValueType::kPositiveWholeNumber},
+             {"rank", ValueType::kWholeNumber},
+             {"models", ValueType::kTextList},
+             {"zones", ValueType::kTextList},
+             {"weights", ValueType::kText},
+             {"over-share-worth", ValueType::kAnyNumber},
+             {"discovery", ValueType::kText},
+             {"tick-s", ValueType::kNonNegative}});
   const auto services = settings.find("services");
-  const bool classes = services != settings.end() && services->is_array() && !services->empty();
-  if (!classes) throw Error("settings.services", "must be a list of classes");
-  std::set<std::string> names;
-  for (const Json& service : *services) CheckClass(service, &names);
-  const auto part = [&](const char* key, const Keys& keys) {
+  const bool has_classes = services != settings.end() && services->is_array() && !services->empty();
+  if (!has_classes) throw Error("settings.services", "must be a list of classes");
+  std::set<std::string> class_names;
+  for (const Json& service : *services) CheckClass(service, &class_names);
+  const auto check_section = [&](const char* key, const KeyTypes& keys) {
     const auto it = settings.find(key);
     if (it != settings.end()) CheckKeys(path + "." + key, *it, keys);
     return it == settings.end() ? Json::object() : *it;
   };
-  const Json limits = part("limits", {{"cancel", Holds::kBool},
-                                      {"connect-timeout-s", Holds::kNumber},
-                                      {"keepalive-s", Holds::kNumber},
-                                      {"max-open", Holds::kWhole},
-                                      {"max-retry-after-s", Holds::kNumber},
-                                      {"retry-after", Holds::kBool},
-                                      {"send-cap", Holds::kPositiveWhole},
-                                      {"probing", Holds::kBool},
-                                      {"peers", Holds::kBool}});
-  AtMost("settings.limits", limits, "send-cap", kMostAttempts);
+  const Json limits = check_section("limits", {{"cancel", ValueType::kBool},
+                                               {"connect-timeout-s", ValueType::kNonNegative},
+                                               {"keepalive-s", ValueType::kNonNegative},
+                                               {"max-open", ValueType::kWholeNumber},
+                                               {"max-retry-after-s", ValueType::kNonNegative},
+                                               {"retry-after", ValueType::kBool},
+                                               {"send-cap", ValueType::kPositiveWholeNumber},
+                                               {"probing", ValueType::kBool},
+                                               {"peers", ValueType::kBool}});
+  CheckAtMost("settings.limits", limits, "send-cap", kMaxAttempts);
   for (const char* key : {"connect-timeout-s", "keepalive-s", "max-retry-after-s"})
-    AtMost("settings.limits", limits, key, kLongestS);
-  const Keys times = {{"ask-within-s", Holds::kNumber},   {"cold-s", Holds::kNumber},
-                      {"drain-grace-s", Holds::kNumber},  {"grace-to-answer-s", Holds::kNumber},
-                      {"order-settle-s", Holds::kNumber}, {"tip-after-s", Holds::kNumber},
-                      {"cold-from", Holds::kNumber},      {"fall-multiple", Holds::kNumber}};
-  const Json rules = part("invariants", times);
-  for (const auto& [key, holds] : times) AtMost("settings.invariants", rules, key, kLongestS);
-  part("family-info", {{"calls-out", Holds::kWhole},
-                       {"decay", Holds::kText},
-                       {"refused-price", Holds::kAnyNumber},
-                       {"carriage", Holds::kNumbers},
-                       {"kind-apart", Holds::kBools},
-                       {"bundle-max", Holds::kWholes}});
+    CheckAtMost("settings.limits", limits, key, kMaxDurationSeconds);
+  const KeyTypes times = {
+      {"ask-within-s", ValueType::kNonNegative},   {"cold-s", ValueType::kNonNegative},
+      {"drain-grace-s", ValueType::kNonNegative},  {"grace-to-answer-s", ValueType::kNonNegative},
+      {"order-settle-s", ValueType::kNonNegative}, {"tip-after-s", ValueType::kNonNegative},
+      {"cold-from", ValueType::kNonNegative},      {"fall-multiple", ValueType::kNonNegative}};
+  const Json invariants = check_section("invariants", times);
+  for (const auto& [key, type] : times)
+    CheckAtMost("settings.invariants", invariants, key, kMaxDurationSeconds);
+  check_section("family-info", {{"calls-out", ValueType::kWholeNumber},
+                                {"decay", ValueType::kText},
+                                {"refused-price", ValueType::kAnyNumber},
+                                {"carriage", ValueType::kNumberList},
+                                {"kind-apart", ValueType::kBoolList},
+                                {"bundle-max", ValueType::kWholeNumberList}});
   const Json tenants = settings.value("projects", Json::array());
   if (!tenants.is_array()) throw Error("settings.projects", "must be a list of tenants");
   for (const Json& tenant : tenants) {
-    CheckKeys("settings.projects", tenant, {{"name", Holds::kText}, {"quota-rps", Holds::kNumber}});
+    CheckKeys("settings.projects", tenant,
+              {{"name", ValueType::kText}, {"quota-rps", ValueType::kNonNegative}});
   }
 }
 
--- a/src/config/shape.hpp
+++ b/src/config/shape.hpp
@@ -1,16 +1,18 @@
-// Whether a configuration read anew is whole: it may say other things than the running one, but nothing that
-// the running one says may be missing or of another kind. Pure functions; times in the files are seconds.
+// Structural validation of a configuration file: keys, value types and ranges. Pure functions. Times in the
+// files are seconds.
 #pragma once
 
 #include <nlohmann/json.hpp>
 
 namespace oxbowspread::config {
 
-// Throws Error that names the first key at fault, as a path such as "settings.limits.send-cap".
-void CheckShape(const nlohmann::json& running, const nlohmann::json& next);
+// Checks a reloaded file against the running one: values may differ, but every key of the running file must
+// be present with the same type. Throws Error with the path of the first key at fault, such as
+// "settings.limits.send-cap".
+void CheckSameStructure(const nlohmann::json& running, const nlohmann::json& next);
 
-// What no relay could work with, whatever it runs with: a key that is missing, of another kind or out of
-// range. Keys that the relay doesn't read may hold anything. Throws Error that names the key, as above.
+// Checks the settings on their own: throws Error with the path of the first key that is missing, has the
+// wrong type or is out of range. Keys that the relay doesn't read may hold anything.
 void CheckSettings(const nlohmann::json& settings);
 
 }  // namespace oxbowspread::config
