--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using control::Fault;
+using control::ErrorAnswer;
 using control::NumberOf;
 using control::TextOf;
 using spdlog::level::info;
@@ -71,9 +71,9 @@
     if (agent.name == options_.name) continue;
     const auto address = net::ParseAddress(agent.address);
     callers_[agent.name] = std::make_unique<control::Caller>(
-        loop_, [this, name = agent.name, address](control::Peer::Calls calls) {
+        loop_, [this, name = agent.name, address](control::Peer::Callbacks calls) {
           CheckKeys();
-          return control::Peer::ToTcp(loop_, *address, identity_->ToServer(name), std::move(calls));
+          return control::Peer::ConnectTcp(loop_, *address, identity_->ToServer(name), std::move(calls));
         });
   }
   KeepHands();
@@ -223,9 +223,9 @@
     if (op == "change") return answer(TellChange());
     if (op == "begin") return BeginChange(request, answer);
     if (op == "say") return SayWord(request, answer);
-    answer(Fault("op: unknown: '" + op + "'"));
+    answer(ErrorAnswer("op: unknown: '" + op + "'"));
   } catch (const std::exception& e) {
-    answer(Fault(e.what()));
+    answer(ErrorAnswer(e.what()));
   }
 }
 
@@ -262,8 +262,8 @@
 }
 
 control::Json Agent::LeadMessage(const std::string& from, const Json& request) {
-  if (callers_.count(from) == 0) return Fault("'" + from + "' is no other agent of the group");
-  Json reply = Fault("not on disk");
+  if (callers_.count(from) == 0) return ErrorAnswer("'" + from + "' is no other agent of the group");
+  Json reply = ErrorAnswer("not on disk");
   StepLead({lead::Got{from, lead::MessageFrom(request.at("message"))}}, from, &reply);
   return reply;
 }
@@ -277,12 +277,12 @@
     Note(TextOf(request, "change"), TextOf(request, "instance"),
          "order of " + from + " in epoch " + std::to_string(epoch) + " refused: epoch " +
              std::to_string(durable.promised) + " is promised to " + durable.promised_to);
-    return Fault("fenced: epoch " + std::to_string(durable.promised) + " is promised to " +
-                 durable.promised_to);
+    return ErrorAnswer("fenced: epoch " + std::to_string(durable.promised) + " is promised to " +
+                       durable.promised_to);
   }
   const std::string instance = request.at("instance"), stamp = request.at("stamp");
   const auto hand = hands_.find(instance);
-  Json never = Fault("");
+  Json never = ErrorAnswer("");
   never["never"] = true;
   if (hand == hands_.end()) {
     never["error"] = options_.name + " keeps no instance '" + instance + "'";
@@ -306,7 +306,7 @@
 control::Json Agent::TakeOffer(const Json& request) {
   const std::string instance = request.at("instance"), text = request.at("text");
   const auto hand = hands_.find(instance);
-  if (hand == hands_.end()) return Fault(options_.name + " keeps no instance '" + instance + "'");
+  if (hand == hands_.end()) return ErrorAnswer(options_.name + " keeps no instance '" + instance + "'");
   config::Config next;
   try {
     next = config::ParseAndValidate(text);
@@ -316,7 +316,7 @@
         throw config::Error(key, "must be an IPv4 address and port, not '" + *value + "'");
     }
   } catch (const std::exception& e) {
-    return Fault(instance + ": " + e.what());
+    return ErrorAnswer(instance + ": " + e.what());
   }
   const std::string version = group::VersionOfText(text);
   const std::string from = change::VersionOf(hand->second->keeper().desired().stamp);
@@ -358,7 +358,7 @@
 
 control::Json Agent::NotLeading() {
   const std::string leader = lead_->leader(net::Loop::Now());
-  Json answer = Fault(leader.empty() ? "no agent leads just now" : leader + " leads");
+  Json answer = ErrorAnswer(leader.empty() ? "no agent leads just now" : leader + " leads");
   answer["leader"] = leader;
   return answer;
 }
@@ -380,7 +380,7 @@
     }
     change::Spec any;
     any.targets.emplace_back();
-    return answer(Fault(engine_->Objection(any)));
+    return answer(ErrorAnswer(engine_->Objection(any)));
   }
   if (kind == "reconfigure") return Offer(request, answer);
   change::Spec spec;
@@ -406,14 +406,14 @@
     for (const Json& name : instances) {
       const change::Belief* b = engine_->Fresh(now, name);
       if (group_.Find(name) == nullptr)
-        return answer(Fault("the group has no instance '" + name.get<std::string>() + "'"));
+        return answer(ErrorAnswer("the group has no instance '" + name.get<std::string>() + "'"));
       if (b == nullptr && kind == "restart") {
         const bool new_here = now - leads_since_ < group_.limits.belief_age + kLookAround;
         if (!new_here && deaf->count(group_.Find(name)->agent) > 0)
-          return answer(Fault(name.get<std::string>() + " is unknown: its agent is out of reach"));
+          return answer(ErrorAnswer(name.get<std::string>() + " is unknown: its agent is out of reach"));
         // A new leader, or an agent that is there and has not heard of its relay: whoever asks comes again,
         // as where nobody leads.
-        Json later = Fault("the leader has yet to hear of " + name.get<std::string>());
+        Json later = ErrorAnswer("the leader has yet to hear of " + name.get<std::string>());
         later["leader"] = "";
         return answer(later);
       }
@@ -424,13 +424,14 @@
   } else if (kind == "rollback") {
     const auto& last = engine_->record();
     if (!last || last->spec.kind != change::Kind::kReconfigure || last->state != change::State::kDone) {
-      return answer(Fault("the last change is no finished reconfiguration: there is nothing to roll back"));
+      return answer(
+          ErrorAnswer("the last change is no finished reconfiguration: there is nothing to roll back"));
     }
     spec.kind = change::Kind::kReconfigure;
     for (const change::Target& t : last->spec.targets)
       spec.targets.push_back({t.instance, t.to, t.from, t.reload});
   } else {
-    return answer(Fault("kind: unknown: '" + kind + "'"));
+    return answer(ErrorAnswer("kind: unknown: '" + kind + "'"));
   }
   Launch(std::move(spec), request, answer);
 }
@@ -444,13 +445,13 @@
   };
   auto round = std::make_shared<Round>();
   const Json configs = request.value("configs", Json::object());
-  if (configs.empty()) return answer(Fault("names no instance"));
+  if (configs.empty()) return answer(ErrorAnswer("names no instance"));
   for (const auto& [name, text] : configs.items()) {
-    if (group_.Find(name) == nullptr) return answer(Fault("the group has no instance '" + name + "'"));
+    if (group_.Find(name) == nullptr) return answer(ErrorAnswer("the group has no instance '" + name + "'"));
   }
   round->open = configs.size();
   const auto finish = [this, round, request, answer] {
-    if (!round->fault.empty()) return answer(Fault(round->fault));
+    if (!round->fault.empty()) return answer(ErrorAnswer(round->fault));
     if (!engine_) return answer(NotLeading());
     change::Spec spec;
     spec.kind = change::Kind::kReconfigure;
@@ -483,7 +484,7 @@
   spec.by = TextOf(request, "by");
   spec.request = TextOf(request, "request");
   if (const std::string from = TextOf(request, "from"); !from.empty()) spec.by = from;
-  if (const std::string why = engine_->Objection(spec); !why.empty()) return answer(Fault(why));
+  if (const std::string why = engine_->Objection(spec); !why.empty()) return answer(ErrorAnswer(why));
   if (request.value("dry_run", false)) return answer(Plan(spec));
   StepEngine({change::Begin{spec}});
   AnswerWhenKept(answer);
@@ -509,7 +510,7 @@
   if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeading());
   const std::string word = TextOf(request, "word");
   const auto& record = engine_->record();
-  if (!record || change::Over(record->state)) return answer(Fault("no change is running"));
+  if (!record || change::Over(record->state)) return answer(ErrorAnswer("no change is running"));
   change::Word w{};
   if (word == "pause") {
     w = change::Word::kHold;
@@ -518,7 +519,7 @@
   } else if (word == "abort") {
     w = change::Word::kAbort;
   } else {
-    return answer(Fault("word: unknown: '" + word + "'"));
+    return answer(ErrorAnswer("word: unknown: '" + word + "'"));
   }
   StepEngine({change::Say{w}});
   AnswerWhenKept(answer);
--- a/src/agent/hand.cpp
+++ b/src/agent/hand.cpp
@@ -54,8 +54,8 @@
       note_(std::move(note)),
       keeper_(desired),
       relay_(loop,
-             [this](control::Peer::Calls calls) {
-               return control::Peer::ToUnix(loop_, path(".sock"), std::move(calls));
+             [this](control::Peer::Callbacks calls) {
+               return control::Peer::ConnectUnix(loop_, path(".sock"), std::move(calls));
              }),
       wake_(loop, [this] { Step({}); }),
       alive_(loop, [this] { CheckAlive(); }) {
@@ -161,7 +161,7 @@
     why = e.what();
   }
   if (pid == 0) return Step({supervise::CantSpawn{why}});
-  relay_.Hang("started anew");
+  relay_.Disconnect("started anew");
   Remember(pid, true);
   Step({supervise::Spawned{pid}});
 }
@@ -212,7 +212,7 @@
   }
   running_ = {};
   alive_.Stop();
-  relay_.Hang("the relay has ended");
+  relay_.Disconnect("the relay has ended");
   Step({supervise::Gone{code}});
 }
 
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -322,24 +322,24 @@
     const std::string op = control::TextOf(request, "op");
     if (op == "status") return Status();
     if (op == "reload") {
-      if (const auto why = Reload()) return control::Fault(*why);
+      if (const auto why = Reload()) return control::ErrorAnswer(*why);
       if (request.contains("stamp")) options_.stamp = control::TextOf(request, "stamp");
     } else if (op == "drain") {
-      if (phases_.now() > Phase::kPaused) return control::Fault("is ending already");
-      if (phases_.now() < Phase::kServing) return control::Fault("is not serving yet");
+      if (phases_.now() > Phase::kPaused) return control::ErrorAnswer("is ending already");
+      if (phases_.now() < Phase::kServing) return control::ErrorAnswer("is not serving yet");
       phases_.Enter(Phase::kPaused);
     } else if (op == "resume") {
-      if (phases_.now() > Phase::kPaused) return control::Fault("is ending already");
+      if (phases_.now() > Phase::kPaused) return control::ErrorAnswer("is ending already");
       try {
         phases_.Resume();
       } catch (const std::exception& e) {
         phases_.Enter(Phase::kPaused);
-        return control::Fault("listen: " + config_.listen + ": " + e.what());
+        return control::ErrorAnswer("listen: " + config_.listen + ": " + e.what());
       }
     } else if (op == "stop") {
       phases_.Enter(Phase::kDraining);
     } else {
-      return control::Fault("op: unknown: '" + op + "'");
+      return control::ErrorAnswer("op: unknown: '" + op + "'");
     }
     return Status();
   }
--- a/src/control/frame.cpp
+++ b/src/control/frame.cpp
@@ -3,31 +3,32 @@
 namespace oxbowspread::control {
 
 void FrameReader::Feed(std::string_view bytes) {
-  if (error_.empty()) bytes_ += bytes;
+  if (error_.empty()) buffer_ += bytes;
 }
 
 std::optional<Json> FrameReader::Next() {
   if (!error_.empty()) return std::nullopt;
-  const std::size_t end = bytes_.find('\n', seen_);
-  if (end == bytes_.npos || end > most_) {
-    seen_ = bytes_.size();
-    if (bytes_.size() > most_) error_ = "a frame is longer than " + std::to_string(most_) + " bytes";
+  const std::size_t line_end = buffer_.find('\n', scanned_);
+  if (line_end == buffer_.npos || line_end > max_bytes_) {
+    scanned_ = buffer_.size();
+    if (buffer_.size() > max_bytes_)
+      error_ = "a frame is longer than " + std::to_string(max_bytes_) + " bytes";
     return std::nullopt;
   }
   Json object =
-      Json::parse(bytes_.begin(), bytes_.begin() + static_cast<std::ptrdiff_t>(end), nullptr, false);
-  bytes_.erase(0, end + 1);
-  seen_ = 0;
+      Json::parse(buffer_.begin(), buffer_.begin() + static_cast<std::ptrdiff_t>(line_end), nullptr, false);
+  buffer_.erase(0, line_end + 1);
+  scanned_ = 0;
   if (object.is_object()) return object;
   error_ = "a frame is no JSON object";
   return std::nullopt;
 }
 
-std::string Frame(const Json& object) {
+std::string EncodeFrame(const Json& object) {
   return object.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-Json Fault(const std::string& why) { return {{"ok", false}, {"error", why}}; }
+Json ErrorAnswer(const std::string& why) { return {{"ok", false}, {"error", why}}; }
 
 std::string TextOf(const Json& object, const char* key) {
   const auto it = object.find(key);
--- a/src/control/frame.hpp
+++ b/src/control/frame.hpp
@@ -1,4 +1,4 @@
-// The control protocol's frames: one JSON object a line. Fed bytes; knows no socket.
+// Frames of the control protocol: one JSON object per line. Does no input or output of its own.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,32 +10,34 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kMostFrame = 4u << 20;  // bytes of one line
+constexpr std::size_t kMaxFrameBytes = 4u << 20;
 
+// Splits a byte stream into frames. An error is permanent: nothing can be read after it.
 class FrameReader {
  public:
-  explicit FrameReader(std::size_t most = kMostFrame) : most_(most) {}
-  // Takes all of it. What was bad stays bad.
+  explicit FrameReader(std::size_t max_bytes = kMaxFrameBytes) : max_bytes_(max_bytes) {}
+  // Appends all of `bytes` to the input; ignores them after an error.
   void Feed(std::string_view bytes);
-  // The next whole object; nothing when more bytes are needed or the input is bad.
+  // Returns the next complete object, or nothing if more bytes are needed or there was an error.
   std::optional<Json> Next();
-  // Why the stream can't be read on, in words; empty while it can.
+  // Describes why the stream can't be read any further; empty if it can.
   const std::string& error() const { return error_; }
 
  private:
-  std::size_t most_;
-  std::string bytes_;
-  std::size_t seen_ = 0;  // without a line's end
+  std::size_t max_bytes_;
+  std::string buffer_;
+  std::size_t scanned_ = 0;  // leading bytes of the buffer that hold no line end
   std::string error_;
 };
 
-std::string Frame(const Json& object);
+// Returns the object as one frame, with its line end.
+std::string EncodeFrame(const Json& object);
 
-// {"ok":false,"error":why}
-Json Fault(const std::string& why);
-// The text at a key; empty where there is none or it is no text.
+// Returns the answer {"ok":false,"error":why}.
+Json ErrorAnswer(const std::string& why);
+// Returns the string at a key; empty if the key is missing or holds another type.
 std::string TextOf(const Json& object, const char* key);
-// The whole number at a key, or the default.
+// Returns the integer at a key; `absent` if the key is missing or holds another type.
 std::int64_t NumberOf(const Json& object, const char* key, std::int64_t absent = 0);
 
 }  // namespace oxbowspread::control
--- a/src/control/peer.cpp
+++ b/src/control/peer.cpp
@@ -2,25 +2,25 @@
 
 namespace oxbowspread::control {
 namespace {
-constexpr std::size_t kRing = kMostFrame + (1u << 20);
+constexpr std::size_t kReceiveBufferBytes = kMaxFrameBytes + (1u << 20);
 }  // namespace
 
-Peer::Peer(net::Loop& loop, int fd, std::unique_ptr<Filter> filter, Calls calls)
-    : Peer(std::move(filter), std::move(calls)) {
-  connection_ = std::make_unique<net::Connection>(loop, fd, *this, kRing);
+Peer::Peer(net::Loop& loop, int fd, std::unique_ptr<Filter> filter, Callbacks callbacks)
+    : Peer(std::move(filter), std::move(callbacks)) {
+  connection_ = std::make_unique<net::Connection>(loop, fd, *this, kReceiveBufferBytes);
   if (filter_) connection_->Send(filter_->Begin());
 }
 
-std::unique_ptr<Peer> Peer::ToTcp(net::Loop& loop, const net::Address& to, std::unique_ptr<Filter> filter,
-                                  Calls calls) {
-  std::unique_ptr<Peer> peer(new Peer(std::move(filter), std::move(calls)));
-  peer->connection_ = net::Connection::Open(loop, to, *peer, kRing);
+std::unique_ptr<Peer> Peer::ConnectTcp(net::Loop& loop, const net::Address& address,
+                                       std::unique_ptr<Filter> filter, Callbacks callbacks) {
+  std::unique_ptr<Peer> peer(new Peer(std::move(filter), std::move(callbacks)));
+  peer->connection_ = net::Connection::Open(loop, address, *peer, kReceiveBufferBytes);
   return peer->connection_ ? std::move(peer) : nullptr;
 }
 
-std::unique_ptr<Peer> Peer::ToUnix(net::Loop& loop, const std::string& path, Calls calls) {
-  std::unique_ptr<Peer> peer(new Peer(nullptr, std::move(calls)));
-  peer->connection_ = net::Connection::OpenUnix(loop, path, *peer, kRing);
+std::unique_ptr<Peer> Peer::ConnectUnix(net::Loop& loop, const std::string& path, Callbacks callbacks) {
+  std::unique_ptr<Peer> peer(new Peer(nullptr, std::move(callbacks)));
+  peer->connection_ = net::Connection::OpenUnix(loop, path, *peer, kReceiveBufferBytes);
   return peer->connection_ ? std::move(peer) : nullptr;
 }
 
@@ -30,51 +30,51 @@
 }
 
 void Peer::Send(const Json& object) {
-  if (over_) return;
-  waiting_ += Frame(object);
+  if (closed_) return;
+  unsent_ += EncodeFrame(object);
   Flush();
 }
 
 void Peer::Flush() {
-  if (over_ || waiting_.empty() || (filter_ && !filter_->open())) return;
-  const std::string plain = std::exchange(waiting_, {});
-  // A connection that takes no more is lost; its end is told from the loop.
+  if (closed_ || unsent_.empty() || (filter_ && !filter_->open())) return;
+  const std::string plain = std::exchange(unsent_, {});
+  // A connection that can't take the bytes has failed; the loop reports that through OnClosed().
   connection_->Send(filter_ ? filter_->Seal(plain) : plain);
 }
 
 void Peer::OnBytes(proto::RingBuffer& in) {
   std::string plain, reply;
-  bool good = true;
-  while (!in.empty() && good) {
+  bool valid = true;
+  while (!in.empty() && valid) {
     const std::string_view front = in.Front();
     if (filter_) {
-      good = filter_->Feed(front, &plain, &reply);
+      valid = filter_->Feed(front, &plain, &reply);
     } else {
       plain += front;
     }
     in.Consume(front.size());
   }
   if (!reply.empty()) connection_->Send(reply);
-  if (!good) return Lose(filter_->error());
+  if (!valid) return Fail(filter_->error());
   Flush();
   reader_.Feed(plain);
-  while (!over_) {
+  while (!closed_) {
     auto object = reader_.Next();
     if (!object) break;
-    calls_.frame(std::move(*object));
+    callbacks_.on_frame(std::move(*object));
   }
-  if (!over_ && !reader_.error().empty()) Lose(reader_.error());
+  if (!closed_ && !reader_.error().empty()) Fail(reader_.error());
 }
 
 void Peer::Close() {
-  over_ = true;
+  closed_ = true;
   if (connection_) connection_->Close();
 }
 
-void Peer::Lose(const std::string& why) {
-  if (over_) return;
+void Peer::Fail(const std::string& why) {
+  if (closed_) return;
   Close();
-  calls_.closed(why);
+  callbacks_.on_closed(why);
 }
 
 }  // namespace oxbowspread::control
--- a/src/control/peer.hpp
+++ b/src/control/peer.hpp
@@ -1,4 +1,4 @@
-// One side of a control connection: frames over a stream, through a filter where the stream is not trusted.
+// One end of a control connection: frames over a stream, through a TLS filter on untrusted networks.
 #pragma once
 
 #include <functional>
@@ -10,55 +10,59 @@
 
 namespace oxbowspread::control {
 
-// What stands between the bytes on the wire and those of the frames, such as TLS. Fed bytes; knows no socket.
+// Translates between the bytes on the wire and those of the frames, as TLS does. Does no input or output.
 class Filter {
  public:
   virtual ~Filter() = default;
-  // What is to be written first of all.
+  // Returns the bytes to send before anything else.
   virtual std::string Begin() = 0;
-  // Takes all of `wire`; appends what it meant to `plain` and what must be answered to `reply`. False: the
-  // connection must be closed after `reply`, and error() says why.
+  // Consumes all of `wire`. Appends decoded bytes to `plain` and bytes that must be sent back to `reply`.
+  // Returns false if the connection must be closed after sending `reply`; error() then says why.
   virtual bool Feed(std::string_view wire, std::string* plain, std::string* reply) = 0;
-  // Both sides know each other; before that nothing may be sealed.
+  // Whether the handshake is complete, with both sides authenticated. Seal() may be called only then.
   virtual bool open() const = 0;
+  // Returns the wire bytes for `plain`.
   virtual std::string Seal(std::string_view plain) = 0;
-  // Who the other side has proved to be; empty before open().
+  // The authenticated name of the other side; empty until open().
   virtual std::string peer() const = 0;
   virtual std::string error() const = 0;
 };
 
+// A control connection that sends and receives JSON objects. All callbacks come from the loop.
 class Peer final : public net::Connection::User {
  public:
-  struct Calls {
-    std::function<void(Json)> frame;
-    // Once, and not after Close(); `why` is empty where the other side simply ended it.
-    std::function<void(const std::string& why)> closed;
+  struct Callbacks {
+    std::function<void(Json)> on_frame;
+    // Called once, and not after Close(). `why` is empty if the other side closed the connection normally.
+    std::function<void(const std::string& why)> on_closed;
   };
 
-  // Both take a filter or none. Frames sent before the filter is open wait for it.
-  Peer(net::Loop& loop, int fd, std::unique_ptr<Filter> filter, Calls calls);
-  static std::unique_ptr<Peer> ToTcp(net::Loop& loop, const net::Address& to, std::unique_ptr<Filter> filter,
-                                     Calls calls);
-  static std::unique_ptr<Peer> ToUnix(net::Loop& loop, const std::string& path, Calls calls);
+  // Takes over an accepted connection. `filter` may be null. Frames sent before it is open are queued.
+  Peer(net::Loop& loop, int fd, std::unique_ptr<Filter> filter, Callbacks callbacks);
+  // Connect to an address or to a Unix-domain socket; null if the attempt fails at once.
+  static std::unique_ptr<Peer> ConnectTcp(net::Loop& loop, const net::Address& address,
+                                          std::unique_ptr<Filter> filter, Callbacks callbacks);
+  static std::unique_ptr<Peer> ConnectUnix(net::Loop& loop, const std::string& path, Callbacks callbacks);
 
   void Send(const Json& object);
   void Close();
-  // Who it is by its certificate; empty without a filter or before it is open.
+  // The name in the other side's certificate; empty without a filter or until it is open.
   std::string name() const { return filter_ && filter_->open() ? filter_->peer() : std::string(); }
 
  private:
-  Peer(std::unique_ptr<Filter> filter, Calls calls) : filter_(std::move(filter)), calls_(std::move(calls)) {}
+  Peer(std::unique_ptr<Filter> filter, Callbacks callbacks)
+      : filter_(std::move(filter)), callbacks_(std::move(callbacks)) {}
   void OnConnected() override;
   void OnBytes(proto::RingBuffer& in) override;
-  void OnClosed() override { Lose({}); }
+  void OnClosed() override { Fail({}); }
   void Flush();
-  void Lose(const std::string& why);
+  void Fail(const std::string& why);
 
   std::unique_ptr<Filter> filter_;
-  Calls calls_;
+  Callbacks callbacks_;
   FrameReader reader_;
-  std::string waiting_;  // plain, until the filter is open
-  bool over_ = false;
+  std::string unsent_;  // frames not yet passed to the filter, which is not open
+  bool closed_ = false;
   std::unique_ptr<net::Connection> connection_;
 };
 
--- a/src/control/server.hpp
+++ b/src/control/server.hpp
@@ -1,4 +1,4 @@
-// Answers requests on control connections, and makes them: one answer for each request, in any order.
+// Server and client of the control protocol: one answer for each request, in any order.
 #pragma once
 
 #include <functional>
@@ -10,73 +10,76 @@
 
 namespace oxbowspread::control {
 
-// Called once, now or later; does nothing when whoever asked has left.
+// Sends the answer to a request. Called once, during the handler or later. Does nothing if the client has
+// disconnected.
 using Answer = std::function<void(Json)>;
-// A request carries its asker's "id", which the answer carries again.
+// Handles a request. The request's "id" is copied into the answer by the server.
 using Handler = std::function<void(const Json& request, const Answer& answer)>;
 
+// Listens for control connections and passes their requests to a handler.
 class Server {
  public:
-  // At a Unix-domain socket only this user may open. Throws std::system_error.
+  // Listens at a Unix-domain socket that only this user may open. Throws std::system_error.
   Server(net::Loop& loop, const std::string& path, Handler handler);
-  // At a TCP address, each connection through a filter; the request gets the other side's proven name as
-  // "from". `refused` hears why a connection was turned away. Throws std::system_error.
+  // Listens at a TCP address. Each connection gets a filter of its own, and each request gets the client's
+  // authenticated name as "from". `on_refused` is called with the reason when a connection is closed for an
+  // error or a timeout. Throws std::system_error.
   Server(net::Loop& loop, const net::Address& address, std::function<std::unique_ptr<Filter>()> filter,
-         Handler handler, std::function<void(const std::string& why)> refused);
+         Handler handler, std::function<void(const std::string& why)> on_refused);
 
  private:
-  // One that never gets to ask, or asks nothing more, gives its place up.
-  static constexpr net::Time kFirstWithin = std::chrono::seconds(3);
-  static constexpr std::size_t kMost = 128;
-  struct Seat {
+  // A connection that sends no request within this time is closed, so that it doesn't hold a descriptor.
+  static constexpr net::Time kFirstRequestTimeout = std::chrono::seconds(3);
+  static constexpr std::size_t kMaxSessions = 128;
+  struct Session {
     std::unique_ptr<Peer> peer;
-    std::unique_ptr<net::Timer> silent;
-    bool asked = false;
+    std::unique_ptr<net::Timer> first_request_timer;
+    bool has_requested = false;
   };
 
   void Accept(int fd);
-  void Ask(std::uint64_t number, Json request);
-  void Leave(std::uint64_t number, const std::string& why);
+  void HandleRequest(std::uint64_t session_id, Json request);
+  void EndSession(std::uint64_t session_id, const std::string& why);
 
   net::Loop& loop_;
   std::function<std::unique_ptr<Filter>()> filter_;
   Handler handler_;
-  std::function<void(const std::string&)> refused_;
-  std::map<std::uint64_t, Seat> seats_;
-  std::uint64_t next_ = 1;
+  std::function<void(const std::string&)> on_refused_;
+  std::map<std::uint64_t, Session> sessions_;
+  std::uint64_t next_session_id_ = 1;
   std::shared_ptr<Server*> self_ = std::make_shared<Server*>(this);
   net::Listener listener_;
 };
 
-// The asking side: one connection, opened when needed and again after it ended.
+// Client side: one connection, opened by the first call and again by the next call after it has ended.
 class Caller {
  public:
-  using Open = std::function<std::unique_ptr<Peer>(Peer::Calls)>;
-  // An answer, or nothing and why.
+  using Connector = std::function<std::unique_ptr<Peer>(Peer::Callbacks)>;
+  // Gets the answer, or null and the reason of the failure.
   using Done = std::function<void(const Json* answer, const std::string& why)>;
 
-  Caller(net::Loop& loop, Open open) : loop_(loop), open_(std::move(open)) {}
+  Caller(net::Loop& loop, Connector connector) : loop_(loop), connector_(std::move(connector)) {}
   ~Caller();
   Caller(const Caller&) = delete;
   Caller& operator=(const Caller&) = delete;
 
-  // `done` comes once, from the loop, within `limit`, unless this is destroyed before.
+  // Sends a request. `done` is called once, from the loop, within `limit`; never after this is destroyed.
   void Call(Json request, net::Time limit, Done done);
-  // Ends the connection; what is out fails. The next call opens a new one.
-  void Hang(const std::string& why);
+  // Closes the connection and fails all pending calls with `why`. The next call opens a new connection.
+  void Disconnect(const std::string& why);
 
  private:
-  struct Out {
+  struct PendingCall {
     Done done;
-    std::unique_ptr<net::Timer> late;
+    std::unique_ptr<net::Timer> timeout;
   };
-  void Finish(std::int64_t id, const Json* answer, const std::string& why);
+  void Complete(std::int64_t id, const Json* answer, const std::string& why);
 
   net::Loop& loop_;
-  Open open_;
+  Connector connector_;
   std::unique_ptr<Peer> peer_;
-  std::map<std::int64_t, Out> out_;
-  std::int64_t next_ = 1;
+  std::map<std::int64_t, PendingCall> pending_;
+  std::int64_t next_call_id_ = 1;
 };
 
 }  // namespace oxbowspread::control
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -19,10 +19,10 @@
     if (!socket.empty() && !agents_.empty()) break;
     agents_.push_back(socket.empty() ? agent.name : "agent");
     callers_[agents_.back()] =
-        std::make_unique<control::Caller>(loop_, [this, agent, socket](control::Peer::Calls calls) {
-          if (!socket.empty()) return control::Peer::ToUnix(loop_, socket, std::move(calls));
-          return control::Peer::ToTcp(loop_, *net::ParseAddress(agent.address),
-                                      identity_->ToServer(agent.name), std::move(calls));
+        std::make_unique<control::Caller>(loop_, [this, agent, socket](control::Peer::Callbacks calls) {
+          if (!socket.empty()) return control::Peer::ConnectUnix(loop_, socket, std::move(calls));
+          return control::Peer::ConnectTcp(loop_, *net::ParseAddress(agent.address),
+                                           identity_->ToServer(agent.name), std::move(calls));
         });
   }
 }
--- a/tests/group/files_test.cpp
+++ b/tests/group/files_test.cpp
@@ -265,7 +265,7 @@
 
 TEST_CASE("frames are read at any cut: what is no object, or too long, ends the stream for good") {
   control::FrameReader r(64);
-  const std::string text = control::Frame({{"a", 1}}) + control::Frame({{"b", "x\ny"}});
+  const std::string text = control::EncodeFrame({{"a", 1}}) + control::EncodeFrame({{"b", "x\ny"}});
   std::vector<control::Json> got;
   for (const char byte : text) {
     r.Feed(std::string(1, byte));
--- a/tests/group/group_process_test.cpp
+++ b/tests/group/group_process_test.cpp
@@ -153,9 +153,9 @@
     const std::size_t at = text.find('"', text.find("name: " + to));
     return text.substr(at + 1, text.find('"', at + 1) - at - 1);
   }();
-  control::Caller caller(rig.loop, [&](control::Peer::Calls calls) {
-    return control::Peer::ToTcp(rig.loop, *net::ParseAddress(address), as_agent.ToServer(to),
-                                std::move(calls));
+  control::Caller caller(rig.loop, [&](control::Peer::Callbacks calls) {
+    return control::Peer::ConnectTcp(rig.loop, *net::ParseAddress(address), as_agent.ToServer(to),
+                                     std::move(calls));
   });
   Json answer;
   caller.Call({{"op", "order"},
--- a/tests/group/rig.cpp
+++ b/tests/group/rig.cpp
@@ -49,8 +49,8 @@
   identity_.emplace(folder + "/keys", "operator");
   for (const group::Agent& a : group::Read(site.group_file).agents) {
     callers_[a.name] = std::make_unique<control::Caller>(
-        loop, [this, name = a.name, address = *net::ParseAddress(a.address)](control::Peer::Calls calls) {
-          return control::Peer::ToTcp(loop, address, identity_->ToServer(name), std::move(calls));
+        loop, [this, name = a.name, address = *net::ParseAddress(a.address)](control::Peer::Callbacks calls) {
+          return control::Peer::ConnectTcp(loop, address, identity_->ToServer(name), std::move(calls));
         });
   }
 }
@@ -110,7 +110,7 @@
   if (number != SIGKILL && number != SIGTERM) return;
   waitpid(pid, nullptr, 0);
   agents_[agent] = 0;
-  callers_.at(agent)->Hang("ended");
+  callers_.at(agent)->Disconnect("ended");
 }
 
 bool GroupRig::AgentRuns(const std::string& name) {
