--- a/src/apps/arguments.hpp
+++ b/src/apps/arguments.hpp
@@ -1,4 +1,4 @@
-// What all programs do with their arguments.
+// Command-line parsing that all programs share.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,17 +7,18 @@
 
 namespace oxbowspread::apps {
 
-constexpr int kBadInput = 2;  // exit code: wrong arguments, or a file that can't be used; nothing was changed
+constexpr int kExitBadInput = 2;  // exit code: invalid arguments or an unusable file; nothing was changed
 
-// Reads them into what `app` is bound to. Nothing if the program is to go on; else its exit code, with the
-// help or the version on standard output, or one line that names the fault on standard error.
+// Parses the arguments into the variables that are bound to `app`. Returns nothing if the program should go
+// on, otherwise its exit code, after printing the help or version to standard output or a one-line error to
+// standard error.
 inline std::optional<int> Parse(CLI::App& app, const char* program, int argc, char** argv) {
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
     if (e.get_exit_code() == 0) return app.exit(e);
     std::cerr << program << ": " << e.what() << "\n";
-    return kBadInput;
+    return kExitBadInput;
   }
   return std::nullopt;
 }
--- a/src/apps/oxbowagent.cpp
+++ b/src/apps/oxbowagent.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 using namespace oxbowspread;
-using apps::kBadInput;
+using apps::kExitBadInput;
 constexpr int kFolderLocked = 3;
 }  // namespace
 
@@ -56,7 +56,7 @@
     return kFolderLocked;
   } catch (const std::exception& e) {
     std::cerr << "oxbowagent: " << e.what() << "\n";
-    return kBadInput;
+    return kExitBadInput;
   }
   return 0;
 }
--- a/src/apps/oxbowctl.cpp
+++ b/src/apps/oxbowctl.cpp
@@ -19,7 +19,7 @@
 using namespace oxbowspread;
 using control::Json;
 
-using apps::kBadInput;
+using apps::kExitBadInput;
 constexpr int kRefused = 1, kOutOfReach = 3;
 constexpr net::Time kPatience = 10s;  // for a leader to be found
 constexpr net::Time kAnswerWithin = 2s;
@@ -371,6 +371,6 @@
     return kOutOfReach;
   } catch (const std::exception& e) {
     std::cerr << "oxbowctl: " << e.what() << "\n";
-    return kBadInput;
+    return kExitBadInput;
   }
 }
--- a/src/apps/oxbowfloor.cpp
+++ b/src/apps/oxbowfloor.cpp
@@ -1,6 +1,7 @@
-// The floor below a relay's cost: reads a message, writes three records, calls the next host of its
-// destination, and answers, with the relay's own loop, rings and parsers. Decides nothing, keeps no promise,
-// and is started in a relay's place by `oxbowlab run --relay` to see what the system calls alone cost.
+// oxbowfloor: the baseline for a relay's processing cost. For each message it reads the command, writes three
+// records, calls the next host of the destination and answers, with the relay's own loop, ring buffers and
+// parsers. It makes no decisions and gives no delivery guarantees. `oxbowlab run --relay` starts it in place
+// of a relay to measure what the system calls alone cost.
 #include <fcntl.h>
 #include <signal.h>
 #include <unistd.h>
@@ -21,14 +22,15 @@
 
 using namespace oxbowspread;
 
-constexpr std::size_t kRecord = 48;  // of an attempt's begin, and of an end
-constexpr off_t kMostFile = 2'000'000;
+constexpr std::size_t kAttemptRecordBytes = 48;  // size of the record of an attempt's start, and of its end
+constexpr off_t kMaxFileBytes = 2'000'000;
 
-class Floor;
+class BaselineRelay;
 
-class Line final : public net::Connection::User {
+// One HTTP connection to a host.
+class HostConnection final : public net::Connection::User {
  public:
-  Line(Floor& floor, int destination, const net::Address& to);
+  HostConnection(BaselineRelay& relay, int destination, const net::Address& address);
   void Call(std::string text);
   bool open() const { return connection_ != nullptr; }
 
@@ -37,82 +39,86 @@
   void OnBytes(proto::RingBuffer& in) override;
   void OnClosed() override;
 
-  Floor& floor_;
+  BaselineRelay& relay_;
   int destination_;
   std::unique_ptr<net::Connection> connection_;
   std::string text_;
 };
 
+// One client connection.
 class Client final : public net::Connection::User {
  public:
-  Client(Floor& floor, net::Loop& loop, int fd) : floor_(floor), connection_(loop, fd, *this) {}
-  void Say(const char* text) { connection_.Send(text); }
+  Client(BaselineRelay& relay, net::Loop& loop, int fd) : relay_(relay), connection_(loop, fd, *this) {}
+  void Send(const char* text) { connection_.Send(text); }
 
  private:
   void OnBytes(proto::RingBuffer& in) override;
   void OnClosed() override;
 
-  Floor& floor_;
+  BaselineRelay& relay_;
   proto::RespParser parser_;
   net::Connection connection_;
 };
 
-class Floor {
+// Listens for clients and calls the hosts of the configuration's `known` list.
+class BaselineRelay {
  public:
-  explicit Floor(const nlohmann::json& config)
+  explicit BaselineRelay(const nlohmann::json& config)
       : file_(open((config.at("state").get<std::string>() + "/floor").c_str(), O_RDWR | O_CREAT | O_CLOEXEC,
                    0600)),
-        end_(loop, SIGTERM, [this] { loop.Stop(); }) {
+        terminate_signal_(loop, SIGTERM, [this] { loop.Stop(); }) {
     for (const auto& server : config.at("known").at("servers")) {
       hosts_[server.at("cell")].push_back(*net::ParseAddress(server.at("addr").get<std::string>()));
     }
     listener_ = std::make_unique<net::Listener>(
         loop, *net::ParseAddress(config.at("listen").get<std::string>()), [this](int fd) {
           auto client = std::make_unique<Client>(*this, loop, fd);
-          Client* const made = client.get();
-          clients_[made] = std::move(client);
+          Client* const created = client.get();
+          clients_[created] = std::move(client);
         });
   }
 
-  void Write(std::size_t bytes) {
+  void WriteRecord(std::size_t bytes) {
     const std::string record(bytes, 'r');
-    if (lseek(file_, 0, SEEK_CUR) > kMostFile) lseek(file_, 0, SEEK_SET);
-    if (write(file_, record.data(), record.size()) < 0) std::cerr << "floor: a record was not written\n";
+    if (lseek(file_, 0, SEEK_CUR) > kMaxFileBytes) lseek(file_, 0, SEEK_SET);
+    if (write(file_, record.data(), record.size()) < 0) std::cerr << "oxbowfloor: a record was not written\n";
   }
 
-  void Put(std::vector<std::string> command, Client& from) {
-    const journal::Message a = client::ReadPut(std::move(command), net::Loop::UnixNow());
-    Write(a.body.size() + 100);
-    from.Say("+OK\r\n");
-    Write(kRecord);
-    std::string text =
-        "POST /inbox HTTP/1.1\r\nHost: floor\r\nX-Request-ID: " + a.id + "\r\nIdempotency-Key: " + a.key +
-        "\r\nX-Timeout: 1500m\r\nContent-Length: " + std::to_string(a.body.size()) + "\r\n\r\n" + a.body;
-    const int destination = static_cast<int>(a.destination);
-    auto& idle = idle_[destination];
-    if (!idle.empty()) {
-      Line* const line = idle.back();
-      idle.pop_back();
-      return line->Call(std::move(text));
+  void HandlePut(std::vector<std::string> command, Client& client) {
+    const journal::Message message = client::ReadPut(std::move(command), net::Loop::UnixNow());
+    WriteRecord(message.body.size() + 100);
+    client.Send("+OK\r\n");
+    WriteRecord(kAttemptRecordBytes);
+    std::string text = "POST /inbox HTTP/1.1\r\nHost: floor\r\nX-Request-ID: " + message.id +
+                       "\r\nIdempotency-Key: " + message.key +
+                       "\r\nX-Timeout: 1500m\r\nContent-Length: " + std::to_string(message.body.size()) +
+                       "\r\n\r\n" + message.body;
+    const int destination = static_cast<int>(message.destination);
+    auto& idle_connections = idle_connections_[destination];
+    if (!idle_connections.empty()) {
+      HostConnection* const connection = idle_connections.back();
+      idle_connections.pop_back();
+      return connection->Call(std::move(text));
     }
     const auto& hosts = hosts_.at(destination);
-    auto line = std::make_unique<Line>(*this, destination, hosts[next_++ % hosts.size()]);
-    if (!line->open()) return;
-    Line* const made = line.get();
-    lines_[made] = std::move(line);
-    made->Call(std::move(text));
+    auto connection =
+        std::make_unique<HostConnection>(*this, destination, hosts[next_host_++ % hosts.size()]);
+    if (!connection->open()) return;
+    HostConnection* const created = connection.get();
+    host_connections_[created] = std::move(connection);
+    created->Call(std::move(text));
   }
 
-  void Answered(Line& line, int destination) {
-    Write(kRecord);
-    idle_[destination].push_back(&line);
+  void OnAnswer(HostConnection& connection, int destination) {
+    WriteRecord(kAttemptRecordBytes);
+    idle_connections_[destination].push_back(&connection);
   }
-  void Gone(Line& line, int destination) {
-    std::erase(idle_[destination], &line);
-    loop.Dispose(std::move(lines_.at(&line)));
-    lines_.erase(&line);
+  void Remove(HostConnection& connection, int destination) {
+    std::erase(idle_connections_[destination], &connection);
+    loop.Dispose(std::move(host_connections_.at(&connection)));
+    host_connections_.erase(&connection);
   }
-  void Gone(Client& client) {
+  void Remove(Client& client) {
     loop.Dispose(std::move(clients_.at(&client)));
     clients_.erase(&client);
   }
@@ -121,30 +127,32 @@
 
  private:
   int file_;
-  net::Signal end_;
+  net::Signal terminate_signal_;
   std::unique_ptr<net::Listener> listener_;
   std::map<int, std::vector<net::Address>> hosts_;
-  std::map<int, std::vector<Line*>> idle_;
-  std::map<Line*, std::unique_ptr<Line>> lines_;
+  std::map<int, std::vector<HostConnection*>> idle_connections_;
+  std::map<HostConnection*, std::unique_ptr<HostConnection>> host_connections_;
   std::map<Client*, std::unique_ptr<Client>> clients_;
-  std::size_t next_ = 0;
+  std::size_t next_host_ = 0;
 };
 
-Line::Line(Floor& floor, int destination, const net::Address& to)
-    : floor_(floor), destination_(destination), connection_(net::Connection::Open(floor.loop, to, *this)) {}
+HostConnection::HostConnection(BaselineRelay& relay, int destination, const net::Address& address)
+    : relay_(relay),
+      destination_(destination),
+      connection_(net::Connection::Open(relay.loop, address, *this)) {}
 
-void Line::Call(std::string text) {
+void HostConnection::Call(std::string text) {
   text_ = std::move(text);
   if (connection_->connected()) connection_->Send(text_);
 }
 
-// The stand-ins' answers come whole and have no body.
-void Line::OnBytes(proto::RingBuffer& in) {
+// The stand-in endpoints send each answer in one piece and without a body.
+void HostConnection::OnBytes(proto::RingBuffer& in) {
   in.Consume(in.size());
-  floor_.Answered(*this, destination_);
+  relay_.OnAnswer(*this, destination_);
 }
 
-void Line::OnClosed() { floor_.Gone(*this, destination_); }
+void HostConnection::OnClosed() { relay_.Remove(*this, destination_); }
 
 void Client::OnBytes(proto::RingBuffer& in) {
   while (!in.empty()) {
@@ -152,14 +160,14 @@
     if (parser_.state() != proto::RespParser::State::kCommand) continue;
     std::vector<std::string> command = parser_.Take();
     if (command[0] == "PING") {
-      Say("+PONG\r\n");
+      Send("+PONG\r\n");
     } else {
-      floor_.Put(std::move(command), *this);
+      relay_.HandlePut(std::move(command), *this);
     }
   }
 }
 
-void Client::OnClosed() { floor_.Gone(*this); }
+void Client::OnClosed() { relay_.Remove(*this); }
 
 }  // namespace
 
@@ -167,8 +175,8 @@
   try {
     const char* const path = std::getenv("ROUTER_CONFIG");
     std::ifstream file(path != nullptr ? path : "");
-    Floor floor(nlohmann::json::parse(file));
-    floor.loop.Run();
+    BaselineRelay relay(nlohmann::json::parse(file));
+    relay.loop.Run();
     return 0;
   } catch (const std::exception& e) {
     std::cerr << "oxbowfloor: " << e.what() << "\n";
--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -473,6 +473,6 @@
     return 0;
   } catch (const std::exception& e) {
     std::cerr << "oxbowlab: " << e.what() << "\n";
-    return apps::kBadInput;
+    return apps::kExitBadInput;
   }
 }
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -1,4 +1,5 @@
-// oxbowspread: one relay. Wires the parts together and walks them through their phases.
+// oxbowspread: one relay process. Creates the components, connects them and runs them through the phases from
+// start to exit.
 #include <unistd.h>
 
 #include <algorithm>
@@ -38,28 +39,28 @@
 using relay::kLookEach;
 using relay::kSettleAt;
 using relay::kStopAt;
-constexpr net::Time kPausedLookEach = 100ms;
-// A new process is wanted ready 6 s after its start; the old one may be a moment from being able to give
-// over.
-constexpr handover::Limit kTakeWithin = 5s;
+constexpr net::Time kPausedCheckInterval = 100ms;
+// A new process must be ready 6 s after its start; the old one may need a moment before it can hand over.
+constexpr handover::Limit kTakeoverTimeout = 5s;
 
 static_assert(config::Config::kManagementDescriptors == door::Door::kDescriptors,
-              "set apart as many as the door takes");
+              "the configuration must reserve as many descriptors as the management listener uses");
 
-// Exit codes. 1: something that can't work, by README's rule for the start.
-using apps::kBadInput;
-constexpr int kFolderLocked = 3;  // another process holds the state folder
+// Exit codes, besides 1 for any other failure to start.
+using apps::kExitBadInput;
+constexpr int kExitFolderLocked = 3;  // another process has locked the state folder
 
-// What operators add on the command line; all of it is off by default.
+// Command-line options, all optional.
 struct Options {
-  char** argv = nullptr;  // as started
-  std::string control;    // path of the control socket
-  std::string stamp;      // opaque; told again by `status`, so that whoever started it knows it again
+  char** argv = nullptr;  // as passed to main, for a restart in place
+  std::string control;    // path of the control socket; empty: none
+  std::string stamp;      // opaque; returned by `status`, so that whoever started the process can identify it
 };
 
-class WallClock final : public relay::Clock {
+// Clock and wake-up timer of the relay core, on the event loop.
+class LoopClock final : public relay::Clock {
  public:
-  explicit WallClock(net::Loop& loop) : timer_(loop, [this] { relay_->Turn(); }) {}
+  explicit LoopClock(net::Loop& loop) : timer_(loop, [this] { relay_->Turn(); }) {}
   void Attach(relay::Relay& relay) { relay_ = &relay; }
   relay::Time Now() const override { return net::Loop::Now(); }
   relay::Time UnixNow() const override { return net::Loop::UnixNow(); }
@@ -70,37 +71,38 @@
   relay::Relay* relay_ = nullptr;
 };
 
-net::Address AddressOf(const char* key, const std::string& text) {
+net::Address RequireAddress(const char* key, const std::string& text) {
   const auto address = net::ParseAddress(text);
   if (!address) throw config::Error(key, "must be an IPv4 address and port, not '" + text + "'");
   return *address;
 }
 
+// The relay process: owns all components and reacts to phases, signals and operators.
 class Program final : public handover::Giver::Owner {
  public:
-  Program(const config::Config& c, Options options, handover::Start start)
-      : config_(c),
+  Program(const config::Config& config, Options options, handover::Start start)
+      : config_(config),
         options_(std::move(options)),
         start_(std::move(start)),
-        phases_([this](Phase phase) { Entered(phase); }),
-        discovery_address_(AddressOf("discovery", c.discovery)),
-        journal_(c.state, c.disk_bytes, start_.StillOut()),
+        phases_([this](Phase phase) { OnPhase(phase); }),
+        discovery_address_(RequireAddress("discovery", config.discovery)),
+        journal_(config.state, config.disk_bytes, start_.StillOut()),
         clock_(loop_),
-        endpoints_(loop_, LimitsOf(c), counters_),
+        endpoints_(loop_, PoolLimitsOf(config), counters_),
         attempts_(
             loop_, endpoints_,
             [this](const std::string& host, relay::Time wait) { endpoints_.ToldWait(host, wait); },
             [this](const std::string& word, const std::string& argument) {
-              return Operate({word, argument}).value_or("");
+              return HandleManagementCall({word, argument}).value_or("");
             }),
-        discovery_(loop_, {discovery_address_, c.discovery}, NamesOf(c), counters_),
-        notices_(loop_, discovery_address_, c.discovery, counters_),
-        relay_(c.settings, c.seed, journal_, {clock_, attempts_, notices_}, counters_),
-        end_(loop_, SIGTERM, [this] { AskedToEnd(); }),
-        interrupt_(loop_, SIGINT, [this] { AskedToEnd(); }),
-        report_(loop_, SIGUSR1, [this] { Report(); }),
-        reload_(loop_, SIGHUP, [this] { Reload(); }),
-        step_(loop_, [this] { Look(); }) {
+        discovery_(loop_, {discovery_address_, config.discovery}, NamesOf(config), counters_),
+        notices_(loop_, discovery_address_, config.discovery, counters_),
+        relay_(config.settings, config.seed, journal_, {clock_, attempts_, notices_}, counters_),
+        terminate_signal_(loop_, SIGTERM, [this] { OnTerminate(); }),
+        interrupt_signal_(loop_, SIGINT, [this] { OnTerminate(); }),
+        report_signal_(loop_, SIGUSR1, [this] { PrintCounters(); }),
+        reload_signal_(loop_, SIGHUP, [this] { Reload(); }),
+        progress_timer_(loop_, [this] { CheckProgress(); }) {
     clock_.Attach(relay_);
     endpoints_.Attach(relay_);
     attempts_.Attach(relay_);
@@ -108,13 +110,14 @@
     notices_.Attach(relay_);
     counters_.journal_cut_bytes = journal_.cut_bytes();
     if (!config_.mgmt.empty()) {
-      door_.emplace(loop_, AddressOf("mgmt", config_.mgmt),
-                    [this](const door::Call& call) { return Operate(call); });
+      management_.emplace(loop_, RequireAddress("mgmt", config_.mgmt),
+                          [this](const door::Call& call) { return HandleManagementCall(call); });
     }
     if (!options_.control.empty()) {
-      control_.emplace(
-          loop_, options_.control,
-          [this](const control::Json& request, const control::Answer& answer) { answer(Command(request)); });
+      control_server_.emplace(loop_, options_.control,
+                              [this](const control::Json& request, const control::Answer& answer) {
+                                answer(HandleControlRequest(request));
+                              });
     }
   }
 
@@ -123,81 +126,82 @@
     phases_.Enter(Phase::kRecovering);
     phases_.Enter(Phase::kServing);
     loop_.Run();
-    Report();
+    PrintCounters();
   }
 
  private:
-  static routing::Names NamesOf(const config::Config& c) {
-    routing::Names names{c.zones, {}};
-    for (const auto& kind : c.settings.kinds) names.kinds.push_back(kind.name);
+  static routing::Names NamesOf(const config::Config& config) {
+    routing::Names names{config.zones, {}};
+    for (const auto& kind : config.settings.kinds) names.kinds.push_back(kind.name);
     return names;
   }
 
-  static wheathub::ListSubscription::Options ListOptionsOf(const config::Config& c) {
-    return {.pushed = !c.settings.list_must_be_asked_for,
-            .senders = c.settings.senders,
+  static wheathub::ListSubscription::Options ListOptionsOf(const config::Config& config) {
+    return {.pushed = !config.settings.list_must_be_asked_for,
+            .senders = config.settings.senders,
             .failures_are_told = false};
   }
 
-  static endpoint::Pool::Limits LimitsOf(const config::Config& c) {
-    std::vector<bool> apart;
-    for (const auto& kind : c.settings.kinds) apart.push_back(kind.routes_apart);
-    return {c.max_endpoint_connections(), c.settings.connect_timeout, c.settings.keepalive, apart};
+  static endpoint::Pool::Limits PoolLimitsOf(const config::Config& config) {
+    std::vector<bool> separate_routes;
+    for (const auto& kind : config.settings.kinds) separate_routes.push_back(kind.routes_apart);
+    return {config.max_endpoint_connections(), config.settings.connect_timeout, config.settings.keepalive,
+            separate_routes};
   }
 
-  void Entered(Phase phase) {
-    // Who reads "serving" connects: it is written when that works.
+  void OnPhase(Phase phase) {
+    // Whoever reads "serving" in the log connects, so kServing logs it only once the listener is open.
     if (phase != Phase::kServing) std::cout << config_.name << ": " << relay::NameOf(phase) << std::endl;
     switch (phase) {
       case Phase::kStarting:
         break;
       case Phase::kRecovering: {
-        relay::RoutingChange known =
+        relay::RoutingChange last_known =
             routing::ReadList(config_.last_known_list, NamesOf(config_)).value_or(routing::List()).change;
-        known.scope = wheathub::ListScope::kRemembered;
-        const bool taken = start_.channel.has_value();
-        discovery_.Known(taken ? start_.estate.table.revision : known.revision);
-        if (taken) attempts_.TakeOver(std::move(*start_.channel), start_.estate.out);
-        relay_.Recover(known, taken ? &start_.estate : nullptr);
+        last_known.scope = wheathub::ListScope::kRemembered;
+        const bool takes_over = start_.channel.has_value();
+        discovery_.Known(takes_over ? start_.estate.table.revision : last_known.revision);
+        if (takes_over) attempts_.TakeOver(std::move(*start_.channel), start_.estate.out);
+        relay_.Recover(last_known, takes_over ? &start_.estate : nullptr);
         endpoints_.TakeWaits(start_.estate);
         std::optional<wheathub::ListLease::Inherited> lease;
-        if (taken) lease = {start_.estate.list_valid_until};
+        if (takes_over) lease = {start_.estate.list_valid_until};
         discovery_.Start(ListOptionsOf(config_), ~config_.seed, lease);
-        if (taken) {
+        if (takes_over) {
           std::cout << config_.name << ": took over " << start_.clients.size() << " clients and "
                     << start_.estate.out.size() << " attempts that go on in the old process" << std::endl;
         }
         std::cout << config_.name << ": " << counters_.recovered << " messages and "
-                  << counters_.recovered_notices << " notices owed, " << journal_.cut_bytes()
-                  << " torn bytes cut" << std::endl;
+                  << counters_.recovered_notices << " notices recovered from the journal, "
+                  << journal_.cut_bytes() << " bytes of incomplete records cut" << std::endl;
         break;
       }
       case Phase::kServing:
-        // Not before: whoever can connect is answered, and a PING must mean that all is ready.
+        // Opened only now: a client that can connect is answered, and PONG must mean that the relay is ready.
         if (clients_) {
           clients_->OpenDoor();
         } else {
-          clients_.emplace(loop_, AddressOf("listen", config_.listen), config_.listen_fd,
-                           config_.max_clients(), relay_, counters_, [this] { return Text(); });
+          clients_.emplace(loop_, RequireAddress("listen", config_.listen), config_.listen_fd,
+                           config_.max_clients(), relay_, counters_, [this] { return CountersText(); });
           for (const client::Passed& client : start_.clients) clients_->TakeUp(client);
           start_.clients.clear();
-          if (config_.listen_fd >= 0) OpenHandover();
+          if (config_.listen_fd >= 0) OfferHandover();
         }
         std::cout << config_.name << ": " << relay::NameOf(phase) << std::endl;
         break;
       case Phase::kPaused:
-        door_closed_ = sent_away_ = false;
+        listener_closed_ = clients_sent_away_ = false;
         [[fallthrough]];
       case Phase::kDraining:
-        asked_at_ = net::Loop::Now();
-        step_.After(kDoorOpen);
+        drain_started_at_ = net::Loop::Now();
+        progress_timer_.After(kDoorOpen);
         break;
       case Phase::kSettling:
         relay_.Settle();
         if (clients_) clients_->SendAway();
         break;
       case Phase::kGiven:
-        step_.After(kLookEach);
+        progress_timer_.After(kLookEach);
         break;
       case Phase::kStopped:
         loop_.Stop();
@@ -205,53 +209,55 @@
     }
   }
 
-  // After SIGTERM: the door, then the last sends, then the end; as soon as nothing is owed and nobody asks,
-  // all but the door without waiting.
-  void Look() {
+  // Periodic check after SIGTERM and during an operator's drain: closes the listener, then stops new
+  // attempts, then ends the process. Once no work is left and clients are quiet, the later steps follow
+  // without waiting.
+  void CheckProgress() {
     if (phases_.now() == Phase::kServing) return;  // resumed
-    if (phases_.now() == Phase::kGiven) return LookGiven();
-    const net::Time since = net::Loop::Now() - asked_at_;
-    drain_ms_ = since / 1ms;
-    if (!std::exchange(door_closed_, true)) clients_->CloseDoor();
-    if (phases_.now() == Phase::kPaused) return LookPaused(since);
-    const net::Time quiet = net::Loop::Now() - std::max(asked_at_, clients_->quiet_since());
-    const bool empty = relay_.done() && relay_.out() == 0 && quiet >= kDoorOpen;
-    if (empty || since >= kSettleAt) phases_.Enter(Phase::kSettling);
-    // What a client has begun is answered, and its answer reaches it: both take no longer than it does.
+    if (phases_.now() == Phase::kGiven) return CheckHandedOver();
+    const net::Time elapsed = net::Loop::Now() - drain_started_at_;
+    drain_ms_ = elapsed / 1ms;
+    if (!std::exchange(listener_closed_, true)) clients_->CloseDoor();
+    if (phases_.now() == Phase::kPaused) return CheckPaused(elapsed);
+    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->quiet_since());
+    const bool empty = relay_.done() && relay_.out() == 0 && quiet_time >= kDoorOpen;
+    if (empty || elapsed >= kSettleAt) phases_.Enter(Phase::kSettling);
+    // Requests that clients have begun are still answered, and the answers are still written, until kStopAt.
     const bool settled = phases_.now() == Phase::kSettling && relay_.out() == 0 && clients_->clients() == 0;
-    if (settled || since >= kStopAt) return End();
-    step_.After(kLookEach);
+    if (settled || elapsed >= kStopAt) return FinishAndStop();
+    progress_timer_.After(kLookEach);
   }
 
-  // An answer that has come by now is on record: after a stop of the process timers are called before reads.
-  void End() {
+  // Ends the process. Reads endpoint answers that have already arrived, so that they are recorded: after the
+  // process was suspended, timers run before reads.
+  void FinishAndStop() {
     endpoints_.ReadNow();
     phases_.Enter(Phase::kStopped);
   }
 
-  // An operator's drain: clients leave as at the end, but nothing hurries what is held.
-  void LookPaused(net::Time since) {
-    const net::Time quiet = net::Loop::Now() - std::max(asked_at_, clients_->quiet_since());
-    if (since >= kSettleAt || quiet >= kDoorOpen) {
-      sent_away_ = true;
-      clients_->SendAway();  // again and again: one that was asking may rest by now
+  // An operator's drain: clients are disconnected as before an exit, but held messages keep their full time.
+  void CheckPaused(net::Time elapsed) {
+    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->quiet_since());
+    if (elapsed >= kSettleAt || quiet_time >= kDoorOpen) {
+      clients_sent_away_ = true;
+      clients_->SendAway();  // repeated: a client that was waiting for an answer may be idle by now
     }
-    step_.After(kPausedLookEach);
+    progress_timer_.After(kPausedCheckInterval);
   }
-  // Nobody can hand anything in, and nothing is owed any more.
+  // Whether a drain is complete: no client can hand in messages, and no work is left.
   bool settled() const {
-    return phases_.now() == Phase::kPaused && sent_away_ && clients_->clients() == 0 && relay_.done() &&
-           relay_.out() == 0;
+    return phases_.now() == Phase::kPaused && clients_sent_away_ && clients_->clients() == 0 &&
+           relay_.done() && relay_.out() == 0;
   }
 
   // ---- handover to the next process ----
 
-  // Without it no other process can take over, which is no reason not to serve.
-  void OpenHandover() {
+  // Lets another process ask for a handover. If that fails, the relay serves without it.
+  void OfferHandover() {
     try {
-      old_.emplace(loop_, config_.state, *this);
+      handover_.emplace(loop_, config_.state, *this);
     } catch (const std::exception& e) {
-      std::cerr << config_.name << ": no handover can be asked for: " << e.what() << std::endl;
+      std::cerr << config_.name << ": cannot accept handover requests: " << e.what() << std::endl;
     }
   }
   std::optional<std::string> Unable() const override {
@@ -268,37 +274,39 @@
   std::vector<client::Passed> Clients() const override { return clients_->passed(); }
   int LockFd() const override { return start_.lock->fd(); }
   void Given() override {
-    relay_.Given([this](const std::string& id, const relay::AttemptEnd& end) { old_->Tell(id, end); });
+    relay_.Given([this](const std::string& id, const relay::AttemptEnd& end) { handover_->Tell(id, end); });
     clients_.reset();
     discovery_.Stop();
     notices_.Stop();
     endpoints_.CloseAllIdle();
-    control_.reset();
+    control_server_.reset();
     start_.lock->Release();
     phases_.Enter(Phase::kGiven);
   }
   void CutAttempt(const std::string& id) override { relay_.CutGiven(id); }
-  // Nobody serves any more, unless the platform wanted this process to end: it begins anew, from the journal.
+  // The process that took over has exited, so nobody serves. Restarts this process from the journal, unless
+  // the platform has asked it to end.
   void Orphaned() override {
-    if (end_by_ > net::Time(0)) return;
-    std::cerr << config_.name << ": the process that took over has gone: starting anew" << std::endl;
+    if (exit_deadline_ > net::Time(0)) return;
+    std::cerr << config_.name << ": the process that took over has exited: starting anew" << std::endl;
     execv("/proc/self/exe", options_.argv);
-    std::cerr << config_.name << ": can't start anew" << std::endl;
+    std::cerr << config_.name << ": cannot start anew from /proc/self/exe" << std::endl;
     phases_.Enter(Phase::kStopped);
   }
-  void AskedToEnd() {
-    if (phases_.now() == Phase::kGiven && end_by_ == net::Time(0)) end_by_ = net::Loop::Now() + kStopAt;
+  void OnTerminate() {
+    if (phases_.now() == Phase::kGiven && exit_deadline_ == net::Time(0))
+      exit_deadline_ = net::Loop::Now() + kStopAt;
     phases_.Enter(Phase::kDraining);
   }
-  void LookGiven() {
-    const bool late = end_by_ > net::Time(0) && net::Loop::Now() >= end_by_;
-    if (late || relay_.out() == 0) return End();
-    step_.After(kLookEach);
+  void CheckHandedOver() {
+    const bool late = exit_deadline_ > net::Time(0) && net::Loop::Now() >= exit_deadline_;
+    if (late || relay_.out() == 0) return FinishAndStop();
+    progress_timer_.After(kLookEach);
   }
 
-  // ---- the operators' door ----
+  // ---- management calls ----
 
-  std::optional<std::string> Operate(const door::Call& call) {
+  std::optional<std::string> HandleManagementCall(const door::Call& call) {
     const bool takes_host = call.word == "exclude" || call.word == "include";
     if (call.word != "readyz" && !takes_host)
       return "no call " + call.word + ": readyz, exclude ID, include ID";
@@ -308,9 +316,9 @@
       if (phases_.now() == Phase::kServing) return std::nullopt;
       return std::string(relay::NameOf(phases_.now()));
     }
-    if (phases_.now() == Phase::kGiven) return old_->Operate(call.word, call.argument);
-    const bool out = call.word == "exclude";
-    const auto why = out ? relay_.TakeOut(call.argument) : relay_.PutBack(call.argument);
+    if (phases_.now() == Phase::kGiven) return handover_->Operate(call.word, call.argument);
+    const bool excludes = call.word == "exclude";
+    const auto why = excludes ? relay_.TakeOut(call.argument) : relay_.PutBack(call.argument);
     std::cout << config_.name << ": " << call.word << " " << call.argument << ": " << why.value_or("done")
               << std::endl;
     return why;
@@ -318,7 +326,7 @@
 
   // ---- the control socket ----
 
-  control::Json Command(const control::Json& request) {
+  control::Json HandleControlRequest(const control::Json& request) {
     const std::string op = control::TextOf(request, "op");
     if (op == "status") return Status();
     if (op == "reload") {
@@ -356,29 +364,30 @@
                             {"clients", clients_ ? clients_->clients() : 0},
                             {"held", relay_.held()},
                             {"out", relay_.out()}};
-    const relay::Counters& c = counters_;
-    status["counters"] = {{"authorisations", c.messages},
-                          {"taken_on", c.taken_on},
-                          {"busy", c.busy_by_module + c.busy_full + c.busy_journal},
-                          {"delivered", c.delivered},
-                          {"undeliverable", c.undeliverable},
-                          {"deferred", c.deferred},
-                          {"recovered", c.recovered},
-                          {"reloads", c.reloads}};
+    const relay::Counters& counters = counters_;
+    status["counters"] = {{"authorisations", counters.messages},
+                          {"taken_on", counters.taken_on},
+                          {"busy", counters.busy_by_module + counters.busy_full + counters.busy_journal},
+                          {"delivered", counters.delivered},
+                          {"undeliverable", counters.undeliverable},
+                          {"deferred", counters.deferred},
+                          {"recovered", counters.recovered},
+                          {"reloads", counters.reloads}};
     return status;
   }
 
-  // A file that can't be used must not end what runs: the running configuration stays, and the log tells why.
+  // Applies the configuration file again. If it can't be used, the running configuration stays in force and
+  // the reason is logged and returned.
   std::optional<std::string> Reload() {
     if (phases_.now() == Phase::kGiven) return "is given over";
     try {
       config::Config next = config::Reload(config_);
-      const net::Address discovery = AddressOf("discovery", next.discovery);
+      const net::Address discovery_address = RequireAddress("discovery", next.discovery);
       relay_.Renew(next.settings);  // throws before anything has changed
       for (const std::string& key : config::KeysNeedingRestart(config_, next)) {
         std::cout << config_.name << ": reload: " << key << " stays as it is until a restart" << std::endl;
       }
-      const std::string old = std::exchange(config_.discovery, next.discovery);
+      const std::string old_discovery = std::exchange(config_.discovery, next.discovery);
       config_.sockets = next.sockets;
       config_.file_text = next.file_text;
       config_.settings = next.settings;
@@ -387,11 +396,11 @@
       discovery_.SetOptions(ListOptionsOf(config_));
       counters_.reloads += 1;
       std::cout << config_.name << ": reloaded, discovery at " << config_.discovery << std::endl;
-      endpoints_.SetLimits(LimitsOf(config_));
+      endpoints_.SetLimits(PoolLimitsOf(config_));
       if (clients_) clients_->SetMost(config_.max_clients());
-      if (old == config_.discovery) return std::nullopt;
-      discovery_.MoveTo({discovery, config_.discovery});
-      notices_.MoveTo(discovery, config_.discovery);
+      if (old_discovery == config_.discovery) return std::nullopt;
+      discovery_.MoveTo({discovery_address, config_.discovery});
+      notices_.MoveTo(discovery_address, config_.discovery);
     } catch (const std::exception& e) {
       counters_.reloads_refused += 1;
       std::cerr << config_.name << ": reload refused: " << e.what() << std::endl;
@@ -400,75 +409,77 @@
     return std::nullopt;
   }
 
-  std::string Text() const {
+  std::string CountersText() const {
     return "phase=" + std::string(relay::NameOf(phases_.now())) + "\nheld=" + std::to_string(relay_.held()) +
            "\nout=" + std::to_string(relay_.out()) +
            "\njournal_bytes=" + std::to_string(journal_.file_bytes()) +
            "\ndrain_ms=" + std::to_string(drain_ms_) +
            "\nlist_age_ms=" + std::to_string(discovery_.age() / 1ms) + "\n" + counters_.Text();
   }
-  void Report() const { std::cout << Text() << std::flush; }
+  void PrintCounters() const { std::cout << CountersText() << std::flush; }
 
   config::Config config_;
   Options options_;
-  handover::Start start_;  // the lock, and what was taken over until it is taken up
+  handover::Start start_;  // the folder lock, and the state of another process until it is applied
   relay::Counters counters_;
   net::Loop loop_;
   relay::Phases phases_;
   net::Address discovery_address_;
   journal::Journal journal_;
-  WallClock clock_;
+  LoopClock clock_;
   endpoint::Pool endpoints_;
   handover::Attempts attempts_;
   routing::Discovery discovery_;
   notice::Poster notices_;
   relay::Relay relay_;
   std::optional<client::Clients> clients_;
-  net::Signal end_, interrupt_, report_, reload_;
-  net::Timer step_;
-  net::Time asked_at_{0};
-  net::Time end_by_{0};  // once given over and asked to end; 0: not asked
+  net::Signal terminate_signal_, interrupt_signal_, report_signal_, reload_signal_;
+  net::Timer progress_timer_;
+  net::Time drain_started_at_{0};
+  net::Time exit_deadline_{0};  // when to exit at the latest after a handover; 0: not asked to exit
   std::int64_t drain_ms_ = 0;
-  bool door_closed_ = false;
-  bool sent_away_ = false;
-  std::optional<control::Server> control_;
-  std::optional<door::Door> door_;
-  std::optional<handover::OldProcess> old_;
+  bool listener_closed_ = false;
+  bool clients_sent_away_ = false;
+  std::optional<control::Server> control_server_;
+  std::optional<door::Door> management_;
+  std::optional<handover::OldProcess> handover_;
 };
 
-// The folder, and all that the process which has it gives over. What this one could fail by is tried before.
-handover::Start TakeStart(const config::Config& c) {
-  if (c.listen_fd < 0) {
+// Locks the state folder, or takes over from the process that has it. Before a handover it checks everything
+// that could keep this process from starting, because nobody would serve if it failed afterwards.
+handover::Start LockOrTakeOver(const config::Config& config) {
+  if (config.listen_fd < 0) {
     handover::Start start;
-    start.lock = std::make_unique<journal::FolderLock>(c.state);
+    start.lock = std::make_unique<journal::FolderLock>(config.state);
     return start;
   }
   try {
-    net::Listener::Check(c.listen_fd);
+    net::Listener::Check(config.listen_fd);
   } catch (const std::system_error& e) {
-    throw config::Error("ROUTER_LISTEN_FD", "descriptor " + std::to_string(c.listen_fd) + ": " + e.what());
+    throw config::Error("ROUTER_LISTEN_FD",
+                        "descriptor " + std::to_string(config.listen_fd) + ": " + e.what());
   }
-  AddressOf("discovery", c.discovery);
-  if (!c.mgmt.empty()) {
+  RequireAddress("discovery", config.discovery);
+  if (!config.mgmt.empty()) {
     net::Loop loop;
-    net::Listener(loop, AddressOf("mgmt", c.mgmt), [](int fd) { close(fd); });
+    net::Listener(loop, RequireAddress("mgmt", config.mgmt), [](int fd) { close(fd); });
   }
-  return handover::Take(c.state, kTakeWithin);
+  return handover::Take(config.state, kTakeoverTimeout);
 }
 
-// What the file says, without starting anything: 0, or 2 and one line.
+// Checks a configuration file without starting anything. Returns the exit code, after printing one line.
 int CheckConfig(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
   try {
     if (!file) throw config::Error("config", "can't read " + path);
-    const config::Config c = config::ParseAndValidate(text.str());
-    AddressOf("listen", c.listen);
-    AddressOf("discovery", c.discovery);
+    const config::Config config = config::ParseAndValidate(text.str());
+    RequireAddress("listen", config.listen);
+    RequireAddress("discovery", config.discovery);
   } catch (const std::exception& e) {
     std::cerr << "oxbowspread: " << path << ": " << e.what() << "\n";
-    return kBadInput;
+    return kExitBadInput;
   }
   std::cout << path << ": can be used\n";
   return 0;
@@ -488,20 +499,20 @@
   if (const auto code = apps::Parse(app, "oxbowspread", argc, argv)) return *code;
   if (!check.empty()) return CheckConfig(check);
   std::signal(SIGPIPE, SIG_IGN);
-  // A reload or a report asked for while the program starts.
+  // Signals for a reload or a report that arrive during the start are kept until it is complete.
   net::Signal::HoldBack(SIGHUP);
   net::Signal::HoldBack(SIGUSR1);
   try {
     options.argv = argv;
-    const config::Config c = config::LoadFromEnvironment();
-    // An end asked for from here on is one like any other; a process that waits for what another gives over
-    // ends at once.
-    if (c.listen_fd < 0) net::Signal::HoldBack(SIGTERM);
-    if (c.listen_fd < 0) net::Signal::HoldBack(SIGINT);
-    Program(c, options, TakeStart(c)).Run();
+    const config::Config config = config::LoadFromEnvironment();
+    // From here on SIGTERM and SIGINT end the process in order. A process that is waiting for a handover has
+    // nothing to finish, so there they end it at once.
+    if (config.listen_fd < 0) net::Signal::HoldBack(SIGTERM);
+    if (config.listen_fd < 0) net::Signal::HoldBack(SIGINT);
+    Program(config, options, LockOrTakeOver(config)).Run();
   } catch (const journal::FolderLocked& e) {
     std::cerr << "oxbowspread: " << e.what() << "\n";
-    return kFolderLocked;
+    return kExitFolderLocked;
   } catch (const std::exception& e) {
     std::cerr << "oxbowspread: " << e.what() << "\n";
     return 1;
--- a/src/apps/oxbowstandin.cpp
+++ b/src/apps/oxbowstandin.cpp
@@ -122,6 +122,6 @@
     return Run(run);
   } catch (const std::exception& e) {
     std::cerr << "oxbowstandin: " << e.what() << "\n";
-    return apps::kBadInput;
+    return apps::kExitBadInput;
   }
 }
