--- a/src/apps/oxbowctl.cpp
+++ b/src/apps/oxbowctl.cpp
@@ -19,7 +19,7 @@
 using namespace oxbowspread;
 using control::Json;
 
-using apps::kBadInput;
+using apps::kExitBadInput;
 constexpr int kRefused = 1, kOutOfReach = 3;
 constexpr net::Time kPatience = 10s;  // for a leader to be found
 constexpr net::Time kAnswerWithin = 2s;
@@ -105,7 +105,7 @@
   int Check() {
     for (const group::Instance& i : group_.instances) {
       try {
-        config::Checked(group::ReadFile(i.config_path));
+        config::ParseAndValidate(group::ReadFile(i.config_path));
       } catch (const config::Error& e) {
         throw group::Error(i.config_path + ": " + e.what());
       }
@@ -127,7 +127,7 @@
         if (!Chosen(i.name)) continue;
         const std::string text = group::ReadFile(i.config_path);
         try {
-          config::Checked(text);
+          config::ParseAndValidate(text);
         } catch (const config::Error& e) {
           throw group::Error(i.config_path + ": " + e.what());
         }
@@ -371,6 +371,6 @@
     return kOutOfReach;
   } catch (const std::exception& e) {
     std::cerr << "oxbowctl: " << e.what() << "\n";
-    return kBadInput;
+    return kExitBadInput;
   }
 }
