--- a/include/wheathub/decide.hpp
+++ b/include/wheathub/decide.hpp
@@ -116,12 +116,12 @@
   double warm_up_start_share = 1;  // least share of its capacity that a destination has on its return
   Time warm_up{0};                 // longest time from the return to the full capacity
   Time drain_grace{0};             // calls may begin so long after a drain counts as known
-  Time ask_within{0};              // the list must be requested within this time
+  Time list_request_within{0};     // the list must be requested within this time
   Time order_settle{0};            // a key's next message waits so long after an attempt that may still run
   Time answer_grace{0};            // a message may be answered so long after its time has ended
   // A cold endpoint fails again under calls of so many times its present capacity for so long.
-  double fall_multiple = 0;
-  Time tip_after{0};
+  double collapse_load_factor = 0;
+  Time collapse_after{0};
 };
 
 // ---- events ----
--- a/include/wheathub/list_lease.hpp
+++ b/include/wheathub/list_lease.hpp
@@ -60,7 +60,7 @@
 
   // The process starts with the list that it had stored.
   struct Started {};
-  // The process continues with the list of another one, whose lease ended at `valid_until`; 0: not known.
+  // The process continues with the list of another one, whose lease is valid until `valid_until`; 0: not known.
   struct Inherited {
     Time valid_until{0};
   };
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -83,8 +83,8 @@
 // A message is late from this multiple of the usual latency before its aim; above 1 because latencies vary.
 constexpr double kLateLatencies = 1.5;
 // A call that is served within this time after this number of failed connects at most shows that connections
-// are exhausted, not that the endpoint is down. A kind of
-// destination is taken to be short of connections from this decaying count of such calls.
+// are exhausted, not that the endpoint is down. From this decaying count of such calls on, the connections of
+// a kind of destination are taken to be exhausted.
 constexpr Time kServedSoonAfterConnectFailure = 3s;
 constexpr int kMaxConnectFailures = 2;
 constexpr double kConnectionsExhaustedCount = 0.9;
@@ -556,7 +556,7 @@
       if (other->route != &route || other->state == State::kDown) continue;
       other->failure_may_have_run = false;
       other->failed_at = route.wait_until;  // down until then
-      GoDown(*other, "a long told wait");
+      GoDown(*other, "a long requested wait");
     }
   }
   void GoDown(Endpoint& endpoint, const char* why) {
--- a/src/drill.cpp
+++ b/src/drill.cpp
@@ -1,4 +1,5 @@
-// wheathub_drill: hosts Deciders for the bench on standard input and output. Translation only.
+// wheathub_drill: runs Deciders for the bench, which sends events on standard input and reads actions from
+// standard output. It only translates.
 #include <exception>
 #include <iostream>
 #include <map>
@@ -14,25 +15,26 @@
 using wheathub::Event;
 namespace wire = wheathub::wire;
 
-class Drill {
+class DeciderHost {
  public:
+  // Returns the answer to one batch. Throws wire::Error.
   std::string Reply(const wire::Batch& batch) {
     std::string out;
-    std::vector<std::string> order;  // of first naming in the batch
+    std::vector<std::string> order;  // in which the batch first names its instances
     std::map<std::string, std::vector<Event>> events;
     for (const wire::Item& item : batch.items) {
       if (events.find(item.instance) == events.end()) order.push_back(item.instance);
-      std::vector<Event>& mine = events[item.instance];
-      if (const auto* launch = std::get_if<wire::Launch>(&item.what)) {
+      std::vector<Event>& instance_events = events[item.instance];
+      if (const auto* launch = std::get_if<wire::Launch>(&item.content)) {
         Start(item, *launch);
-        mine.clear();
+        instance_events.clear();
       } else if (deciders_.find(item.instance) == deciders_.end()) {
         throw wire::Error(item.line, "an event for an instance that is not running: " + item.instance);
-      } else if (std::holds_alternative<wire::Teardown>(item.what)) {
+      } else if (std::holds_alternative<wire::Teardown>(item.content)) {
         deciders_.erase(item.instance);
-        mine.clear();
+        instance_events.clear();
       } else {
-        mine.push_back(std::get<Event>(item.what));
+        instance_events.push_back(std::get<Event>(item.content));
       }
     }
     for (const std::string& instance : order) {
@@ -50,8 +52,8 @@
   void Start(const wire::Item& item, const wire::Launch& launch) {
     try {
       deciders_[item.instance] = std::make_unique<Decider>(launch.settings, launch.seed);
-    } catch (const std::invalid_argument& e) {
-      throw wire::Error(item.line, std::string("LAUNCH: ") + e.what());
+    } catch (const std::invalid_argument& error) {
+      throw wire::Error(item.line, std::string("LAUNCH: ") + error.what());
     }
   }
 
@@ -65,10 +67,10 @@
   try {
     wire::Reader reader(std::cin);
     wire::Batch batch;
-    Drill drill;
-    while (reader.Next(&batch)) std::cout << drill.Reply(batch) << std::flush;
-  } catch (const std::exception& e) {
-    std::cerr << "wheathub_drill: " << e.what() << "\n";
+    DeciderHost host;
+    while (reader.Next(&batch)) std::cout << host.Reply(batch) << std::flush;
+  } catch (const std::exception& error) {
+    std::cerr << "wheathub_drill: " << error.what() << "\n";
     return 1;
   }
   return 0;
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -13,16 +13,17 @@
 
 using Json = nlohmann::json;
 
-constexpr double kLongest = 1e9;  // seconds; a longer time is a malformed one
+constexpr double kMaxSeconds = 1e9;  // a longer time is rejected as malformed
 
-Time FromSeconds(double s) { return Time(std::llround(s * 1e6)); }
+Time FromSeconds(double seconds) { return Time(std::llround(seconds * 1e6)); }
 
-// One line, split: a name, then name=value pairs; a field of type text runs to the end of the line.
+// One line of input, split into a name and name=value fields. A field of type text extends to the end of the
+// line.
 class Line {
  public:
   Line(const std::string& text, std::size_t number) : number_(number) {
     std::string_view rest = text;
-    name_ = std::string(Cut(&rest));
+    name_ = std::string(TakeWord(&rest));
     while (!rest.empty()) {
       const std::size_t equals = rest.find('=');
       if (equals == std::string_view::npos || equals == 0 || rest.substr(0, equals).find(' ') != rest.npos) {
@@ -34,7 +35,7 @@
         fields_[field] = std::string(rest);
         break;
       }
-      fields_[field] = std::string(Cut(&rest));
+      fields_[field] = std::string(TakeWord(&rest));
     }
   }
 
@@ -50,16 +51,16 @@
     return *value;
   }
   double Number(const std::string& field) const { return ParseNumber(field, Text(field)); }
-  double NumberOr(const std::string& field, double otherwise) const {
-    return Find(field) == nullptr ? otherwise : Number(field);
+  double NumberOr(const std::string& field, double fallback) const {
+    return Find(field) == nullptr ? fallback : Number(field);
   }
   Time Seconds(const std::string& field) const {
-    const double s = Number(field);
-    if (std::abs(s) > kLongest) throw Error(number_, name_ + ": " + field + " is out of range");
-    return FromSeconds(s);
+    const double seconds = Number(field);
+    if (std::abs(seconds) > kMaxSeconds) throw Error(number_, name_ + ": " + field + " is out of range");
+    return FromSeconds(seconds);
   }
-  Time SecondsOr(const std::string& field, Time otherwise) const {
-    return Find(field) == nullptr ? otherwise : Seconds(field);
+  Time SecondsOr(const std::string& field, Time fallback) const {
+    return Find(field) == nullptr ? fallback : Seconds(field);
   }
   template <typename Int>
   Int Integer(const std::string& field) const {
@@ -71,8 +72,8 @@
     }
     return value;
   }
-  int IntegerOr(const std::string& field, int otherwise) const {
-    return Find(field) == nullptr ? otherwise : Integer<int>(field);
+  int IntegerOr(const std::string& field, int fallback) const {
+    return Find(field) == nullptr ? fallback : Integer<int>(field);
   }
   bool Flag(const std::string& field) const {
     const std::string* value = Find(field);
@@ -90,11 +91,11 @@
   }
 
  private:
-  static std::string_view Cut(std::string_view* rest) {
+  static std::string_view TakeWord(std::string_view* rest) {
     const std::size_t space = rest->find(' ');
-    const std::string_view part = rest->substr(0, space);
+    const std::string_view word = rest->substr(0, space);
     rest->remove_prefix(space == rest->npos ? rest->size() : space + 1);
-    return part;
+    return word;
   }
 
   std::string name_;
@@ -102,54 +103,56 @@
   std::map<std::string, std::string> fields_;
 };
 
-template <typename T>
-using Words = std::initializer_list<std::pair<const char*, T>>;
+template <typename Enum>
+using EnumNames = std::initializer_list<std::pair<const char*, Enum>>;
 
-template <typename T>
-T Word(const Line& line, const std::string& field, Words<T> words) {
+template <typename Enum>
+Enum ReadEnum(const Line& line, const std::string& field, EnumNames<Enum> names) {
   const std::string& text = line.Text(field);
-  for (const auto& [word, value] : words) {
-    if (text == word) return value;
+  for (const auto& [name, value] : names) {
+    if (text == name) return value;
   }
   throw Error(line.number(), line.name() + ": unknown " + field + " '" + text + "'");
 }
 
 Outcome ReadOutcome(const Line& line) {
-  return Word<Outcome>(line, "reason",
-                       {{"pass", Outcome::kServed},
-                        {"fault", Outcome::kError},
-                        {"no_room", Outcome::kRefused},
-                        {"too_slow", Outcome::kTimedOut},
-                        {"no_route", Outcome::kNoConnection},
-                        {"cut", Outcome::kReset},
-                        {"undone", Outcome::kCancelled},
-                        {"stale_send", Outcome::kNotSent}});
+  return ReadEnum<Outcome>(line, "reason",
+                           {{"pass", Outcome::kServed},
+                            {"fault", Outcome::kError},
+                            {"no_room", Outcome::kRefused},
+                            {"too_slow", Outcome::kTimedOut},
+                            {"no_route", Outcome::kNoConnection},
+                            {"cut", Outcome::kReset},
+                            {"undone", Outcome::kCancelled},
+                            {"stale_send", Outcome::kNotSent}});
 }
 
+// The fields `x0` and `x1` of the comma-separated figures hold the unused share of the limit, and the limit.
 std::optional<Allowance> ReadAllowance(const Line& line, const std::vector<std::string>& names) {
-  const std::string* row = line.Find("pressure");
-  if (row == nullptr || row->empty() || *row == "-") return std::nullopt;
+  const std::string* figures = line.Find("pressure");
+  if (figures == nullptr || figures->empty() || *figures == "-") return std::nullopt;
   Allowance allowance;
-  bool known = false;
-  std::string_view rest = *row;
+  bool reported = false;
+  std::string_view rest = *figures;
   for (std::size_t i = 0; !rest.empty(); ++i) {
     const std::size_t comma = rest.find(',');
-    const std::string_view part = rest.substr(0, comma);
+    const std::string_view figure = rest.substr(0, comma);
     rest.remove_prefix(comma == rest.npos ? rest.size() : comma + 1);
-    const double value = part.empty() ? 0 : line.ParseNumber("pressure", part);
+    const double value = figure.empty() ? 0 : line.ParseNumber("pressure", figure);
     if (i >= names.size()) continue;
     if (names[i] == "x0") allowance.left_share = value;
     if (names[i] == "x1") allowance.limit_per_s = value;
-    known = known || names[i] == "x0" || names[i] == "x1";
+    reported = reported || names[i] == "x0" || names[i] == "x1";
   }
-  return known ? std::optional(allowance) : std::nullopt;
+  return reported ? std::optional(allowance) : std::nullopt;
 }
 
-Time ReadWait(const Line& line, Outcome outcome) {
+Time ReadRetryAfter(const Line& line, Outcome outcome) {
   if (outcome != Outcome::kRefused || line.Find("wait-ms") == nullptr) return Time(0);
-  const double ms = line.Number("wait-ms");
-  if (ms < 0 || ms > kLongest * 1e3) throw Error(line.number(), line.name() + ": wait-ms is out of range");
-  return FromSeconds(ms / 1e3);
+  const double wait_ms = line.Number("wait-ms");
+  if (wait_ms < 0 || wait_ms > kMaxSeconds * 1e3)
+    throw Error(line.number(), line.name() + ": wait-ms is out of range");
+  return FromSeconds(wait_ms / 1e3);
 }
 
 std::string FromHex(const Line& line, const std::string& field) {
@@ -158,10 +161,10 @@
   std::string bytes;
   for (std::size_t i = 0; i < text->size(); i += 2) {
     unsigned value = 0;
-    const char* at = text->data() + i;
-    const bool pair = i + 1 < text->size();
-    const auto [end, code] = std::from_chars(at, at + (pair ? 2 : 0), value, 16);
-    if (!pair || code != std::errc() || end != at + 2) {
+    const char* digits = text->data() + i;
+    const bool complete = i + 1 < text->size();
+    const auto [end, code] = std::from_chars(digits, digits + (complete ? 2 : 0), value, 16);
+    if (!complete || code != std::errc() || end != digits + 2) {
       throw Error(line.number(), line.name() + ": " + field + " is not hex bytes");
     }
     bytes.push_back(static_cast<char>(value));
@@ -170,118 +173,118 @@
 }
 
 Message ReadMessage(const Line& line) {
-  Message m;
-  m.id = line.Text("rid");
-  m.message_class = line.Integer<int>("category");
-  m.tenant = line.IntegerOr("account", -1);
-  m.destination = static_cast<DestinationId>(std::llround(line.Number("to-exchange")));
-  if (const std::string* key = line.Find("name-key")) m.key = *key;
-  m.expires_in = line.Seconds("expires-in-s");
-  m.resubmitted = line.Flag("reconnect") || line.Flag("resent");
-  return m;
+  Message message;
+  message.id = line.Text("rid");
+  message.message_class = line.Integer<int>("category");
+  message.tenant = line.IntegerOr("account", -1);
+  message.destination = static_cast<DestinationId>(std::llround(line.Number("to-exchange")));
+  if (const std::string* key = line.Find("name-key")) message.key = *key;
+  message.expires_in = line.Seconds("expires-in-s");
+  message.resubmitted = line.Flag("reconnect") || line.Flag("resent");
+  return message;
 }
 
 AttemptEnded ReadAttemptEnded(const Line& line, const std::vector<std::string>& names) {
-  AttemptEnded e;
-  e.id = line.Text("rid");
-  e.attempt = line.Integer<int>("shot");
-  e.endpoint = line.Text("receiver");
-  e.outcome = ReadOutcome(line);
-  e.latency = line.SecondsOr("delay-seen-s", Time(0));
-  e.closed = line.Flag("closed");
-  e.retry_after = ReadWait(line, e.outcome);
-  e.allowance = ReadAllowance(line, names);
-  return e;
+  AttemptEnded ended;
+  ended.id = line.Text("rid");
+  ended.attempt = line.Integer<int>("shot");
+  ended.endpoint = line.Text("receiver");
+  ended.outcome = ReadOutcome(line);
+  ended.latency = line.SecondsOr("delay-seen-s", Time(0));
+  ended.closed = line.Flag("closed");
+  ended.retry_after = ReadRetryAfter(line, ended.outcome);
+  ended.allowance = ReadAllowance(line, names);
+  return ended;
 }
 
 ProbeEnded ReadProbeEnded(const Line& line, const std::vector<std::string>& names) {
-  ProbeEnded e;
-  e.endpoint = line.Text("receiver");
-  e.outcome = ReadOutcome(line);
-  e.latency = line.SecondsOr("delay-seen-s", Time(0));
-  e.retry_after = ReadWait(line, e.outcome);
-  e.allowance = ReadAllowance(line, names);
-  return e;
+  ProbeEnded ended;
+  ended.endpoint = line.Text("receiver");
+  ended.outcome = ReadOutcome(line);
+  ended.latency = line.SecondsOr("delay-seen-s", Time(0));
+  ended.retry_after = ReadRetryAfter(line, ended.outcome);
+  ended.allowance = ReadAllowance(line, names);
+  return ended;
 }
 
 EndpointInfo ReadEndpoint(const Line& line) {
   if (line.name() != "ITEM") throw Error(line.number(), "ITEM expected, not '" + line.name() + "'");
-  EndpointInfo e;
-  e.id = line.Text("receiver");
-  e.destination = line.Integer<DestinationId>("belongs-to");
-  e.kind = line.IntegerOr("model", 0);
-  e.zone = line.IntegerOr("failure-domain", 0);
-  e.weight = line.NumberOr("weight", 1);
-  e.lifecycle = Word<Lifecycle>(
+  EndpointInfo endpoint;
+  endpoint.id = line.Text("receiver");
+  endpoint.destination = line.Integer<DestinationId>("belongs-to");
+  endpoint.kind = line.IntegerOr("model", 0);
+  endpoint.zone = line.IntegerOr("failure-domain", 0);
+  endpoint.weight = line.NumberOr("weight", 1);
+  endpoint.lifecycle = ReadEnum<Lifecycle>(
       line, "lifecycle",
       {{"up", Lifecycle::kUp}, {"draining", Lifecycle::kDraining}, {"removed", Lifecycle::kRemoved}});
-  return e;
+  return endpoint;
 }
 
 Time JsonSeconds(const Json& object, const char* key) {
-  const double s = object.value(key, 0.0);
-  if (!std::isfinite(s) || std::abs(s) > kLongest) {
+  const double seconds = object.value(key, 0.0);
+  if (!std::isfinite(seconds) || std::abs(seconds) > kMaxSeconds) {
     throw std::invalid_argument(std::string(key) + " is out of range");
   }
-  return FromSeconds(s);
+  return FromSeconds(seconds);
 }
 
-MessageClass ReadClass(const Json& j) {
-  MessageClass c;
-  c.name = j.value("name", "");
-  const std::string semantics = j.at("semantics");
+MessageClass ReadClass(const Json& object) {
+  MessageClass message_class;
+  message_class.name = object.value("name", "");
+  const std::string semantics = object.at("semantics");
   if (semantics == "idempotent") {
-    c.semantics = Semantics::kIdempotent;
+    message_class.semantics = Semantics::kIdempotent;
   } else if (semantics == "deduplicated") {
-    c.semantics = Semantics::kDeduplicated;
+    message_class.semantics = Semantics::kDeduplicated;
   } else if (semantics == "at_most_once") {
-    c.semantics = Semantics::kAtMostOnce;
+    message_class.semantics = Semantics::kAtMostOnce;
   } else {
     throw std::invalid_argument("unknown semantics '" + semantics + "'");
   }
-  c.repeats_bound_to_zone = j.value("key-scope", "all") != "all";
-  c.ordered = j.value("one-at-a-time", false);
-  c.aim = JsonSeconds(j, "goal-time-s");
-  c.deadline = JsonSeconds(j, "deadline-s");
-  c.repeat_window = JsonSeconds(j, "repeat-window-s");
-  c.worth = j.value("worth", 1.0);
-  c.late_value = j.value("late-value", 0.0);
-  return c;
+  message_class.repeats_bound_to_zone = object.value("key-scope", "all") != "all";
+  message_class.ordered = object.value("one-at-a-time", false);
+  message_class.aim = JsonSeconds(object, "goal-time-s");
+  message_class.deadline = JsonSeconds(object, "deadline-s");
+  message_class.repeat_window = JsonSeconds(object, "repeat-window-s");
+  message_class.worth = object.value("worth", 1.0);
+  message_class.late_value = object.value("late-value", 0.0);
+  return message_class;
 }
 
-void ReadLimits(const Json& limits, Settings* s) {
-  s->max_open = limits.value("max-open", 0);
-  s->max_attempts = limits.value("send-cap", 0);
-  s->may_cancel = limits.value("cancel", false);
-  s->may_probe = limits.value("probing", false);
-  s->may_message_peers = limits.value("peers", false);
-  s->may_give_retry_after = limits.value("retry-after", false);
-  s->max_retry_after = JsonSeconds(limits, "max-retry-after-s");
-  s->connect_timeout = JsonSeconds(limits, "connect-timeout-s");
-  s->keepalive = JsonSeconds(limits, "keepalive-s");
+void ReadLimits(const Json& limits, Settings* settings) {
+  settings->max_open = limits.value("max-open", 0);
+  settings->max_attempts = limits.value("send-cap", 0);
+  settings->may_cancel = limits.value("cancel", false);
+  settings->may_probe = limits.value("probing", false);
+  settings->may_message_peers = limits.value("peers", false);
+  settings->may_give_retry_after = limits.value("retry-after", false);
+  settings->max_retry_after = JsonSeconds(limits, "max-retry-after-s");
+  settings->connect_timeout = JsonSeconds(limits, "connect-timeout-s");
+  settings->keepalive = JsonSeconds(limits, "keepalive-s");
 }
 
-void ReadRules(const Json& rules, Settings* s) {
-  s->warm_up_start_share = rules.value("cold-from", 1.0);
-  s->warm_up = JsonSeconds(rules, "cold-s");
-  s->drain_grace = JsonSeconds(rules, "drain-grace-s");
-  s->ask_within = JsonSeconds(rules, "ask-within-s");
-  s->order_settle = JsonSeconds(rules, "order-settle-s");
-  s->answer_grace = JsonSeconds(rules, "grace-to-answer-s");
-  s->fall_multiple = rules.value("fall-multiple", 0.0);
-  s->tip_after = JsonSeconds(rules, "tip-after-s");
+void ReadRules(const Json& rules, Settings* settings) {
+  settings->warm_up_start_share = rules.value("cold-from", 1.0);
+  settings->warm_up = JsonSeconds(rules, "cold-s");
+  settings->drain_grace = JsonSeconds(rules, "drain-grace-s");
+  settings->list_request_within = JsonSeconds(rules, "ask-within-s");
+  settings->order_settle = JsonSeconds(rules, "order-settle-s");
+  settings->answer_grace = JsonSeconds(rules, "grace-to-answer-s");
+  settings->collapse_load_factor = rules.value("fall-multiple", 0.0);
+  settings->collapse_after = JsonSeconds(rules, "tip-after-s");
 }
 
-void ReadFamily(const Json& info, std::size_t kinds, Settings* s) {
-  s->slots = info.value("calls-out", 0);
-  s->decay = info.value("decay", "even") == "by_half" ? Decay::kExponential : Decay::kLinear;
-  s->refused_price = std::max(0.0, info.value("refused-price", 0.0));
-  s->zone_fee = info.value("carriage", std::vector<double>());
-  const auto apart = info.value("kind-apart", std::vector<bool>());
-  const auto bundle = info.value("bundle-max", std::vector<int>());
-  s->kinds.resize(std::max({kinds, apart.size(), bundle.size()}));
-  for (std::size_t i = 0; i < apart.size(); ++i) s->kinds[i].separate_routes = apart[i];
-  for (std::size_t i = 0; i < bundle.size(); ++i) s->kinds[i].bundle_max = bundle[i];
+void ReadDestinationKinds(const Json& info, std::size_t kinds, Settings* settings) {
+  settings->slots = info.value("calls-out", 0);
+  settings->decay = info.value("decay", "even") == "by_half" ? Decay::kExponential : Decay::kLinear;
+  settings->refused_price = std::max(0.0, info.value("refused-price", 0.0));
+  settings->zone_fee = info.value("carriage", std::vector<double>());
+  const auto separate = info.value("kind-apart", std::vector<bool>());
+  const auto bundle_sizes = info.value("bundle-max", std::vector<int>());
+  settings->kinds.resize(std::max({kinds, separate.size(), bundle_sizes.size()}));
+  for (std::size_t i = 0; i < separate.size(); ++i) settings->kinds[i].separate_routes = separate[i];
+  for (std::size_t i = 0; i < bundle_sizes.size(); ++i) settings->kinds[i].bundle_max = bundle_sizes[i];
 }
 
 WeightMeaning ReadWeights(const std::string& word) {
@@ -289,12 +292,13 @@
   return word == "rough" ? WeightMeaning::kRough : WeightMeaning::kNone;
 }
 
-// Seconds with six digits, without going over floating point.
+// Appends a field in seconds with six decimals, without rounding through floating point.
 void AppendSeconds(const char* name, Time time, std::string* out) {
   char text[48];
-  const long long us = time.count();
-  const long long size = us < 0 ? -us : us;
-  std::snprintf(text, sizeof text, "=%s%lld.%06lld", us < 0 ? "-" : "", size / 1000000, size % 1000000);
+  const long long micros = time.count();
+  const long long magnitude = micros < 0 ? -micros : micros;
+  std::snprintf(text, sizeof text, "=%s%lld.%06lld", micros < 0 ? "-" : "", magnitude / 1000000,
+                magnitude % 1000000);
   *out += ' ';
   *out += name;
   *out += text;
@@ -303,8 +307,8 @@
 void AppendHex(const std::string& bytes, std::string* out) {
   static constexpr char kDigits[] = "0123456789abcdef";
   if (bytes.empty()) *out += '-';
-  for (const char c : bytes) {
-    const auto byte = static_cast<unsigned char>(c);
+  for (const char character : bytes) {
+    const auto byte = static_cast<unsigned char>(character);
     *out += kDigits[byte >> 4];
     *out += kDigits[byte & 15];
   }
@@ -313,61 +317,62 @@
 struct Writer {
   std::string* out;
 
-  void operator()(const Send& a) const {
-    *out += "ASSIGN rid=" + a.id + " receiver=" + a.endpoint;
-    if (a.timeout.count() != 0) AppendSeconds("give-up-after-s", a.timeout, out);
+  void operator()(const Send& action) const {
+    *out += "ASSIGN rid=" + action.id + " receiver=" + action.endpoint;
+    if (action.timeout.count() != 0) AppendSeconds("give-up-after-s", action.timeout, out);
   }
-  void operator()(const Refuse& a) const {
-    *out += "BUSY rid=" + a.id;
-    if (a.retry_after.count() > 0) AppendSeconds("wait-s", a.retry_after, out);
+  void operator()(const Refuse& action) const {
+    *out += "BUSY rid=" + action.id;
+    if (action.retry_after.count() > 0) AppendSeconds("wait-s", action.retry_after, out);
   }
-  void operator()(const Fail& a) const { *out += "DROP_REQUEST rid=" + a.id; }
-  void operator()(const Cancel& a) const {
-    *out += "ABANDON rid=" + a.id + " shot=" + std::to_string(a.attempt);
+  void operator()(const Fail& action) const { *out += "DROP_REQUEST rid=" + action.id; }
+  void operator()(const Cancel& action) const {
+    *out += "ABANDON rid=" + action.id + " shot=" + std::to_string(action.attempt);
   }
-  void operator()(const Probe& a) const { *out += "CHECK receiver=" + a.endpoint; }
-  void operator()(const CloseIdle& a) const { *out += "DROP_CONNS receiver=" + a.endpoint; }
+  void operator()(const Probe& action) const { *out += "CHECK receiver=" + action.endpoint; }
+  void operator()(const CloseIdle& action) const { *out += "DROP_CONNS receiver=" + action.endpoint; }
   void operator()(const SubscribeToList&) const { *out += "LISTEN enable=1"; }
   void operator()(const FetchList&) const { *out += "QUERY_ALL"; }
-  void operator()(const SendToPeers& a) const {
+  void operator()(const SendToPeers& action) const {
     *out += "SAY target=* payload=";
-    AppendHex(a.bytes, out);
+    AppendHex(action.bytes, out);
   }
-  void operator()(const SetTimer& a) const {
-    *out += "AFTER handle=" + a.token;
-    AppendSeconds("time-s", a.at, out);
+  void operator()(const SetTimer& action) const {
+    *out += "AFTER handle=" + action.token;
+    AppendSeconds("time-s", action.at, out);
   }
-  void operator()(const Log& a) const { *out += "RECORD reason-text=" + a.text; }
+  void operator()(const Log& action) const { *out += "RECORD reason-text=" + action.text; }
 };
 
 }  // namespace
 
 Settings ParseSettings(std::string_view json, std::vector<std::string>* report_fields) {
   try {
-    const Json facts = Json::parse(json);
-    const Json none = Json::object();
-    Settings s;
-    s.senders = facts.value("balancers", 1);
-    s.rank = facts.value("rank", 0);
-    for (const Json& j : facts.at("services")) s.classes.push_back(ReadClass(j));
-    for (const Json& j : facts.value("projects", Json::array())) {
-      s.tenants.push_back({j.value("name", ""), j.value("quota-rps", 0.0)});
+    const Json root = Json::parse(json);
+    const Json empty_object = Json::object();
+    Settings settings;
+    settings.senders = root.value("balancers", 1);
+    settings.rank = root.value("rank", 0);
+    for (const Json& object : root.at("services")) settings.classes.push_back(ReadClass(object));
+    for (const Json& object : root.value("projects", Json::array())) {
+      settings.tenants.push_back({object.value("name", ""), object.value("quota-rps", 0.0)});
     }
-    const Json models = facts.value("models", Json::array());
-    ReadFamily(facts.value("family-info", none), models.size(), &s);
-    for (std::size_t i = 0; i < models.size(); ++i) s.kinds[i].name = models[i];
-    ReadLimits(facts.value("limits", none), &s);
-    ReadRules(facts.value("invariants", none), &s);
-    s.weights = ReadWeights(facts.value("weights", "none"));
-    s.over_quota_worth_factor = facts.value("over-share-worth", 1.0);
-    s.must_request_list = facts.value("discovery", "push") == "ask";
-    s.tick = JsonSeconds(facts, "tick-s");
-    const Json report = facts.value("report", none);
+    const Json models = root.value("models", Json::array());
+    ReadDestinationKinds(root.value("family-info", empty_object), models.size(), &settings);
+    for (std::size_t i = 0; i < models.size(); ++i) settings.kinds[i].name = models[i];
+    ReadLimits(root.value("limits", empty_object), &settings);
+    ReadRules(root.value("invariants", empty_object), &settings);
+    settings.weights = ReadWeights(root.value("weights", "none"));
+    settings.over_quota_worth_factor = root.value("over-share-worth", 1.0);
+    settings.must_request_list = root.value("discovery", "push") == "ask";
+    settings.tick = JsonSeconds(root, "tick-s");
+    const Json report = root.value("report", empty_object);
     *report_fields = report.value("fields", std::vector<std::string>());
-    for (const std::string& field : *report_fields) s.reports_allowance |= field == "x0" || field == "x1";
-    return s;
-  } catch (const Json::exception& e) {
-    throw std::invalid_argument(std::string("the settings can't be read: ") + e.what());
+    for (const std::string& field : *report_fields)
+      settings.reports_allowance |= field == "x0" || field == "x1";
+    return settings;
+  } catch (const Json::exception& error) {
+    throw std::invalid_argument(std::string("the settings can't be read: ") + error.what());
   }
 }
 
@@ -378,14 +383,14 @@
   return true;
 }
 
-std::vector<EndpointInfo> Reader::ReadLedger(std::size_t count) {
-  std::vector<EndpointInfo> items;
+std::vector<EndpointInfo> Reader::ReadEndpointList(std::size_t count) {
+  std::vector<EndpointInfo> endpoints;
   std::string text;
   for (std::size_t i = 0; i < count; ++i) {
     if (!GetLine(&text)) throw Error(line_, "the input ends inside a LEDGER");
-    items.push_back(ReadEndpoint(Line(text, line_)));
+    endpoints.push_back(ReadEndpoint(Line(text, line_)));
   }
-  return items;
+  return endpoints;
 }
 
 bool Reader::Next(Batch* batch) {
@@ -399,11 +404,11 @@
   batch->now = head.Seconds("wall-s");
   batch->round = head.Text("round");
   std::string instance;
-  const auto add = [&](auto what) {
+  const auto add = [&](auto content) {
     if (instance.empty()) throw Error(line_, "an event before any AT");
-    batch->items.push_back({instance, line_, std::move(what)});
+    batch->items.push_back({instance, line_, std::move(content)});
   };
-  const auto fields = [&]() -> const std::vector<std::string>& { return report_fields_[instance]; };
+  const auto report_fields = [&]() -> const std::vector<std::string>& { return report_fields_[instance]; };
   while (true) {
     if (!GetLine(&text)) throw Error(line_, "the input ends inside a batch");
     const Line line(text, line_);
@@ -418,25 +423,25 @@
         std::vector<std::string> names;
         launch.settings = ParseSettings(line.Text("facts"), &names);
         report_fields_[instance] = std::move(names);
-      } catch (const std::invalid_argument& e) {
-        throw Error(line_, std::string("LAUNCH: ") + e.what());
+      } catch (const std::invalid_argument& error) {
+        throw Error(line_, std::string("LAUNCH: ") + error.what());
       }
       add(std::move(launch));
     } else if (name == "LEDGER") {
-      const auto ref = line.Integer<std::int64_t>("ref");
-      ledgers_[ref] = ReadLedger(line.Integer<std::size_t>("items"));
+      const auto reference = line.Integer<std::int64_t>("ref");
+      endpoint_lists_[reference] = ReadEndpointList(line.Integer<std::size_t>("items"));
     } else if (name == "VIEW") {
       ListUpdate update;
-      update.scope = Word<ListScope>(line, "scope",
-                                     {{"changes", ListScope::kChanges},
-                                      {"all", ListScope::kAll},
-                                      {"remembered", ListScope::kRemembered},
-                                      {"refused", ListScope::kFailed}});
+      update.scope = ReadEnum<ListScope>(line, "scope",
+                                         {{"changes", ListScope::kChanges},
+                                          {"all", ListScope::kAll},
+                                          {"remembered", ListScope::kRemembered},
+                                          {"refused", ListScope::kFailed}});
       if (update.scope != ListScope::kFailed) {
         update.revision = line.Integer<std::int64_t>("revision");
-        const auto ledger = ledgers_.find(line.Integer<std::int64_t>("ref"));
-        if (ledger == ledgers_.end()) throw Error(line_, "VIEW of a list that was never given");
-        update.endpoints = ledger->second;
+        const auto endpoint_list = endpoint_lists_.find(line.Integer<std::int64_t>("ref"));
+        if (endpoint_list == endpoint_lists_.end()) throw Error(line_, "VIEW of a list that was never given");
+        update.endpoints = endpoint_list->second;
       }
       add(Event(std::move(update)));
     } else if (name == "INBOUND") {
@@ -448,9 +453,9 @@
     } else if (name == "PEER_DATA") {
       add(Event(PeerData{line.Integer<int>("author"), FromHex(line, "payload")}));
     } else if (name == "ATTEMPT_END") {
-      add(Event(ReadAttemptEnded(line, fields())));
+      add(Event(ReadAttemptEnded(line, report_fields())));
     } else if (name == "PROBED") {
-      add(Event(ReadProbeEnded(line, fields())));
+      add(Event(ReadProbeEnded(line, report_fields())));
     } else if (name == "DEADLINE_HIT") {
       add(Event(TimerDue{line.Text("handle")}));
     } else if (name == "TEARDOWN") {
--- a/src/wire.hpp
+++ b/src/wire.hpp
@@ -1,5 +1,5 @@
-// The wire of the bench: lines of text to events, actions to lines. Translation only; decisions are in
-// decide.cpp.
+// The line protocol of the bench: reads events from lines of text and writes actions as lines. It only
+// translates; all decisions are made in decide.cpp.
 #pragma once
 
 #include <cstdint>
@@ -15,53 +15,59 @@
 
 namespace wheathub::wire {
 
-// What is wrong with the input, with the number of the line.
+// Malformed input. The text starts with the number of the line, counted from 1.
 class Error : public std::runtime_error {
  public:
   Error(std::size_t line, const std::string& what)
       : std::runtime_error("line " + std::to_string(line) + ": " + what) {}
 };
 
+// Starts the Decider of an instance.
 struct Launch {
   std::uint64_t seed = 0;
   Settings settings;
 };
+// Ends an instance.
 struct Teardown {};
 
+// One line of a batch.
 struct Item {
   std::string instance;
   std::size_t line = 0;
-  std::variant<Launch, Teardown, Event> what;
+  std::variant<Launch, Teardown, Event> content;
 };
 
+// All that happened at one moment, for all instances.
 struct Batch {
   Time now{0};
-  std::string round;
+  std::string round;  // repeated in the answer
   std::vector<Item> items;
 };
 
+// Reads batches from a stream, which must outlive it.
 class Reader {
  public:
   explicit Reader(std::istream& in) : in_(in) {}
 
-  // The next batch; false at the end of the input. Throws Error.
+  // Reads the next batch. Returns false at the end of the input; throws Error if the input is malformed.
   bool Next(Batch* batch);
   std::size_t line() const { return line_; }
 
  private:
   bool GetLine(std::string* text);
-  std::vector<EndpointInfo> ReadLedger(std::size_t count);
+  std::vector<EndpointInfo> ReadEndpointList(std::size_t count);
 
   std::istream& in_;
   std::size_t line_ = 0;
-  std::map<std::int64_t, std::vector<EndpointInfo>> ledgers_;
-  std::map<std::string, std::vector<std::string>> report_fields_;
+  std::map<std::int64_t, std::vector<EndpointInfo>> endpoint_lists_;  // by reference number
+  std::map<std::string, std::vector<std::string>> report_fields_;     // by instance
 };
 
-// Settings from the JSON text of a LAUNCH. Throws std::invalid_argument.
+// Reads settings from the JSON text of a LAUNCH line, and the names of the figures that endpoints report.
+// Throws std::invalid_argument if the text can't be read.
 Settings ParseSettings(std::string_view json, std::vector<std::string>* report_fields);
 
-// Adds the line of one action to `out`.
+// Appends the line for one action to `out`.
 void Write(const Action& action, std::string* out);
 
 }  // namespace wheathub::wire
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -981,7 +981,7 @@
       Settings s = BasicSettings();
       s.senders = senders;
       s.must_request_list = true;
-      s.ask_within = 10s;
+      s.list_request_within = 10s;
       Rig rig(s, static_cast<std::uint64_t>(seed));
       rig.List({At("a", 7)});
       const auto asked_after = [&rig](bool at_once) {
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -113,7 +113,7 @@
     rig.List({At("a", 7)});
     std::vector<Event> events;
     for (int i = 0; i < 30; ++i) {
-      Message m = Restored(rig, 0, {.kept = kept});
+      Message m = Restored(rig, 0, {.recovered = kept});
       m.id += std::to_string(i);
       events.push_back(m);
     }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -34,12 +34,12 @@
 
 template <typename E>
 E EventAt(const Batch& batch, std::size_t i) {
-  return std::get<E>(std::get<Event>(batch.items.at(i).what));
+  return std::get<E>(std::get<Event>(batch.items.at(i).content));
 }
 
 TEST(Read, Settings) {
   const Batch batch = ReadOne(WithLaunch(""));
-  const Launch launch = std::get<Launch>(batch.items.at(0).what);
+  const Launch launch = std::get<Launch>(batch.items.at(0).content);
   EXPECT_EQ(launch.seed, 7u);
   const Settings& s = launch.settings;
   EXPECT_EQ(s.senders, 3);
@@ -96,7 +96,7 @@
   EXPECT_EQ(EventAt<AttemptEnded>(batch, 4).retry_after, 0s) << "the note of a stale send is no wait";
   EXPECT_EQ(EventAt<ProbeEnded>(batch, 5).outcome, Outcome::kServed);
   EXPECT_EQ(EventAt<PeerData>(batch, 7).bytes, "hi");
-  EXPECT_TRUE(std::holds_alternative<Teardown>(batch.items.at(9).what));
+  EXPECT_TRUE(std::holds_alternative<Teardown>(batch.items.at(9).content));
 }
 
 TEST(Read, ALedgerNumberMeansItsLatestList) {
