--- a/include/wheathub/decide.hpp
+++ b/include/wheathub/decide.hpp
@@ -6,10 +6,9 @@
 // out the returned actions in order before the next call.
 // - Time is a count of microseconds since any fixed origin. It never goes back: a smaller value is read as
 //   the latest one seen. The module reads no clock; it asks for timers with SetTimer and is told by TimerDue.
-// - Each Message ends exactly once: by an AttemptEnded with `closed`, or by a Refuse or Fail action. Each
-// Send
-//   and each Probe is followed by exactly one AttemptEnded or ProbeEnded. The first Send of a message is
-//   attempt 0, the next one attempt 1.
+// - Each Message ends exactly once: by an AttemptEnded with `closed`, or by a Refuse or Fail action.
+// - Each Send and each Probe is followed by exactly one AttemptEnded or ProbeEnded. The first Send of a
+//   message is attempt 0, the next one attempt 1.
 // - The first event of a new Decider should be a ListUpdate with the remembered list, which may be empty.
 // - The same settings, seed and events give the same actions. There is no I/O, no thread and no global state.
 //   A Decider must not be used from two threads at once. It owns copies of all that it keeps.
--- a/include/wheathub/list_lease.hpp
+++ b/include/wheathub/list_lease.hpp
@@ -6,30 +6,27 @@
 // Times are microseconds of one clock that never goes back. Nothing here throws or allocates memory.
 //
 // Requirements. A change of the list counts as known, at the latest,
-//   - 6 s after discovery had it and could be reached; for a new process, 6 s after its start at the
-//   earliest;
-//   - 4 s after the configuration has moved discovery.
-// A call may begin up to 250 ms after that. A process that is delayed between checking the lease and starting
-// the call uses up to 150 ms of these.
+// - 6 s after discovery had it and could be reached; for a new process, 6 s after its start at the earliest;
+// - 4 s after the configuration has moved discovery.
+// A call may begin up to 250 ms after that. A process that is delayed between checking the lease and
+// starting the call uses up to 150 ms of these.
 //
 // Why no call is started that ignores a change which counts as known. At W, discovery sends what has changed
 // or that nothing has changed; the relay reads it at H, up to 200 ms later. Discovery collects changes for a
-// moment before it sends them, so a change that is missing from this message was made at C > W -
-// kDiscoveryBatching.
-//   It counts as known from C + 6 s > H - 0.2 s - 1.3 s + 6 s = H + 4.5 s = H + kConfirmedFor.
-//   Discovery could not be reached at U: from U + 6 s at the earliest, which is later than U +
-//   kUnreachableFor. The process started at S, which others may count from 0.5 s earlier: from S + 5.5 s = S
-//   + kStartedFor. Discovery moved at M, which is read up to 200 ms later: from M + 3.8 s = M + kMovedFor.
+// moment before it sends them, so a change that is missing from this message was made at
+// C > W - kDiscoveryBatching. The earliest time at which a change counts as known is
+// - without a failure: C + 6 s > H - 0.2 s - 1.3 s + 6 s = H + 4.5 s = H + kConfirmedFor;
+// - if discovery could not be reached at U: U + 6 s, which is later than U + kUnreachableFor;
+// - if the process started at S, which others may count from 0.5 s earlier: S + 5.5 s = S + kStartedFor;
+// - if discovery moved at M, which is read up to 200 ms later: M + 3.8 s = M + kMovedFor.
 // So the lease ends before any change counts as known, and delayed calls start within the 250 ms.
 //
 // Outages. While discovery is out of order no change counts as known, and a relay should continue with the
-// list that it has. But discovery refuses calls both when it is out of order and when too many relays call at
-// once, and only the former keeps changes from counting. Discovery is taken to be out of order only if
-//   - it ended the subscription itself, between two messages, or there was no subscription since the start,
-//   and
-//   - each call since then was refused only after a long wait. An immediate refusal shows that discovery
-//   works
-//     and sheds load.
+// list that it has. But discovery refuses calls both when it is out of order and when too many relays call
+// at once, and only the former keeps changes from counting. Discovery is taken to be out of order only if
+// - it ended the subscription itself, between two messages, or there was no subscription since the start, and
+// - each call since then was refused only after a long wait. An immediate refusal shows that discovery works
+//   and sheds load.
 // Such a call, started at B, counts as a failure to reach discovery at B. A subscription that became silent
 // or broke off within a message says nothing about discovery, nor does a move: then only an answer helps.
 //
@@ -60,7 +57,7 @@
 
   // The process starts with the list that it had stored.
   struct Started {};
-  // The process continues with the list of another one, whose lease is valid until `valid_until`; 0: not known.
+  // The process continues with the list of another one, whose lease ends at `valid_until`; 0: not known.
   struct Inherited {
     Time valid_until{0};
   };
--- a/include/wheathub/list_subscription.hpp
+++ b/include/wheathub/list_subscription.hpp
@@ -2,41 +2,41 @@
 // the time by which a change of the list has to be known. There is no I/O and no clock: the embedder makes
 // the calls, reports what became of them, and calls Step() again at alarm().
 //
-// Times are microseconds of one clock that never goes back; calls are numbered from 1. The object owns copies
-// of all that it is given and throws nothing. A call number that is unknown, or no longer known, is ignored.
+// Times are microseconds of one clock that never goes back; calls are numbered from 1. The object owns
+// copies of all that it is given and throws nothing. A call number that is unknown, or no longer known, is
+// ignored.
 //
 // Requirements. A change of the list counts as known
-//   - 6 s after discovery had it and could be reached, whatever became of earlier calls (kKnownWithin);
-//   - 6 s after the subscription became silent; while nothing changes, an empty line comes every 2 s;
-//   - 4 s after the configuration has moved discovery (kKnownWithinAfterMove);
-//   - where an agent pushes lists, as soon as the agent has it.
+// - 6 s after discovery had it and could be reached, whatever became of earlier calls (kKnownWithin);
+// - 6 s after the subscription became silent; while nothing changes, an empty line comes every 2 s;
+// - 4 s after the configuration has moved discovery (kKnownWithinAfterMove);
+// - where an agent pushes lists, as soon as the agent has it.
 //
 // Why they are met. In each state of this object the next call starts at alarm(). That is never later than
 // kLatestNextCall = 2.6 s after the start of the last call, or kSilenceTimeout + kSilenceJitter = 2.8 s after
 // something was last received on the subscription. Let discovery be reachable from R on, and let it answer a
 // call within A or refuse it within 2 s.
-//   Unreachable before R: the last call before R started by R, so the next one starts by R + 2.6 s and is
+// - Unreachable before R: the last call before R started by R, so the next one starts by R + 2.6 s and is
 //   answered by R + 2.6 s + A: in time for A up to 3.4 s. If that one is refused, the next one starts by
 //   R + 2.6 s + max(2 s + kRetryPause, 2.5 s) = R + 5.1 s and may take 0.9 s.
-//   Silent since just after the line received at H: the call starts by H + 2.8 s: in time for A up to 3.2 s.
+// - Silent since just after the line received at H: the call starts by H + 2.8 s: in time for A up to 3.2 s.
 //   If it is refused, the next one starts by H + 5.3 s and may take 0.7 s.
-//   A new process: its first call starts by 2.4 s after its start, and the same sums follow from there.
-//   Moved at M: a call starts at M; if it is refused or hangs, the next one starts by M + 2.6 s and may take
+// - A new process: its first call starts by 2.4 s after its start, and the same sums follow from there.
+// - Moved at M: a call starts at M; if it is refused or hangs, the next one starts by M + 2.6 s and may take
 //   1.4 s.
 // None of these spans grows with the number of senders, of failures, or of endpoints.
 //
 // Load on discovery. The calls of one sender start at least kMinCallInterval = 1.2 s apart (except after a
 // move, and after ResyncRequired, which comes every 10 s at most). A fleet of N senders makes, in calls a
 // second:
-//   - if calls are refused at once: N / 1.85 in the mean, N / 1.2 at most: 162 and 250 for 300 senders, 486
-//   and
-//     750 for 900;
-//   - if discovery is silent or does not accept connections: N / 2.5: 120 for 300, 360 for 900;
-//   - if it becomes silent for all senders at once, and their lines came at the same moment: N calls within
-//     0.3 s;
-//   - if it is back again: each sender calls once and is subscribed. The first calls after a start, and those
-//     that follow the end of a subscription, are spread at random over 20 ms for each sender, 2.4 s at most:
-//     125 for 300, 375 for 900.
+// - if calls are refused at once: N / 1.85 in the mean, N / 1.2 at most: 162 and 250 for 300 senders, 486 and
+//   750 for 900;
+// - if discovery is silent or does not accept connections: N / 2.5: 120 for 300, 360 for 900;
+// - if it becomes silent for all senders at once, and their lines came at the same moment: N calls within
+//   0.3 s;
+// - if it is back again: each sender calls once and is subscribed. The first calls after a start, and those
+//   that follow the end of a subscription, are spread at random over 20 ms for each sender, 2.4 s at most:
+//   125 for 300, 375 for 900.
 //
 // A call that is not answered stays open: the next ones are made beside it, three at most at once, and any
 // answer counts. Each is given up after 7.5 s. So a discovery that handles its calls in turn serves every
@@ -74,7 +74,7 @@
   static constexpr Time kMaxSpread{2'400'000};
   static constexpr Time kMaxOpenTime{7'000'000};   // an open call older than this is taken to hang
   static constexpr std::size_t kMaxOpenCalls = 3;  // unanswered calls at once
-  // For lists pushed_by_agent by an agent on the same machine. The agent has no other callers, so waits can
+  // For lists pushed by an agent on the same machine. The agent has no other callers, so waits can
   // be short.
   static constexpr Time kAgentAnswerTimeout{500'000};
   static constexpr Time kAgentMinCallInterval{50'000};
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -20,6 +20,7 @@
 using namespace std::chrono_literals;
 
 // ---- constants ----
+
 // Retry budget in tokens, one for each repeat. Repeats stay below a third of the first attempts, except for
 // the initial stock, which is spent once.
 constexpr double kTokensPerFirstSend = 0.3;
@@ -46,7 +47,9 @@
 constexpr double kPaceShrink = 0.025, kMinPace = 0.2, kMaxPace = 1.4;
 // That level: the least one holds at the reference price and above, the largest one where refusals are cheap.
 constexpr double kMinRefusedShare = 0.05, kReferenceRefusedPrice = 0.1, kMaxRefusedShare = 0.3;
+
 // Health.
+
 // Consecutive failures count as an outage if they are less likely than this by chance.
 constexpr double kMaxChanceOfFalseOutage = 0.02;
 constexpr int kMaxFailuresToGoDown = 5;      // an outage, whatever share of calls fails anyway
@@ -63,7 +66,9 @@
 constexpr double kMaxColdFactor = 2.5;   // on the overdue time of a cold endpoint
 constexpr double kLatencyWeight = 0.15;  // of a new latency in the moving mean
 constexpr Time kInitialLatency = 400ms;  // assumed before any call was served
+
 // Slow start.
+
 constexpr double kMinDestinationRate = 2;  // calls a second that any destination takes from all senders
 constexpr double kTrialShare = 0.3;  // of this sender's share of the rate, for trials of a down endpoint
 // An endpoint that is found up again is taken to be up for this share of the time since its last failure.
@@ -72,7 +77,9 @@
 // rate.
 constexpr double kArrivalWindowS = 30, kMinArrivalWindowS = 5;
 constexpr double kUnseenOutageS = 5;  // from the start of an outage to this sender's first failure
+
 // Choice of endpoints: costs, in seconds of call time.
+
 // The trial of a down endpoint counts as a gain for messages that may be repeated, and as a cost for others.
 constexpr double kColdCostS = 1, kTrialCostS = 10;
 constexpr double kFeeCostS = 5;  // for each unit of fee
