--- a/include/wheathub/decide.hpp
+++ b/include/wheathub/decide.hpp
@@ -6,10 +6,9 @@
 // out the returned actions in order before the next call.
 // - Time is a count of microseconds since any fixed origin. It never goes back: a smaller value is read as
 //   the latest one seen. The module reads no clock; it asks for timers with SetTimer and is told by TimerDue.
-// - Each Message ends exactly once: by an AttemptEnded with `closed`, or by a Refuse or Fail action. Each
-// Send
-//   and each Probe is followed by exactly one AttemptEnded or ProbeEnded. The first Send of a message is
-//   attempt 0, the next one attempt 1.
+// - Each Message ends exactly once: by an AttemptEnded with `closed`, or by a Refuse or Fail action.
+// - Each Send and each Probe is followed by exactly one AttemptEnded or ProbeEnded. The first Send of a
+//   message is attempt 0, the next one attempt 1.
 // - The first event of a new Decider should be a ListUpdate with the remembered list, which may be empty.
 // - The same settings, seed and events give the same actions. There is no I/O, no thread and no global state.
 //   A Decider must not be used from two threads at once. It owns copies of all that it keeps.
@@ -116,12 +115,12 @@
   double warm_up_start_share = 1;  // least share of its capacity that a destination has on its return
   Time warm_up{0};                 // longest time from the return to the full capacity
   Time drain_grace{0};             // calls may begin so long after a drain counts as known
-  Time ask_within{0};              // the list must be requested within this time
+  Time list_request_within{0};     // the list must be requested within this time
   Time order_settle{0};            // a key's next message waits so long after an attempt that may still run
   Time answer_grace{0};            // a message may be answered so long after its time has ended
   // A cold endpoint fails again under calls of so many times its present capacity for so long.
-  double fall_multiple = 0;
-  Time tip_after{0};
+  double collapse_load_factor = 0;
+  Time collapse_after{0};
 };
 
 // ---- events ----
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -20,6 +20,7 @@
 using namespace std::chrono_literals;
 
 // ---- constants ----
+
 // Retry budget in tokens, one for each repeat. Repeats stay below a third of the first attempts, except for
 // the initial stock, which is spent once.
 constexpr double kTokensPerFirstSend = 0.3;
@@ -46,7 +47,9 @@
 constexpr double kPaceShrink = 0.025, kMinPace = 0.2, kMaxPace = 1.4;
 // That level: the least one holds at the reference price and above, the largest one where refusals are cheap.
 constexpr double kMinRefusedShare = 0.05, kReferenceRefusedPrice = 0.1, kMaxRefusedShare = 0.3;
+
 // Health.
+
 // Consecutive failures count as an outage if they are less likely than this by chance.
 constexpr double kMaxChanceOfFalseOutage = 0.02;
 constexpr int kMaxFailuresToGoDown = 5;      // an outage, whatever share of calls fails anyway
@@ -63,7 +66,9 @@
 constexpr double kMaxColdFactor = 2.5;   // on the overdue time of a cold endpoint
 constexpr double kLatencyWeight = 0.15;  // of a new latency in the moving mean
 constexpr Time kInitialLatency = 400ms;  // assumed before any call was served
+
 // Slow start.
+
 constexpr double kMinDestinationRate = 2;  // calls a second that any destination takes from all senders
 constexpr double kTrialShare = 0.3;  // of this sender's share of the rate, for trials of a down endpoint
 // An endpoint that is found up again is taken to be up for this share of the time since its last failure.
@@ -72,7 +77,9 @@
 // rate.
 constexpr double kArrivalWindowS = 30, kMinArrivalWindowS = 5;
 constexpr double kUnseenOutageS = 5;  // from the start of an outage to this sender's first failure
+
 // Choice of endpoints: costs, in seconds of call time.
+
 // The trial of a down endpoint counts as a gain for messages that may be repeated, and as a cost for others.
 constexpr double kColdCostS = 1, kTrialCostS = 10;
 constexpr double kFeeCostS = 5;  // for each unit of fee
@@ -83,8 +90,8 @@
 // A message is late from this multiple of the usual latency before its aim; above 1 because latencies vary.
 constexpr double kLateLatencies = 1.5;
 // A call that is served within this time after this number of failed connects at most shows that connections
-// are exhausted, not that the endpoint is down. A kind of
-// destination is taken to be short of connections from this decaying count of such calls.
+// are exhausted, not that the endpoint is down. From this decaying count of such calls on, the connections of
+// a kind of destination are taken to be exhausted.
 constexpr Time kServedSoonAfterConnectFailure = 3s;
 constexpr int kMaxConnectFailures = 2;
 constexpr double kConnectionsExhaustedCount = 0.9;
@@ -556,7 +563,7 @@
       if (other->route != &route || other->state == State::kDown) continue;
       other->failure_may_have_run = false;
       other->failed_at = route.wait_until;  // down until then
-      GoDown(*other, "a long told wait");
+      GoDown(*other, "a long requested wait");
     }
   }
   void GoDown(Endpoint& endpoint, const char* why) {
