--- a/tests/relay/crossing.hpp
+++ b/tests/relay/crossing.hpp
@@ -1,5 +1,5 @@
-// What the tests of crossings share: a relay that stands still while things are put in its way, and a host
-// whose connections come up late.
+// Shared by the race tests: a relay that can be suspended while events queue up for it, and a host that
+// delays the relay's connections.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -8,40 +8,42 @@
 
 namespace oxbowspread::testing {
 
-struct Crossing {
-  World world;
-  RelayProcess relay{world};
+// One relay and one host, "a" of destination 7.
+struct RelayFixture {
+  StubServices stubs;
+  RelayProcess relay{stubs};
 
-  Crossing() { world.AddHost("a", 7); }
-  void UntilCount(Client& client, const char* counter, long count) {
-    world.Until([&] { return client.Counters()[counter] >= count; });
+  RelayFixture() { stubs.AddHost("a", 7); }
+  void WaitForCounter(Client& client, const char* counter, long count) {
+    stubs.WaitUntil([&] { return client.Counters()[counter] >= count; });
   }
-  // Only a relay that has come to its last moment leaves a whole request unread, for its client to repeat.
-  void UnreadOnlyAtTheEnd(const Client& client) {
-    if (client.unread()) CHECK(relay.DrainMs() >= 3550);
+  // A connection may be reset over an unread request only when the relay exits at its time limit, 3550 ms
+  // after SIGTERM. The client then repeats the request.
+  void CheckResetOnlyAtExit(const Client& client) {
+    if (client.was_reset()) CHECK(relay.DrainMs() >= 3550);
   }
-  // The time passes while the relay stands still.
-  void Pass(Clock::duration span) {
+  // Serves the stubs for this time, also while the relay is suspended.
+  void WaitFor(Clock::duration span) {
     const auto until = Clock::now() + span;
-    world.Until([&] { return Clock::now() >= until; },
-                std::chrono::ceil<std::chrono::milliseconds>(span) + 5s);
+    stubs.WaitUntil([&] { return Clock::now() >= until; },
+                    std::chrono::ceil<std::chrono::milliseconds>(span) + 5s);
   }
 };
 
-// A host with room for one connection that nobody has accepted: a stranger in it keeps the relay's
-// connecting.
-struct Narrow {
+// A host with a listen backlog of one connection. While another connection fills the backlog, the relay's
+// connection is not established.
+struct FullBacklogHost {
   Socket listener = Socket::Listen(0);
-  Socket stranger;
+  Socket backlog_connection;
 
-  Narrow(World& world, const std::string& id, int cell) {
-    world.AddHost(id, cell);
-    world.SetPort(id, listener.port());
+  FullBacklogHost(StubServices& stubs, const std::string& id, int cell) {
+    stubs.AddHost(id, cell);
+    stubs.SetPort(id, listener.port());
   }
-  void Fill() { stranger = Socket::Connect(listener.port()); }
-  // Lets the stranger in, and then the relay's connection, which its system tries again.
-  Socket AcceptLate() {
-    const Socket first = listener.Accept(5s);
+  void FillBacklog() { backlog_connection = Socket::Connect(listener.port()); }
+  // Accepts the connection in the backlog and then the relay's, which the relay's kernel retries.
+  Socket AcceptRelayConnection() {
+    const Socket accepted_first = listener.Accept(5s);
     return listener.Accept(5s);
   }
 };
--- a/tests/relay/endpoint_crossing_test.cpp
+++ b/tests/relay/endpoint_crossing_test.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 // Two hosts of one destination in two rooms, and another that has one only.
-struct Rooms : Crossing {
+struct Rooms : RelayFixture {
   Rooms() {
-    world.AddHost("b", 7, "east-room");
-    world.AddHost("lone", 9);
+    stubs.AddHost("b", 7, "east-room");
+    stubs.AddHost("lone", 9);
   }
   HttpRequest Deliver(Client& client, const std::string& id, const std::string& body = "hello",
                       int cell = 7) {
     client.Put(id, body, 8000, ",k=key-" + id + ",dest=" + std::to_string(cell));
-    REQUIRE(client.Line() == "+OK");
-    return world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    return stubs.NextCall();
   }
 };
 
@@ -27,35 +27,35 @@
   r.relay.Start();
   Client client(r.relay);
   const HttpRequest call = r.Deliver(client, "id-1");
-  const std::string host = r.world.HostOf(call);
-  r.Pass(1200ms);
+  const std::string host = r.stubs.HostOf(call);
+  r.WaitFor(1200ms);
   call.from->Reset();
-  const HttpRequest again = r.world.NextCall();
+  const HttpRequest again = r.stubs.NextCall();
   CHECK(again.id() == "id-1");
-  CHECK(r.world.HostOf(again) == host);
+  CHECK(r.stubs.HostOf(again) == host);
   CHECK(again.headers.at("idempotency-key") == "key-id-1");
-  r.world.Answer(again, "200 OK");
-  r.UntilCount(client, "delivered", 1);
+  r.stubs.Answer(again, "200 OK");
+  r.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["reset"] == 1);
 }
 
 // The relay has written a part and the system takes no more.
 TEST_CASE("a call reset before its last byte never ran: the other room may have it") {
-  Crossing c;
+  RelayFixture c;
   Socket slow = Socket::Listen();
-  slow.Narrow(2048);
-  slow.Segment(536);
-  c.world.AddHost("slow", 8);
-  c.world.SetPort("slow", slow.port());
+  slow.SetReceiveBufferSize(2048);
+  slow.SetMaxSegmentSize(536);
+  c.stubs.AddHost("slow", 8);
+  c.stubs.SetPort("slow", slow.port());
   c.relay.Start();
   Client client(c.relay);
   client.Put("id-1", std::string(60'000, 'x'), 8000, ",k=key1,dest=8");
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   Socket first = slow.Accept(5s);
   REQUIRE(first.fd() >= 0);
   REQUIRE_FALSE(first.Receive(5s).empty());
   first.Reset();
-  c.UntilCount(client, "no_connection", 1);
+  c.WaitForCounter(client, "no_connection", 1);
   CHECK(client.Counters()["reset"] == 0);
   // It surely never ran, so another try needs neither room nor window.
   const Socket second = slow.Accept(5s);
@@ -64,37 +64,37 @@
 
 TEST_CASE(
     "a connection that comes up late carries its call once: one that never does is given up for another") {
-  Crossing c;
-  Narrow narrow(c.world, "narrow", 8);
+  RelayFixture c;
+  FullBacklogHost narrow(c.stubs, "narrow", 8);
   c.relay.config["settings"]["limits"]["connect-timeout-s"] = 2.5;
   c.relay.Start();
-  c.world.Until([&] { return c.world.watches == 1; });
-  narrow.Fill();
+  c.stubs.WaitUntil([&] { return c.stubs.watch_requests == 1; });
+  narrow.FillBacklog();
   Client client(c.relay);
   client.Put("late", "hello", 8000, ",k=key1,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  c.UntilCount(client, "legs", 1);
-  const Socket late = narrow.AcceptLate();  // the system asks again after 1 s
+  REQUIRE(client.ReadLine() == "+OK");
+  c.WaitForCounter(client, "legs", 1);
+  const Socket late = narrow.AcceptRelayConnection();  // the system asks again after 1 s
   REQUIRE(late.fd() >= 0);
   CHECK(late.Receive(5s).find("late") != std::string::npos);
   late.Send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-  c.UntilCount(client, "delivered", 1);
+  c.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["legs"] == 1);
   // Now nobody lets anyone in.
-  narrow.Fill();
-  c.world.AddHost("open", 8, "east-room");
-  c.world.SetState("open", "Ready");
-  c.UntilCount(client, "list_changes", 3);
-  c.world.SetState("open", "Terminating");
-  c.UntilCount(client, "list_changes", 4);
+  narrow.FillBacklog();
+  c.stubs.AddHost("open", 8, "east-room");
+  c.stubs.SetState("open", "Ready");
+  c.WaitForCounter(client, "list_changes", 3);
+  c.stubs.SetState("open", "Terminating");
+  c.WaitForCounter(client, "list_changes", 4);
   client.Put("never", "hello", 8000, ",k=key2,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  c.UntilCount(client, "legs", 2);
-  c.world.SetState("open", "Ready");
-  const HttpRequest call = c.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  c.WaitForCounter(client, "legs", 2);
+  c.stubs.SetState("open", "Ready");
+  const HttpRequest call = c.stubs.NextCall();
   CHECK(call.id() == "never");
-  c.world.Answer(call, "200 OK");
-  c.UntilCount(client, "delivered", 2);
+  c.stubs.Answer(call, "200 OK");
+  c.WaitForCounter(client, "delivered", 2);
   CHECK(client.Counters()["no_connection"] == 1);
 }
 
@@ -107,12 +107,12 @@
   // How long the relay waits is in the call.
   const long waits_ms = std::stol(call.headers.at("x-timeout"));
   REQUIRE(waits_ms < 7000);
-  r.relay.Halt();
-  r.world.Answer(call, "429 Full", "Retry-After: 0.2\r\n");
-  call.from->UntilTaken();
-  r.Pass(std::chrono::milliseconds(waits_ms + 100));
-  r.relay.GoOn();
-  r.UntilCount(client, "refused", 1);
+  r.relay.Suspend();
+  r.stubs.Answer(call, "429 Full", "Retry-After: 0.2\r\n");
+  call.from->WaitUntilAcknowledged();
+  r.WaitFor(std::chrono::milliseconds(waits_ms + 100));
+  r.relay.Resume();
+  r.WaitForCounter(client, "refused", 1);
   CHECK(client.Counters()["timed_out"] == 0);
 }
 
@@ -127,11 +127,11 @@
     Client client(relay);
     const HttpRequest first = Deliver(client, "id-1");
     end(first);
-    const HttpRequest second = world.NextCall(8s);
-    CHECK(first.from->Ended());
+    const HttpRequest second = stubs.NextCall(8s);
+    CHECK(first.from->IsClosed());
     CHECK(second.id() == "id-1");
-    world.Answer(second, "200 OK");
-    UntilCount(client, "delivered", 1);
+    stubs.Answer(second, "200 OK");
+    WaitForCounter(client, "delivered", 1);
   }
 };
 
@@ -157,13 +157,13 @@
   {
     Client client(r.relay);
     const HttpRequest call = r.Deliver(client, "id-1");
-    r.relay.Halt();
+    r.relay.Suspend();
     r.relay.Signal(SIGTERM);
-    r.world.Answer(call, "200 OK");
-    call.from->UntilTaken();
-    r.relay.GoOn();
+    r.stubs.Answer(call, "200 OK");
+    call.from->WaitUntilAcknowledged();
+    r.relay.Resume();
   }
-  CHECK(r.relay.WaitForEnd() == 0);
+  CHECK(r.relay.WaitForExit() == 0);
   r.relay.Start();
   Client client(r.relay);
   CHECK(client.Counters()["recovered"] == 0);
@@ -181,17 +181,17 @@
     call = r.Deliver(client, "id-1");
   }
   r.relay.Signal(SIGTERM);
-  r.relay.UntilLog("draining");
-  Tracer tracer(r.world, r.relay.pid());
-  tracer.UntilWaiting([&] { return r.relay.log().find("settling") != std::string::npos; });
+  r.relay.WaitForLog("draining");
+  Tracer tracer(r.stubs, r.relay.pid());
+  tracer.RunUntilWaiting([&] { return r.relay.log().find("settling") != std::string::npos; });
   r.relay.Signal(SIGSTOP);
   tracer.Detach();
-  r.relay.UntilStopped();
-  r.Pass(600ms);
-  r.world.Answer(call, "200 OK");
-  call.from->UntilTaken();
-  r.relay.GoOn();
-  CHECK(r.relay.WaitForEnd() == 0);
+  r.relay.WaitUntilSuspended();
+  r.WaitFor(600ms);
+  r.stubs.Answer(call, "200 OK");
+  call.from->WaitUntilAcknowledged();
+  r.relay.Resume();
+  CHECK(r.relay.WaitForExit() == 0);
   r.relay.Start();
   Client client(r.relay);
   CHECK(client.Counters()["recovered"] == 0);
@@ -203,28 +203,28 @@
   r.relay.Start();
   Client client(r.relay);
   const HttpRequest first = r.Deliver(client, "id-1", "hello", 9);
-  r.world.Answer(first, "200 OK");
-  r.UntilCount(client, "delivered", 1);
-  r.Pass(50ms);  // lines rest after an answer
+  r.stubs.Answer(first, "200 OK");
+  r.WaitForCounter(client, "delivered", 1);
+  r.WaitFor(50ms);  // lines rest after an answer
   for (const std::string& stray :
        {std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), std::string("H")}) {
     const long delivered = client.Counters()["delivered"];
     const HttpRequest call = r.Deliver(client, "call-" + std::to_string(stray.size()), "hello", 9);
-    r.world.Answer(call, "200 OK");
-    r.UntilCount(client, "delivered", delivered + 1);
-    r.Pass(50ms);
-    r.relay.Halt();
+    r.stubs.Answer(call, "200 OK");
+    r.WaitForCounter(client, "delivered", delivered + 1);
+    r.WaitFor(50ms);
+    r.relay.Suspend();
     call.from->Send(stray);
-    call.from->UntilTaken();
+    call.from->WaitUntilAcknowledged();
     client.Put("next-" + std::to_string(stray.size()), "hello", 8000, ",k=key,dest=9");
-    client.socket().UntilTaken();
-    r.relay.GoOn();
-    REQUIRE(client.Line() == "+OK");
-    const HttpRequest next = r.world.NextCall();
+    client.socket().WaitUntilAcknowledged();
+    r.relay.Resume();
+    REQUIRE(client.ReadLine() == "+OK");
+    const HttpRequest next = r.stubs.NextCall();
     CHECK(next.from != call.from);
     CHECK(client.Counters()["delivered"] == delivered + 1);
-    r.world.Answer(next, "200 OK");
-    r.UntilCount(client, "delivered", delivered + 2);
+    r.stubs.Answer(next, "200 OK");
+    r.WaitForCounter(client, "delivered", delivered + 2);
   }
 }
 
@@ -235,15 +235,15 @@
   const HttpRequest call = r.Deliver(client, "id-1", "hello", 9);
   const auto begun = Clock::now();
   call.from->Send("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n");
-  r.world.Until([&] {
+  r.stubs.WaitUntil([&] {
     call.from->Send("1\r\nx\r\n");
     return client.Counters()["errors"] == 1;
   });
   CHECK(Clock::now() - begun < 7s);  // not with its message's time, which is 8 s
-  const HttpRequest again = r.world.NextCall();
+  const HttpRequest again = r.stubs.NextCall();
   CHECK(again.from != call.from);
-  r.world.Answer(again, "200 OK");
-  r.UntilCount(client, "delivered", 1);
+  r.stubs.Answer(again, "200 OK");
+  r.WaitForCounter(client, "delivered", 1);
 }
 
 // SIGTERM, SIGKILL and the next process: at no time are two calls of one message open.
@@ -257,12 +257,12 @@
     call = r.Deliver(client, "id-1");
   }
   r.relay.Signal(SIGTERM);
-  r.relay.UntilLog("draining");
+  r.relay.WaitForLog("draining");
   r.relay.Signal(SIGKILL);
-  CHECK(r.relay.WaitForEnd() == -SIGKILL);
-  r.world.Until([&] { return call.from->fd() < 0; });
+  CHECK(r.relay.WaitForExit() == -SIGKILL);
+  r.stubs.WaitUntil([&] { return call.from->fd() < 0; });
   r.relay.Start();
-  const HttpRequest again = r.world.NextCall();
+  const HttpRequest again = r.stubs.NextCall();
   CHECK(again.id() == "id-1");
   CHECK(again.from != call.from);
 }
--- a/tests/relay/fleet.hpp
+++ b/tests/relay/fleet.hpp
@@ -1,4 +1,5 @@
-// Some relays of a large fleet around one World, for tests of how late a change of the list is known.
+// A few relays that are configured as members of a large fleet and share one discovery service, for tests of
+// how soon they learn of a change of the list.
 #pragma once
 
 #include <algorithm>
@@ -10,23 +11,23 @@
 
 namespace oxbowspread::testing {
 
-inline constexpr int kFleet = 300;        // relays, as each is told
-inline constexpr auto kKnownWithin = 6s;  // a change of the list, from when discovery has it
+inline constexpr int kFleetSize = 300;          // number of relays that each is configured with
+inline constexpr auto kChangeKnownWithin = 6s;  // limit from discovery's change of the list to every relay
 
-// Host a is the only one of destination 7, host b of destination 8.
+// Host a is the only host of destination 7, host b the only host of destination 8.
 struct Fleet {
-  World world;
+  StubServices stubs;
   std::deque<RelayProcess> relays;
 
   explicit Fleet(int count = 6) {
-    world.AddHost("a", 7);
-    world.AddHost("b", 8);
+    stubs.AddHost("a", 7);
+    stubs.AddHost("b", 8);
     for (int rank = 0; rank < count; ++rank) {
-      RelayProcess& relay = relays.emplace_back(world);
-      relay.config["settings"]["balancers"] = kFleet;
+      RelayProcess& relay = relays.emplace_back(stubs);
+      relay.config["settings"]["balancers"] = kFleetSize;
       relay.config["settings"]["rank"] = rank;
-      relay.config["settings"]["weights"] =
-          "none";  // no told limit, of which a relay's part would be awaited
+      // Without a rate limit from endpoints, of which a relay would first have to learn its share.
+      relay.config["settings"]["weights"] = "none";
       relay.config["seed"] = std::to_string(1000 + rank);
     }
   }
@@ -34,41 +35,41 @@
   void Start() {
     for (RelayProcess& relay : relays) relay.Start();
   }
-  bool EachHas(const char* counter, long count) {
+  bool EachCounterReaches(const char* counter, long count) {
     return std::all_of(relays.begin(), relays.end(),
                        [&](const RelayProcess& relay) { return Client(relay).Counters()[counter] >= count; });
   }
-  void UntilEachHas(const char* counter, long count, std::chrono::milliseconds limit = 30s) {
-    world.Until([&] { return EachHas(counter, count); }, limit);
+  void WaitForEachCounter(const char* counter, long count, std::chrono::milliseconds limit = 30s) {
+    stubs.WaitUntil([&] { return EachCounterReaches(counter, count); }, limit);
   }
-  // Names the address at which discovery listens now.
+  // Reloads every relay with discovery's present address.
   void ReloadAll() {
     for (const RelayProcess& relay : relays) {
       auto config = relay.config;
-      config["discovery"] = "127.0.0.1:" + std::to_string(world.discovery_port());
+      config["discovery"] = "127.0.0.1:" + std::to_string(stubs.discovery_port());
       relay.Reload(config.dump());
     }
   }
-  void Pass(Clock::duration span) {
+  void WaitFor(Clock::duration span) {
     const auto until = Clock::now() + span;
-    world.Until([&] { return Clock::now() >= until; },
-                std::chrono::ceil<std::chrono::milliseconds>(span) + 5s);
+    stubs.WaitUntil([&] { return Clock::now() >= until; },
+                    std::chrono::ceil<std::chrono::milliseconds>(span) + 5s);
   }
-  // How many relays call host b, the only one of its destination, with a message for that.
-  int CallDraining() {
+  // Hands each relay a message for host b's destination. Returns how many relays call host b.
+  int CountRelaysCallingHostB() {
     int calls = 0;
     for (const RelayProcess& relay : relays) {
       Client client(relay);
       const long before = client.Counters()["legs"];
-      client.Put("id-" + std::to_string(++puts_), "hello", 8000, ",k=key1,dest=8");
-      REQUIRE(client.Line() == "+OK");
-      calls += client.Counters()["legs"] > before;  // the step that took it on would have sent it
+      client.Put("id-" + std::to_string(++messages_), "hello", 8000, ",k=key1,dest=8");
+      REQUIRE(client.ReadLine() == "+OK");
+      calls += client.Counters()["legs"] > before;  // the step that accepts a message also sends it
     }
     return calls;
   }
 
  private:
-  int puts_ = 0;
+  int messages_ = 0;
 };
 
 }  // namespace oxbowspread::testing
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -22,15 +22,15 @@
 using namespace handover;
 
 struct Upgrade {
-  World world;
+  StubServices stubs;
   Socket clients = Socket::Listen(511);
-  RelayProcess old{world}, next{world};
+  RelayProcess old{stubs}, next{stubs};
   int old_door = 0, next_door = 0;
 
   Upgrade() {
-    world.AddHost("a", 7);
-    for (RelayProcess* p : {&old, &next}) p->held = &clients;
-    next.Use(old.state());
+    stubs.AddHost("a", 7);
+    for (RelayProcess* p : {&old, &next}) p->inherited_listener = &clients;
+    next.UseStateFolder(old.state());
     old_door = Doored(old);
     next_door = Doored(next);
   }
@@ -41,7 +41,7 @@
   }
   void Over() {
     next.Start();
-    old.UntilLog("given over");
+    old.WaitForLog("given over");
   }
   std::string Ask(int port, const std::string& line) {
     const Socket s = Socket::Connect(port);
@@ -118,7 +118,7 @@
   r.old.config["settings"]["limits"]["max-open"] = r.next.config["settings"]["limits"]["max-open"] = 1000;
   for (RelayProcess* p : {&r.old, &r.next}) p->config["settings"]["family-info"]["calls-out"] = 500;
   r.old.Start();
-  const std::string whole = Client::PutText("id-000", "a body\r\n", 8000, ",k=key1,dest=7");
+  const std::string whole = Client::PutCommand("id-000", "a body\r\n", 8000, ",k=key1,dest=7");
   std::vector<std::unique_ptr<Client>> all;
   const auto text = [&](std::size_t cut) {
     std::string t = whole;
@@ -129,21 +129,21 @@
     all.push_back(std::make_unique<Client>(r.old));
     all.back()->socket().Send(text(cut).substr(0, cut));
   }
-  r.world.Until([&] { return r.Counter(r.old, "clients") >= static_cast<long>(all.size()) + 1; });
+  r.stubs.WaitUntil([&] { return r.Counter(r.old, "clients") >= static_cast<long>(all.size()) + 1; });
   r.Over();
   for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
     all[cut]->socket().Send(text(cut).substr(cut));
     INFO(cut);
-    REQUIRE(all[cut]->Line() == "+OK");
+    REQUIRE(all[cut]->ReadLine() == "+OK");
   }
   std::set<std::string> ids;
   while (ids.size() < all.size()) {
-    const HttpRequest call = r.world.NextCall();
+    const HttpRequest call = r.stubs.NextCall();
     CHECK(ids.insert(call.id()).second);
     CHECK(call.body == "a body\r\n");
-    r.world.Answer(call, "200 OK");
+    r.stubs.Answer(call, "200 OK");
   }
-  CHECK(r.old.WaitForEnd() == 0);
+  CHECK(r.old.WaitForExit() == 0);
 }
 
 TEST_CASE("attempts that are out end in the old process, and what follows is the new one's") {
@@ -153,67 +153,67 @@
   std::map<std::string, HttpRequest> out;
   for (const std::string id : {"served", "failed", "waits"}) {
     client.Put(id);
-    REQUIRE(client.Line() == "+OK");
-    out[id] = r.world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    out[id] = r.stubs.NextCall();
   }
   r.Over();
   CHECK(r.Ask(r.next_door, "readyz") == "done");
   CHECK(r.Ask(r.old_door, "readyz") == "error given over");
-  r.world.Answer(out["served"], "200 OK");
-  r.world.Until([&] { return r.Counter(r.next, "delivered") == 1; });
+  r.stubs.Answer(out["served"], "200 OK");
+  r.stubs.WaitUntil([&] { return r.Counter(r.next, "delivered") == 1; });
   CHECK(r.Counter(r.next, "recovered") == 3);
   // A wait told to the old process binds the new one, which repeats the message after it.
   const auto told = Clock::now();
-  r.world.Answer(out["waits"], "503 Full", "Retry-After: 0.6\r\n");
-  r.world.Until([&] { return r.Counter(r.next, "refused") == 1; });
-  r.world.Answer(out["failed"], "500 No");
+  r.stubs.Answer(out["waits"], "503 Full", "Retry-After: 0.6\r\n");
+  r.stubs.WaitUntil([&] { return r.Counter(r.next, "refused") == 1; });
+  r.stubs.Answer(out["failed"], "500 No");
   std::set<std::string> again;
   while (again.size() < 2) {
-    const HttpRequest call = r.world.NextCall();
+    const HttpRequest call = r.stubs.NextCall();
     again.insert(call.id());
-    r.world.Answer(call, "200 OK");
+    r.stubs.Answer(call, "200 OK");
   }
   CHECK(Clock::now() - told > 500ms);
   CHECK(again == std::set<std::string>{"failed", "waits"});
   r.old.Signal(SIGTERM);
-  CHECK(r.old.WaitForEnd() == 0);
-  r.world.Until([&] { return r.Counter(r.next, "delivered") == 3; });
+  CHECK(r.old.WaitForExit() == 0);
+  r.stubs.WaitUntil([&] { return r.Counter(r.next, "delivered") == 3; });
   // And so again, right after.
-  RelayProcess third(r.world);
-  third.held = &r.clients;
-  third.Use(r.old.state());
+  RelayProcess third(r.stubs);
+  third.inherited_listener = &r.clients;
+  third.UseStateFolder(r.old.state());
   third.Start();
-  CHECK(r.next.WaitForEnd() == 0);
+  CHECK(r.next.WaitForExit() == 0);
   client.Put("more");
-  CHECK(client.Line() == "+OK");
+  CHECK(client.ReadLine() == "+OK");
 }
 
 TEST_CASE("a told wait, and a host that is out, hold over a handover, and the old door passes calls on") {
   Upgrade r;
   r.old.Start();
-  r.world.Until([&] { return r.world.watches == 1; });
+  r.stubs.WaitUntil([&] { return r.stubs.watch_requests == 1; });
   CHECK(r.Ask(r.old_door, "exclude a") == "done");
-  r.world.AddHost("b", 8);
-  r.world.Tell({{"version", 9}, {"full", false}, {"servers", {r.world.Entry("b")}}});
+  r.stubs.AddHost("b", 8);
+  r.stubs.PushChange({{"version", 9}, {"full", false}, {"servers", {r.stubs.ListEntry("b")}}});
   Client client(r.old);
-  r.world.Until([&] { return client.Counters()["list_changes"] >= 3; });
+  r.stubs.WaitUntil([&] { return client.Counters()["list_changes"] >= 3; });
   client.Put("held-a");
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   client.Put("first-b", "x", 8000, ",k=k2,dest=8");
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   const auto told = Clock::now();
-  r.world.Answer(r.world.NextCall(), "503 Full", "Retry-After: 1.2\r\n");
-  r.world.Until([&] { return client.Counters()["refused"] == 1; });
+  r.stubs.Answer(r.stubs.NextCall(), "503 Full", "Retry-After: 1.2\r\n");
+  r.stubs.WaitUntil([&] { return client.Counters()["refused"] == 1; });
   // An attempt keeps the old process alive.
   r.Over();
   client.Put("second-b", "x", 8000, ",k=k3,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  const HttpRequest call = r.world.NextCall();
-  CHECK(r.world.HostOf(call) == "b");
+  REQUIRE(client.ReadLine() == "+OK");
+  const HttpRequest call = r.stubs.NextCall();
+  CHECK(r.stubs.HostOf(call) == "b");
   CHECK(Clock::now() - told > 1s);
   CHECK(r.Ask(r.next_door, "include a") == "done");
-  HttpRequest after = r.world.NextCall();
-  while (r.world.HostOf(after) != "a") after = r.world.NextCall();
+  HttpRequest after = r.stubs.NextCall();
+  while (r.stubs.HostOf(after) != "a") after = r.stubs.NextCall();
   CHECK(after.id() == "held-a");
 }
 
@@ -223,7 +223,7 @@
   Upgrade r;
   for (RelayProcess* p : {&r.old, &r.next}) p->config["settings"]["balancers"] = 300;
   r.old.Start();
-  r.world.Until([&] { return r.world.standing() == 1; });
+  r.stubs.WaitUntil([&] { return r.stubs.open_watches() == 1; });
   r.Over();
   CHECK(r.Counter(r.next, "watches") == 1);
 }
@@ -233,15 +233,15 @@
   r.old.Start();
   Client client(r.old);
   client.Put("out");
-  REQUIRE(client.Line() == "+OK");
-  const HttpRequest call = r.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  const HttpRequest call = r.stubs.NextCall();
   r.Over();
   // The new process answers the old one while this waits: both are processes of their own.
   CHECK(r.Ask(r.old_door, "exclude a") == "done");
   CHECK(r.Ask(r.old_door, "exclude nobody").substr(0, 6) == "error ");
   CHECK(r.Counter(r.next, "hosts_out") == 1);
-  r.world.Answer(call, "200 OK");
-  CHECK(r.old.WaitForEnd() == 0);
+  r.stubs.Answer(call, "200 OK");
+  CHECK(r.old.WaitForExit() == 0);
 }
 
 // Found by asking of every way in which an attempt ends whether its connection has ended by then. The new
@@ -251,27 +251,27 @@
 // hold-up of 0.15 s.
 TEST_CASE("an attempt that the old process can't cut, as it stands, is not repeated until it is cut") {
   Upgrade r;
-  r.world.AddHost("b", 8);
+  r.stubs.AddHost("b", 8);
   for (RelayProcess* p : {&r.old, &r.next}) p->config["settings"]["family-info"]["calls-out"] = 1;
   r.old.Start();
   Client client(r.old);
   client.Put("out", "hello", 20000);
-  REQUIRE(client.Line() == "+OK");
-  REQUIRE(r.world.NextCall().id() == "out");
+  REQUIRE(client.ReadLine() == "+OK");
+  REQUIRE(r.stubs.NextCall().id() == "out");
   r.Over();
-  r.old.Halt();
+  r.old.Suspend();
   client.Put("other", "hello", 20000, ",k=key2,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  CHECK_FALSE(r.world.CallWithin(5s));  // the one slot is that of the attempt that is out
-  r.old.GoOn();
+  REQUIRE(client.ReadLine() == "+OK");
+  CHECK_FALSE(r.stubs.CallArrivesWithin(5s));  // the one slot is that of the attempt that is out
+  r.old.Resume();
   std::set<std::string> called;
   while (called.size() < 2) {
-    const HttpRequest call = r.world.NextCall();
+    const HttpRequest call = r.stubs.NextCall();
     called.insert(call.id());
-    r.world.Answer(call, "200 OK");
+    r.stubs.Answer(call, "200 OK");
   }
   CHECK(called == std::set<std::string>{"other", "out"});
-  CHECK(r.old.WaitForEnd() == 0);
+  CHECK(r.old.WaitForExit() == 0);
 }
 
 // Found beside the test above: the old process alone held the clock of an attempt that went on in it. Where
@@ -282,16 +282,16 @@
   Client client(r.old);
   client.Put("out", "hello", 2500);
   const auto sent = Clock::now();
-  REQUIRE(client.Line() == "+OK");
-  r.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  r.stubs.NextCall();
   r.Over();
-  r.old.Halt();
-  r.world.Until([&] { return r.world.notices.count("out") > 0; });
+  r.old.Suspend();
+  r.stubs.WaitUntil([&] { return r.stubs.notices.count("out") > 0; });
   CHECK(Clock::now() - sent <= 2500ms + 350ms);
-  CHECK(r.world.notices.at("out").at("status") == "undeliverable");
-  CHECK_FALSE(r.world.CallWithin(500ms));  // nothing is tried after the end
-  r.old.GoOn();
-  CHECK(r.old.WaitForEnd() == 0);
+  CHECK(r.stubs.notices.at("out").at("status") == "undeliverable");
+  CHECK_FALSE(r.stubs.CallArrivesWithin(500ms));  // nothing is tried after the end
+  r.old.Resume();
+  CHECK(r.old.WaitForExit() == 0);
 }
 
 TEST_CASE("the old process killed with an attempt out: it may have run, and goes on by the rules") {
@@ -299,16 +299,16 @@
   r.old.Start();
   Client client(r.old);
   client.Put("out");
-  REQUIRE(client.Line() == "+OK");
-  r.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  r.stubs.NextCall();
   r.Over();
-  CHECK_FALSE(r.world.CallWithin(200ms));  // one attempt at a time
+  CHECK_FALSE(r.stubs.CallArrivesWithin(200ms));  // one attempt at a time
   r.old.Signal(SIGKILL);
-  r.old.WaitForEnd();
-  const HttpRequest again = r.world.NextCall();
+  r.old.WaitForExit();
+  const HttpRequest again = r.stubs.NextCall();
   CHECK(again.id() == "out");
-  r.world.Answer(again, "200 OK");
-  r.world.Until([&] { return r.Counter(r.next, "delivered") == 1; });
+  r.stubs.Answer(again, "200 OK");
+  r.stubs.WaitUntil([&] { return r.Counter(r.next, "delivered") == 1; });
 }
 
 // A new process that dies, or stops, at each step; its place is taken by the test.
@@ -317,9 +317,9 @@
   r.old.Start();
   Client client(r.old);
   client.Put("out");
-  REQUIRE(client.Line() == "+OK");
-  const HttpRequest call = r.world.NextCall();
-  client.socket().Send(Client::PutText("cut", "x", 8000, ",k=k2,dest=7").substr(0, 20));
+  REQUIRE(client.ReadLine() == "+OK");
+  const HttpRequest call = r.stubs.NextCall();
+  client.socket().Send(Client::PutCommand("cut", "x", 8000, ",k=k2,dest=7").substr(0, 20));
   const auto serves = [&] {
     Client other(r.old);
     REQUIRE(other.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
@@ -372,13 +372,13 @@
     CHECK(c->ended());
   }
   serves();
-  client.socket().Send(Client::PutText("cut", "x", 8000, ",k=k2,dest=7").substr(20));
-  CHECK(client.Line() == "+OK");
-  const HttpRequest second = r.world.NextCall();
+  client.socket().Send(Client::PutCommand("cut", "x", 8000, ",k=k2,dest=7").substr(20));
+  CHECK(client.ReadLine() == "+OK");
+  const HttpRequest second = r.stubs.NextCall();
   CHECK(second.id() == "cut");
-  r.world.Answer(call, "200 OK");
-  r.world.Answer(second, "200 OK");
-  r.world.Until([&] { return r.Counter(r.old, "delivered") == 2; });
+  r.stubs.Answer(call, "200 OK");
+  r.stubs.Answer(second, "200 OK");
+  r.stubs.WaitUntil([&] { return r.Counter(r.old, "delivered") == 2; });
   // And a sound one can take over after all that.
   r.Over();
 }
@@ -389,18 +389,18 @@
   {
     Client client(r.old);
     client.Put("kept");
-    REQUIRE(client.Line() == "+OK");
-    r.world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    r.stubs.NextCall();
   }
   {
     auto c = Channel::Connect(r.old.state());
     CloseAll(TakeUntil(*c, Taker::Phase::kOwner));
   }
-  r.old.UntilLog("starting anew");
-  const HttpRequest again = r.world.NextCall();
+  r.old.WaitForLog("starting anew");
+  const HttpRequest again = r.stubs.NextCall();
   CHECK(again.id() == "kept");
-  r.world.Answer(again, "200 OK");
-  r.world.Until([&] { return r.Counter(r.old, "delivered") == 1; });
+  r.stubs.Answer(again, "200 OK");
+  r.stubs.WaitUntil([&] { return r.Counter(r.old, "delivered") == 1; });
 }
 
 // An old process that dies at each step; its place is taken by the test, which holds the folder.
@@ -410,11 +410,11 @@
   {
     Client client(r.old);
     client.Put("kept");
-    REQUIRE(client.Line() == "+OK");
-    r.world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    r.stubs.NextCall();
   }
   r.old.Signal(SIGKILL);
-  r.old.WaitForEnd();
+  r.old.WaitForExit();
   auto lock = std::make_unique<journal::FolderLock>(r.old.state());
   net::Loop loop;
   std::optional<Channel> asked;
@@ -422,7 +422,7 @@
   const int step = GENERATE(0, 1, 2, 3);
   CAPTURE(step);
   r.next.Spawn();
-  r.world.Until([&] {
+  r.stubs.WaitUntil([&] {
     loop.ref().run(EVRUN_NOWAIT);
     return asked.has_value();
   });
@@ -441,11 +441,11 @@
   lock.reset();
   asked.reset();
   if (step != 1) port.reset();  // else its socket stays behind, as a dead process leaves it
-  r.next.UntilLog(": serving");
-  const HttpRequest again = r.world.NextCall();
+  r.next.WaitForLog(": serving");
+  const HttpRequest again = r.stubs.NextCall();
   CHECK(again.id() == "kept");
-  r.world.Answer(again, "200 OK");
-  r.world.Until([&] { return r.Counter(r.next, "delivered") == 1; });
+  r.stubs.Answer(again, "200 OK");
+  r.stubs.WaitUntil([&] { return r.Counter(r.next, "delivered") == 1; });
 }
 
 TEST_CASE("SIGHUP and SIGTERM to either process around a handover") {
@@ -453,33 +453,33 @@
   r.old.Start();
   Client client(r.old);
   client.Put("out");
-  REQUIRE(client.Line() == "+OK");
-  const HttpRequest call = r.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  const HttpRequest call = r.stubs.NextCall();
   r.next.Spawn();
-  r.next.UntilLog(": serving");
+  r.next.WaitForLog(": serving");
   r.old.Signal(SIGHUP);
   r.next.Signal(SIGHUP);
-  r.next.UntilLog(": reloaded");
-  r.old.UntilLog("given over");
+  r.next.WaitForLog(": reloaded");
+  r.old.WaitForLog("given over");
   r.old.Signal(SIGTERM);
   // It stays for its attempt, well within the time it has.
-  r.world.Answer(call, "200 OK");
-  CHECK(r.old.WaitForEnd() == 0);
-  r.world.Until([&] { return r.Counter(r.next, "delivered") == 1; });
+  r.stubs.Answer(call, "200 OK");
+  CHECK(r.old.WaitForExit() == 0);
+  r.stubs.WaitUntil([&] { return r.Counter(r.next, "delivered") == 1; });
   r.next.Signal(SIGTERM);
-  CHECK(r.next.WaitForEnd() == 0);
+  CHECK(r.next.WaitForExit() == 0);
 }
 
 TEST_CASE("a listening socket that can't be used ends the start with a line that names the variable") {
-  World world;
-  world.AddHost("a", 7);
+  StubServices stubs;
+  stubs.AddHost("a", 7);
   const Socket listening = Socket::Listen();
   const auto fails = [&](const std::string& value, const std::function<void()>& in_child) {
-    RelayProcess relay(world);
+    RelayProcess relay(stubs);
     relay.environment["ROUTER_LISTEN_FD"] = value;
     relay.in_child = in_child;
     int code = 0;
-    const std::string text = relay.RunToEnd(&code);
+    const std::string text = relay.RunToExit(&code);
     CHECK(code == 1);
     CHECK(text.find("ROUTER_LISTEN_FD: ") != std::string::npos);
   };
@@ -504,7 +504,7 @@
     CAPTURE(seed, kill.old, kill.after);
     std::mt19937 random(seed);
     Upgrade r;
-    r.world.AddHost("b", 7);
+    r.stubs.AddHost("b", 7);
     r.old.Start();
     REQUIRE(r.Ask(r.old_door, "exclude b") == "done");
     std::set<std::string> accepted, delivered;
@@ -516,9 +516,9 @@
              (errno == EAGAIN || errno == EWOULDBLOCK);
     };
     const auto pump = [&](std::size_t keep) {
-      while (r.world.CallWithin(5ms)) {
-        const HttpRequest call = r.world.NextCall();
-        CHECK(r.world.HostOf(call) == "a");
+      while (r.stubs.CallArrivesWithin(5ms)) {
+        const HttpRequest call = r.stubs.NextCall();
+        CHECK(r.stubs.HostOf(call) == "a");
         if (const auto it = out.find(call.id()); it != out.end()) CHECK_FALSE(open(*it->second));
         out[call.id()] = call.from;
         waiting.push_back(call);
@@ -526,7 +526,7 @@
       while (waiting.size() > keep) {
         const auto it = waiting.begin() + static_cast<std::ptrdiff_t>(random() % waiting.size());
         if (open(*it->from)) delivered.insert(it->id());
-        r.world.Answer(*it, "200 OK");
+        r.stubs.Answer(*it, "200 OK");
         out.erase(it->id());
         waiting.erase(it);
       }
@@ -536,45 +536,45 @@
         Client client(r.old);
         const std::string id = name + std::to_string(i);
         client.Put(id, "x", 15000, ",k=" + id + ",dest=7");
-        if (client.Line() == "+OK") accepted.insert(id);
+        if (client.ReadLine() == "+OK") accepted.insert(id);
         pump(5);
       }
     };
     put(8 + static_cast<int>(random() % 6), "before-");
-    r.world.Until([&] {  // it has read what was answered: the attempts that are out are those known here
+    r.stubs.WaitUntil([&] {  // it has read what was answered: the attempts that are out are those known here
       pump(5);
       return r.Counter(r.old, "out") == static_cast<long>(out.size());
     });
     r.next.Spawn();
-    r.world.Until([&] { return (r.old.log() + r.next.log()).find(kill.after) != std::string::npos; });
+    r.stubs.WaitUntil([&] { return (r.old.log() + r.next.log()).find(kill.after) != std::string::npos; });
     RelayProcess& victim = kill.old ? r.old : r.next;
     RelayProcess& serving = kill.old ? r.next : r.old;
     victim.Signal(SIGKILL);
-    victim.WaitForEnd();
+    victim.WaitForExit();
     // These may have run: each is repeated for a token, or ends undeliverable where none is left.
     std::set<std::string> at_risk;
     for (const auto& [id, from] : out) at_risk.insert(id);
-    r.world.Until([&] {
+    r.stubs.WaitUntil([&] {
       pump(5);
       Client probe(serving);
       probe.socket().Send("*1\r\n$4\r\nPING\r\n");
       return probe.socket().Receive(100ms) == "+PONG\r\n";
     });
     put(6, "after-");
-    r.world.Until(
+    r.stubs.WaitUntil(
         [&] {
           pump(0);
           return r.Counter(serving, "held") == 0 &&
                  std::all_of(accepted.begin(), accepted.end(), [&](const std::string& id) {
-                   return delivered.count(id) > 0 || r.world.notices.count(id) > 0;
+                   return delivered.count(id) > 0 || r.stubs.notices.count(id) > 0;
                  });
         },
         20s);
     CHECK(accepted.size() >= 14);
     for (const std::string& id : accepted) {
       CAPTURE(id);
-      const auto notice = r.world.notices.find(id);
-      if (notice == r.world.notices.end()) continue;
+      const auto notice = r.stubs.notices.find(id);
+      if (notice == r.stubs.notices.end()) continue;
       CHECK(notice->second.at("status") == "undeliverable");
       CHECK(at_risk.count(id) > 0);
     }
--- a/tests/relay/list_lease_test.cpp
+++ b/tests/relay/list_lease_test.cpp
@@ -23,7 +23,7 @@
 void KeepAsking(Fleet& fleet, std::deque<Client>& clients, Clock::time_point until) {
   while (Clock::now() < until) {
     for (Client& client : clients) REQUIRE(client.Ask(kPing) == "+PONG");
-    fleet.world.ServeFor(50ms);
+    fleet.stubs.ServeFor(50ms);
   }
 }
 
@@ -32,9 +32,9 @@
   for (int round = 0; Clock::now() < until; ++round) {
     for (std::size_t i = 0; i < clients.size(); ++i) {
       clients[i].Put("a-" + std::to_string(i) + "-" + std::to_string(round));
-      REQUIRE_FALSE(clients[i].Line().empty());
+      REQUIRE_FALSE(clients[i].ReadLine().empty());
     }
-    while (fleet.world.CallWithin(50ms)) fleet.world.Answer(fleet.world.NextCall(), "200 OK");
+    while (fleet.stubs.CallArrivesWithin(50ms)) fleet.stubs.Answer(fleet.stubs.NextCall(), "200 OK");
   }
 }
 
@@ -44,7 +44,7 @@
   for (Client& client : clients) {
     const long before = client.Counters()["legs"];
     client.Put("late-" + std::to_string(&client - &clients.front()), "hello", 8000, ",k=key1,dest=8");
-    client.Line();
+    client.ReadLine();
     calls += client.Counters()["legs"] > before;
   }
   return calls;
@@ -53,27 +53,27 @@
 // The change that tells the drain of host b breaks off in its middle with the watch, and discovery refuses
 // all calls from then on. Returns when discovery had the change.
 Clock::time_point BreakChange(Fleet& fleet) {
-  fleet.world.refusing = true;
-  fleet.world.SetStateUntold("b", "Terminating");
+  fleet.stubs.discovery_refuses = true;
+  fleet.stubs.SetStateWithoutPush("b", "Terminating");
   const auto changed = Clock::now();
-  fleet.world.TellText("{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"b\",");
-  fleet.world.EndWatches();
+  fleet.stubs.PushChunk("{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"b\",");
+  fleet.stubs.CloseWatches();
   return changed;
 }
 
 TEST_CASE("no call to a host that drains: its change broken off, discovery moved and crowded, SIGTERM") {
   Fleet f(4);
   f.Start();
-  f.UntilEachHas("list_changes", 2);
+  f.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ClientsOf(f);
   const auto changed = BreakChange(f);
-  f.UntilEachHas("list_failures", 2);
-  f.world.MoveDiscovery();
+  f.WaitForEachCounter("list_failures", 2);
+  f.stubs.MoveDiscovery();
   f.ReloadAll();
-  f.UntilEachHas("reloads", 1);
-  KeepAsking(f, clients, changed + kKnownWithin - 2700ms);
+  f.WaitForEachCounter("reloads", 1);
+  KeepAsking(f, clients, changed + kChangeKnownWithin - 2700ms);
   for (const RelayProcess& relay : f.relays) relay.Signal(SIGTERM);
-  KeepHandingIn(f, clients, changed + kKnownWithin);
+  KeepHandingIn(f, clients, changed + kChangeKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
 }
 
@@ -81,16 +81,16 @@
     "no call to a host that drains while discovery refuses calls, and what waits goes once it answers") {
   Fleet f(4);
   f.Start();
-  f.UntilEachHas("list_changes", 2);
+  f.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ClientsOf(f);
   const auto changed = BreakChange(f);
-  KeepAsking(f, clients, changed + kKnownWithin);
+  KeepAsking(f, clients, changed + kChangeKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
   clients.front().Put("id-a", "hello", 8000, ",k=key2,dest=7");
-  CHECK(clients.front().Line() == "+OK");
-  CHECK_FALSE(f.world.CallWithin(500ms));
-  f.world.refusing = false;
-  CHECK(f.world.NextCall().id() == "id-a");
+  CHECK(clients.front().ReadLine() == "+OK");
+  CHECK_FALSE(f.stubs.CallArrivesWithin(500ms));
+  f.stubs.discovery_refuses = false;
+  CHECK(f.stubs.NextCall().id() == "id-a");
 }
 
 // Found by the soak test: the connection was closed at SIGHUP, and with it went an answer that was on its
@@ -98,20 +98,20 @@
 TEST_CASE("a drain that discovery writes at its old address behind SIGHUP is kept to") {
   Fleet f(1);
   f.Start();
-  f.UntilEachHas("list_changes", 2);
+  f.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ClientsOf(f);
-  f.world.silent = true;  // where it moves to
-  f.world.MoveDiscovery();
+  f.stubs.discovery_silent = true;  // where it moves to
+  f.stubs.MoveDiscovery();
   f.ReloadAll();
-  f.UntilEachHas("reloads", 1);
-  f.world.SetStateUntold("b", "Terminating");
-  f.world.TellLeft({{"version", 2}, {"full", false}, {"servers", {f.world.Entry("b")}}});
+  f.WaitForEachCounter("reloads", 1);
+  f.stubs.SetStateWithoutPush("b", "Terminating");
+  f.stubs.PushChangeToOldAddress({{"version", 2}, {"full", false}, {"servers", {f.stubs.ListEntry("b")}}});
   const auto told = Clock::now();
   KeepAsking(f, clients, told + 250ms);  // the grace
   CHECK(CallsToDraining(clients) == 0);
   clients.front().Put("id-a", "hello", 8000, ",k=key2,dest=7");
-  CHECK(clients.front().Line() == "+OK");
-  CHECK(f.world.NextCall().id() == "id-a");
+  CHECK(clients.front().ReadLine() == "+OK");
+  CHECK(f.stubs.NextCall().id() == "id-a");
 }
 
 // Found by the soak test, seed 1, once in 12 plays: relay told to wait with a host, and called it 0.3 s
@@ -120,25 +120,25 @@
 // away, and the first list that named the new host set it free. Counters showed one refused call and, with
 // the new list, the next one at the same address within the wait.
 TEST_CASE("a wait told at an address binds the host that has taken it over") {
-  World world;
-  world.AddHost("old", 7);
-  RelayProcess relay(world);
+  StubServices stubs;
+  stubs.AddHost("old", 7);
+  RelayProcess relay(stubs);
   relay.Start();
-  world.Until([&] { return world.standing() == 1; });
+  stubs.WaitUntil([&] { return stubs.open_watches() == 1; });
   Client client(relay);
   client.Put("id-1", "hello", 8000, ",k=key1,dest=7");
-  world.Answer(world.NextCall(), "429 Full", "Retry-After: 3\r\n");
-  REQUIRE(client.Line() == "+OK");
-  world.Until([&] { return client.Counters()["refused"] == 1; });
-  auto next = world.Entry("old");
+  stubs.Answer(stubs.NextCall(), "429 Full", "Retry-After: 3\r\n");
+  REQUIRE(client.ReadLine() == "+OK");
+  stubs.WaitUntil([&] { return client.Counters()["refused"] == 1; });
+  auto next = stubs.ListEntry("old");
   next["id"] = "new";
-  auto gone = world.Entry("old");
+  auto gone = stubs.ListEntry("old");
   gone["state"] = "Gone";
-  world.Tell({{"version", 2}, {"full", false}, {"servers", {gone, next}}});
-  world.Until([&] { return client.Counters()["list_changes"] == 3; });
+  stubs.PushChange({{"version", 2}, {"full", false}, {"servers", {gone, next}}});
+  stubs.WaitUntil([&] { return client.Counters()["list_changes"] == 3; });
   client.Put("id-2", "hello", 8000, ",k=key2,dest=7");
-  REQUIRE(client.Line() == "+OK");
-  CHECK_FALSE(world.CallWithin(1500ms));
+  REQUIRE(client.ReadLine() == "+OK");
+  CHECK_FALSE(stubs.CallArrivesWithin(1500ms));
 }
 
 // Found by asking where else what is read late is taken for fresh. A heartbeat that lay unread while the
@@ -148,28 +148,28 @@
 TEST_CASE("a heartbeat that lay unread while its relay stood does not make the list fresh") {
   Fleet f(1);
   f.Start();
-  f.UntilEachHas("list_changes", 2);
+  f.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ClientsOf(f);
   RelayProcess& relay = f.relays.front();
-  relay.Halt();
-  f.world.TellText("\n");
-  f.world.heartbeats = false;
-  f.world.silent = true;
-  f.world.SetStateUntold("b", "Terminating");
+  relay.Suspend();
+  f.stubs.PushChunk("\n");
+  f.stubs.discovery_heartbeats = false;
+  f.stubs.discovery_silent = true;
+  f.stubs.SetStateWithoutPush("b", "Terminating");
   const auto changed = Clock::now();
-  f.Pass(2500ms);
-  relay.GoOn();
-  KeepAsking(f, clients, changed + kKnownWithin);
+  f.WaitFor(2500ms);
+  relay.Resume();
+  KeepAsking(f, clients, changed + kChangeKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
 }
 
 TEST_CASE("a new process that discovery refuses calls no host 6 s after its start") {
   Fleet f(4);
-  f.world.refusing = true;
+  f.stubs.discovery_refuses = true;
   f.Start();
   std::deque<Client> clients = ClientsOf(f);
-  f.world.SetStateUntold("b", "Terminating");
-  KeepAsking(f, clients, Clock::now() + kKnownWithin);
+  f.stubs.SetStateWithoutPush("b", "Terminating");
+  KeepAsking(f, clients, Clock::now() + kChangeKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
 }
 
@@ -178,16 +178,16 @@
 void CheckCalledOn(bool broken, bool called_on) {
   Fleet f(1);
   f.Start();
-  f.UntilEachHas("list_changes", 2);
+  f.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ClientsOf(f);
-  f.world.refusing = true;
-  f.world.refuses_after = 2s;
-  if (broken) f.world.TellText("{\"version\":2,");
-  f.world.EndWatches();
-  KeepAsking(f, clients, Clock::now() + kKnownWithin + 3s);
+  f.stubs.discovery_refuses = true;
+  f.stubs.discovery_refusal_delay = 2s;
+  if (broken) f.stubs.PushChunk("{\"version\":2,");
+  f.stubs.CloseWatches();
+  KeepAsking(f, clients, Clock::now() + kChangeKnownWithin + 3s);
   clients.front().Put("id-a", "hello", 8000, ",k=key1,dest=7");
-  CHECK(clients.front().Line() == "+OK");
-  CHECK(f.world.CallWithin(500ms) == called_on);
+  CHECK(clients.front().ReadLine() == "+OK");
+  CHECK(f.stubs.CallArrivesWithin(500ms) == called_on);
 }
 
 TEST_CASE("hosts are called on through an outage of discovery that is seen as one") {
@@ -203,13 +203,13 @@
 TEST_CASE("hosts are called on while connections to discovery are refused") {
   Fleet f(1);
   f.Start();
-  f.UntilEachHas("list_changes", 2);
+  f.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ClientsOf(f);
-  f.world.CloseDiscovery();
-  KeepAsking(f, clients, Clock::now() + kKnownWithin + 2s);
+  f.stubs.CloseDiscovery();
+  KeepAsking(f, clients, Clock::now() + kChangeKnownWithin + 2s);
   clients.front().Put("id-a", "hello", 8000, ",k=key1,dest=7");
-  CHECK(clients.front().Line() == "+OK");
-  CHECK(f.world.NextCall().id() == "id-a");
+  CHECK(clients.front().ReadLine() == "+OK");
+  CHECK(f.stubs.NextCall().id() == "id-a");
 }
 
 }  // namespace
--- a/tests/relay/record_crossing_test.cpp
+++ b/tests/relay/record_crossing_test.cpp
@@ -12,37 +12,37 @@
 namespace oxbowspread::testing {
 namespace {
 
-struct Traced : Crossing {
-  Traced() { world.AddHost("b", 7, "east-room"); }
+struct Traced : RelayFixture {
+  Traced() { stubs.AddHost("b", 7, "east-room"); }
   int PortOf(const std::string& host) const {
-    const std::string address = world.Entry(host).at("addr");
+    const std::string address = stubs.ListEntry(host).at("addr");
     return std::stoi(address.substr(address.rfind(':') + 1));
   }
   void KillAndStart() {
     relay.Signal(SIGKILL);
-    CHECK(relay.WaitForEnd() == -SIGKILL);
+    CHECK(relay.WaitForExit() == -SIGKILL);
     relay.Start();
   }
   // One message is held, tried once and delivered by the process that runs now.
   void DeliveredAtLast(const std::string& room = "") {
-    const HttpRequest call = world.NextCall();
+    const HttpRequest call = stubs.NextCall();
     CHECK(call.id() == "id-1");
     CHECK(call.headers.at("idempotency-key") == "key1");
-    if (!room.empty()) CHECK(world.Entry(world.HostOf(call)).at("zone") == room);
-    world.Answer(call, "200 OK");
+    if (!room.empty()) CHECK(stubs.ListEntry(stubs.HostOf(call)).at("zone") == room);
+    stubs.Answer(call, "200 OK");
     Client client(relay);
-    UntilCount(client, "delivered", 1);
+    WaitForCounter(client, "delivered", 1);
     CHECK(client.Counters()["recovered"] == 1);
     CHECK(client.Counters()["legs"] == 1);
     CHECK(client.Counters()["held"] == 0);
   }
   // The next process waits for that host's room, though the other one would take it.
   void StartAndStayIn(const std::string& host) {
-    world.SetState(host, "Terminating");
+    stubs.SetState(host, "Terminating");
     relay.Start();
     CHECK(Client(relay).Counters()["legs"] == 0);
-    world.SetState(host, "Ready");
-    DeliveredAtLast(world.Entry(host).at("zone"));
+    stubs.SetState(host, "Ready");
+    DeliveredAtLast(stubs.ListEntry(host).at("zone"));
   }
 };
 
@@ -52,15 +52,15 @@
   t.relay.Start();
   {
     Client client(t.relay);
-    Tracer tracer(t.world, t.relay.pid());
+    Tracer tracer(t.stubs, t.relay.pid());
     client.Put("id-1");
-    tracer.UntilJournalled(1);
+    tracer.RunUntilJournalWrites(1);
     t.relay.Signal(SIGKILL);
     tracer.Detach();
-    CHECK(client.Line().empty());
+    CHECK(client.ReadLine().empty());
   }
-  CHECK(t.relay.WaitForEnd() == -SIGKILL);
-  CHECK_FALSE(t.world.CallWithin(0ms));
+  CHECK(t.relay.WaitForExit() == -SIGKILL);
+  CHECK_FALSE(t.stubs.CallArrivesWithin(0ms));
   t.relay.Start();
   t.DeliveredAtLast();
 }
@@ -69,14 +69,14 @@
   Traced t;
   t.relay.Start();
   Client client(t.relay);
-  Tracer tracer(t.world, t.relay.pid());
+  Tracer tracer(t.stubs, t.relay.pid());
   client.Put("id-1");
-  tracer.UntilJournalled(1);
+  tracer.RunUntilJournalWrites(1);
   t.relay.Signal(SIGTERM);
   tracer.Detach();
-  CHECK(client.Line() == "+OK");
-  t.world.Answer(t.world.NextCall(), "200 OK");
-  CHECK(t.relay.WaitForEnd() == 0);
+  CHECK(client.ReadLine() == "+OK");
+  t.stubs.Answer(t.stubs.NextCall(), "200 OK");
+  CHECK(t.relay.WaitForExit() == 0);
   CHECK(t.relay.log().find("delivered=1\n") != std::string::npos);
 }
 
@@ -87,16 +87,16 @@
   std::string host;
   {
     Client client(t.relay);
-    Tracer tracer(t.world, t.relay.pid());
+    Tracer tracer(t.stubs, t.relay.pid());
     client.Put("id-1");
-    tracer.UntilJournalled(2);
-    t.world.Until([&] { return t.world.connections_to_hosts() == 1; });
-    host = t.world.last_connected();
+    tracer.RunUntilJournalWrites(2);
+    t.stubs.WaitUntil([&] { return t.stubs.connections_to_hosts() == 1; });
+    host = t.stubs.last_connected_host();
     t.relay.Signal(SIGKILL);
     tracer.Detach();
   }
-  CHECK(t.relay.WaitForEnd() == -SIGKILL);
-  CHECK_FALSE(t.world.CallWithin(0ms));
+  CHECK(t.relay.WaitForExit() == -SIGKILL);
+  CHECK_FALSE(t.stubs.CallArrivesWithin(0ms));
   t.StartAndStayIn(host);
 }
 
@@ -104,14 +104,14 @@
   Traced t;
   t.relay.Start();
   Client client(t.relay);
-  Tracer tracer(t.world, t.relay.pid());
+  Tracer tracer(t.stubs, t.relay.pid());
   client.Put("id-1");
-  tracer.UntilJournalled(2);
+  tracer.RunUntilJournalWrites(2);
   t.relay.Signal(SIGTERM);
   tracer.Detach();
-  CHECK(client.Line() == "+OK");
-  t.world.Answer(t.world.NextCall(), "200 OK");
-  CHECK(t.relay.WaitForEnd() == 0);
+  CHECK(client.ReadLine() == "+OK");
+  t.stubs.Answer(t.stubs.NextCall(), "200 OK");
+  CHECK(t.relay.WaitForExit() == 0);
   CHECK(t.relay.log().find("legs=1\n") != std::string::npos);
   CHECK(t.relay.log().find("delivered=1\n") != std::string::npos);
 }
@@ -124,16 +124,16 @@
   {
     Client client(t.relay);
     client.Put("id-1");
-    REQUIRE(client.Line() == "+OK");
-    const HttpRequest call = t.world.NextCall();
-    host = t.world.HostOf(call);
-    Tracer tracer(t.world, t.relay.pid());
-    t.world.Answer(call, "200 OK");
-    tracer.UntilReceivedFrom(t.PortOf(host));
+    REQUIRE(client.ReadLine() == "+OK");
+    const HttpRequest call = t.stubs.NextCall();
+    host = t.stubs.HostOf(call);
+    Tracer tracer(t.stubs, t.relay.pid());
+    t.stubs.Answer(call, "200 OK");
+    tracer.RunUntilReceivedFrom(t.PortOf(host));
     t.relay.Signal(SIGKILL);
     tracer.Detach();
   }
-  CHECK(t.relay.WaitForEnd() == -SIGKILL);
+  CHECK(t.relay.WaitForExit() == -SIGKILL);
   t.StartAndStayIn(host);
 }
 
@@ -144,15 +144,15 @@
   {
     Client client(t.relay);
     client.Put("id-1");
-    REQUIRE(client.Line() == "+OK");
-    const HttpRequest call = t.world.NextCall();
-    Tracer tracer(t.world, t.relay.pid());
-    t.world.Answer(call, "200 OK");
-    tracer.UntilReceivedFrom(t.PortOf(t.world.HostOf(call)));
+    REQUIRE(client.ReadLine() == "+OK");
+    const HttpRequest call = t.stubs.NextCall();
+    Tracer tracer(t.stubs, t.relay.pid());
+    t.stubs.Answer(call, "200 OK");
+    tracer.RunUntilReceivedFrom(t.PortOf(t.stubs.HostOf(call)));
     t.relay.Signal(SIGTERM);
     tracer.Detach();
   }
-  CHECK(t.relay.WaitForEnd() == 0);
+  CHECK(t.relay.WaitForExit() == 0);
   t.relay.Start();
   Client client(t.relay);
   CHECK(client.Counters()["recovered"] == 0);
@@ -168,27 +168,27 @@
   {
     Client client(t.relay);
     client.Put("id-1");
-    REQUIRE(client.Line() == "+OK");
-    const HttpRequest call = t.world.NextCall();
-    Tracer tracer(t.world, t.relay.pid());
-    t.world.Answer(call, "500 No");
-    tracer.UntilJournalled(2);  // the attempt's end, then the message's
+    REQUIRE(client.ReadLine() == "+OK");
+    const HttpRequest call = t.stubs.NextCall();
+    Tracer tracer(t.stubs, t.relay.pid());
+    t.stubs.Answer(call, "500 No");
+    tracer.RunUntilJournalWrites(2);  // the attempt's end, then the message's
     t.relay.Signal(SIGKILL);
     tracer.Detach();
   }
-  CHECK(t.relay.WaitForEnd() == -SIGKILL);
-  CHECK(t.world.notices.empty());
+  CHECK(t.relay.WaitForExit() == -SIGKILL);
+  CHECK(t.stubs.notices.empty());
   t.relay.Start();
-  CHECK(t.world.NoticeOf("id-1").at("status") == "undeliverable");
+  CHECK(t.stubs.WaitForNotice("id-1").at("status") == "undeliverable");
   {
     Client client(t.relay);
-    t.UntilCount(client, "notices_taken", 1);
+    t.WaitForCounter(client, "notices_taken", 1);
   }
-  t.world.notices.clear();
+  t.stubs.notices.clear();
   t.KillAndStart();
   Client client(t.relay);
   CHECK(client.Counters()["recovered_notices"] == 0);
-  CHECK(t.world.notices.empty());
+  CHECK(t.stubs.notices.empty());
 }
 
 // Whoever ends a relay that has just begun wants it ended as any other.
@@ -198,19 +198,19 @@
   {
     Client client(t.relay);
     client.Put("id-1");
-    REQUIRE(client.Line() == "+OK");
+    REQUIRE(client.ReadLine() == "+OK");
   }
-  const HttpRequest first = t.world.NextCall();
+  const HttpRequest first = t.stubs.NextCall();
   t.relay.Signal(SIGKILL);
-  CHECK(t.relay.WaitForEnd() == -SIGKILL);
+  CHECK(t.relay.WaitForExit() == -SIGKILL);
   t.relay.in_child = [] { raise(SIGSTOP); };
   t.relay.Spawn();
   int status = 0;
   REQUIRE(waitpid(t.relay.pid(), &status, WUNTRACED) == t.relay.pid());
-  Tracer tracer(t.world, t.relay.pid());
+  Tracer tracer(t.stubs, t.relay.pid());
   t.relay.Signal(SIGCONT);
   int opened = 0;
-  tracer.Until([&](const Tracer::Call& call) {
+  tracer.RunUntil([&](const Tracer::Call& call) {
     // The program's own first, then the folder's lock, then the journal.
     const bool open = call.number == SYS_openat && call.done && call.result >= 0;
     opened += open && tracer.FileOf(call.fd).ends_with("/journal");
@@ -218,8 +218,8 @@
   });
   for (const int number : {SIGHUP, SIGTERM}) t.relay.Signal(number);
   tracer.Detach();
-  t.world.Answer(t.world.NextCall(), "200 OK");
-  CHECK(t.relay.WaitForEnd() == 0);
+  t.stubs.Answer(t.stubs.NextCall(), "200 OK");
+  CHECK(t.relay.WaitForExit() == 0);
   CHECK(t.relay.log().find("delivered=1\n") != std::string::npos);
 }
 
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -10,283 +10,287 @@
 namespace oxbowspread::testing {
 namespace {
 
-// One partner, cell 7, with a host in each of two rooms.
-struct Relayed {
-  World world;
-  RelayProcess relay{world};
-
-  explicit Relayed(int hosts = 1) {
-    world.AddHost("a", 7, "north-room");
-    if (hosts > 1) world.AddHost("b", 7, "east-room");
+// A relay and destination 7, with one host or with a host in each of two zones.
+struct RelayFixture {
+  StubServices stubs;
+  RelayProcess relay{stubs};
+
+  explicit RelayFixture(int hosts = 1) {
+    stubs.AddHost("a", 7, "north-room");
+    if (hosts > 1) stubs.AddHost("b", 7, "east-room");
   }
-  // Hands one in, and gives the call that it leads to.
-  HttpRequest Deliver(Client& client, const std::string& id, const std::string& body = "hello",
-                      int ms = 8000) {
+  // Hands in a message and returns the call that follows.
+  HttpRequest PutAndAwaitCall(Client& client, const std::string& id, const std::string& body = "hello",
+                              int ms = 8000) {
     client.Put(id, body, ms);
-    REQUIRE(client.Line() == "+OK");
-    return world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    return stubs.NextCall();
   }
-  void UntilOver(Client& client, const char* counter, long count) {
-    world.Until([&] { return client.Counters()[counter] >= count; });
+  void WaitForCounter(Client& client, const char* counter, long count) {
+    stubs.WaitUntil([&] { return client.Counters()[counter] >= count; });
   }
 };
 
-// ---- the plain way ----
+// ---- successful delivery ----
 
-TEST_CASE("a message is taken on, sent unchanged and counted as delivered") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
+TEST_CASE("a message is accepted and sent unchanged and counted as delivered") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
   const std::string body("a\0b\r\n\xff", 6);
-  const HttpRequest call = r.Deliver(client, "id-1", body);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1", body);
   CHECK(call.line == "POST /inbox HTTP/1.1");
   CHECK(call.id() == "id-1");
   CHECK(call.headers.at("idempotency-key") == "key1");
   CHECK(call.headers.at("x-timeout").back() == 'm');
   CHECK(std::stoi(call.headers.at("x-timeout")) <= 8000);
   CHECK(call.body == body);
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(client, "delivered", 1);
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["held"] == 0);
-  CHECK(r.world.notices.empty());
+  CHECK(fixture.stubs.notices.empty());
 }
 
-TEST_CASE("an id that is held gets its OK again and no second attempt") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay), other(r.relay);
-  const HttpRequest call = r.Deliver(client, "id-1");
+TEST_CASE("a repeat of a held message gets +OK and no second attempt") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay), other(fixture.relay);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
   other.Put("id-1");
-  CHECK(other.Line() == "+OK");
-  CHECK_FALSE(r.world.CallWithin(100ms));
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(client, "delivered", 1);
+  CHECK(other.ReadLine() == "+OK");
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(100ms));
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["legs"] == 1);
 }
 
-TEST_CASE("calls one after the other share a connection, at the same time they don't") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
+TEST_CASE("consecutive calls share a connection and concurrent calls don't") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
   for (int i = 1; i <= 3; ++i) {
-    r.world.Answer(r.Deliver(client, "id-" + std::to_string(i)), "200 OK");
-    r.UntilOver(client, "delivered", i);
-    r.world.CallWithin(60ms);  // lines rest after an answer
+    fixture.stubs.Answer(fixture.PutAndAwaitCall(client, "id-" + std::to_string(i)), "200 OK");
+    fixture.WaitForCounter(client, "delivered", i);
+    fixture.stubs.CallArrivesWithin(60ms);  // connections are not reused at once after an answer
   }
-  CHECK(r.world.connections_to_hosts() == 1);
-  const HttpRequest first = r.Deliver(client, "id-4"), second = r.Deliver(client, "id-5");
+  CHECK(fixture.stubs.connections_to_hosts() == 1);
+  const HttpRequest first = fixture.PutAndAwaitCall(client, "id-4"),
+                    second = fixture.PutAndAwaitCall(client, "id-5");
   CHECK(first.from != second.from);
-  CHECK(r.world.connections_to_hosts() == 2);
+  CHECK(fixture.stubs.connections_to_hosts() == 2);
 }
 
-TEST_CASE("a body of 64 KiB reaches a host that reads slowly whole, after short writes") {
-  Relayed r;
-  r.world.AddHost("tight", 8, "north-room", 4096);
-  r.relay.Start();
-  Client client(r.relay);
+TEST_CASE("a body of 64 KiB reaches a slow host whole after short writes") {
+  RelayFixture fixture;
+  fixture.stubs.AddHost("tight", 8, "north-room", 4096);
+  fixture.relay.Start();
+  Client client(fixture.relay);
   std::string body;
   for (int i = 0; body.size() < 64 * 1024; ++i) body += static_cast<char>('a' + i % 23);
   client.Put("big", body, 8000, ",k=key1,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  CHECK(client.Counters()["legs"] == 1);  // nobody reads there yet, and the relay goes on serving
-  const HttpRequest call = r.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  CHECK(client.Counters()["legs"] == 1);  // the host doesn't read yet, and the relay keeps serving
+  const HttpRequest call = fixture.stubs.NextCall();
   CHECK(call.body == body);
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(client, "delivered", 1);
-}
-
-// Guards against a reset that may have run: the host closes at its keepalive, the relay well before.
-TEST_CASE("an idle connection is closed by the relay before its keepalive is over") {
-  Relayed r;
-  r.relay.config["settings"]["limits"]["keepalive-s"] = 3;
-  r.relay.Start();
-  Client client(r.relay);
-  const HttpRequest call = r.Deliver(client, "id-1");
-  const auto answered = Clock::now();
-  r.world.Answer(call, "200 OK");
-  r.world.Until([&] { return call.from->fd() < 0; });
-  CHECK(Clock::now() - answered < 3s);
-}
-
-// ---- what answers mean ----
-
-TEST_CASE("a told wait is kept, with its decimals") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  const HttpRequest call = r.Deliver(client, "id-1");
-  const auto told = Clock::now();
-  r.world.Answer(call, "429 Too Many", "Retry-After: 0.75\r\n");
-  const HttpRequest again = r.world.NextCall();
-  CHECK(Clock::now() - told >= 750ms);
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
+}
+
+// Guards against attempts that are reset and may have run: a host closes idle connections at its keepalive,
+// so the relay must close them earlier.
+TEST_CASE("the relay closes an idle connection before the host's keepalive ends") {
+  RelayFixture fixture;
+  fixture.relay.config["settings"]["limits"]["keepalive-s"] = 3;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
+  const auto answered_at = Clock::now();
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });
+  CHECK(Clock::now() - answered_at < 3s);
+}
+
+// ---- answers of endpoints ----
+
+TEST_CASE("a Retry-After wait with decimals is observed") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
+  const auto answered_at = Clock::now();
+  fixture.stubs.Answer(call, "429 Too Many", "Retry-After: 0.75\r\n");
+  const HttpRequest again = fixture.stubs.NextCall();
+  CHECK(Clock::now() - answered_at >= 750ms);
   CHECK(again.id() == "id-1");
-  r.world.Answer(again, "200 OK");
-  r.UntilOver(client, "delivered", 1);
+  fixture.stubs.Answer(again, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
 }
 
-TEST_CASE("410 ends a message, 504 leaves its end owed") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  r.world.Answer(r.Deliver(client, "over"), "410 Gone");
-  r.UntilOver(client, "not_sent", 1);
+TEST_CASE("410 ends a message and 504 is followed by another attempt") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  fixture.stubs.Answer(fixture.PutAndAwaitCall(client, "over"), "410 Gone");
+  fixture.WaitForCounter(client, "not_sent", 1);
   CHECK(client.Counters()["held"] == 0);
-  r.world.Answer(r.Deliver(client, "spent"), "504 Spent");
-  const HttpRequest again = r.world.NextCall();
+  fixture.stubs.Answer(fixture.PutAndAwaitCall(client, "spent"), "504 Spent");
+  const HttpRequest again = fixture.stubs.NextCall();
   CHECK(again.id() == "spent");
-  r.world.Answer(again, "503 Full", "X-Over-Slots: 1\r\n");
-  const HttpRequest third = r.world.NextCall();
-  r.world.Answer(third, "200 OK");
-  r.UntilOver(client, "delivered", 1);
+  fixture.stubs.Answer(again, "503 Full", "X-Over-Slots: 1\r\n");
+  const HttpRequest third = fixture.stubs.NextCall();
+  fixture.stubs.Answer(third, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["not_sent"] == 3);
-  CHECK(r.world.notices.empty());
-}
-
-TEST_CASE("an attempt that may have run is repeated in the same room only") {
-  Relayed r(2);
-  r.relay.Start();
-  Client client(r.relay);
-  const HttpRequest call = r.Deliver(client, "id-1");
-  const std::string first = r.world.HostOf(call);
-  r.world.Answer(call, "500 Oops");
-  const HttpRequest again = r.world.NextCall();
-  CHECK(r.world.HostOf(again) == first);
+  CHECK(fixture.stubs.notices.empty());
+}
+
+TEST_CASE("an attempt that may have run is repeated in the same zone only") {
+  RelayFixture fixture(2);
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
+  const std::string first = fixture.stubs.HostOf(call);
+  fixture.stubs.Answer(call, "500 Oops");
+  const HttpRequest again = fixture.stubs.NextCall();
+  CHECK(fixture.stubs.HostOf(again) == first);
   CHECK(again.headers.at("idempotency-key") == "key1");
-  again.from->Reset();  // broken after the last byte: may have run too
-  const HttpRequest third = r.world.NextCall();
-  CHECK(r.world.HostOf(third) == first);
-  r.world.Answer(third, "200 OK");
-  r.UntilOver(client, "delivered", 1);
+  again.from->Reset();  // after the last byte of the request: may have run too
+  const HttpRequest third = fixture.stubs.NextCall();
+  CHECK(fixture.stubs.HostOf(third) == first);
+  fixture.stubs.Answer(third, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["reset"] == 1);
 }
 
-TEST_CASE("a refused connection proves that nothing ran: the other room is tried") {
-  Relayed r(2);
-  r.relay.Start();
-  r.world.Stop("a");
-  r.world.Stop("b");
-  Client client(r.relay);
+TEST_CASE("after a refused connection the other zone is tried because nothing has run") {
+  RelayFixture fixture(2);
+  fixture.relay.Start();
+  fixture.stubs.StopHost("a");
+  fixture.stubs.StopHost("b");
+  Client client(fixture.relay);
   client.Put("id-1", "hello", 1500);
-  REQUIRE(client.Line() == "+OK");
-  const auto notice = r.world.NoticeOf("id-1");
+  REQUIRE(client.ReadLine() == "+OK");
+  const auto notice = fixture.stubs.WaitForNotice("id-1");
   CHECK(notice.at("status") == "deferred");
   CHECK(notice.at("again_ms").get<int>() > 0);
   CHECK(client.Counters()["reset"] == 0);
 }
 
-TEST_CASE("an attempt without an answer is cut at the deadline and ends as undeliverable in time") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  const auto asked = Clock::now();
-  const HttpRequest call = r.Deliver(client, "id-1", "hello", 500);
-  CHECK(r.world.NoticeOf("id-1").at("status") == "undeliverable");
-  CHECK(Clock::now() - asked < 1500ms);
-  CHECK_FALSE(r.world.CallWithin(50ms));
+TEST_CASE("an attempt without an answer is cancelled at the deadline and reported as undeliverable in time") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  const auto requested_at = Clock::now();
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1", "hello", 500);
+  CHECK(fixture.stubs.WaitForNotice("id-1").at("status") == "undeliverable");
+  CHECK(Clock::now() - requested_at < 1500ms);
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(50ms));
   CHECK(client.Counters()["timed_out"] == 1);
 }
 
-// Guards against the reuse of a line whose host has just closed it.
+// Guards against the reuse of a connection that its host has just closed.
 TEST_CASE("a connection that its host has closed while idle is not written to") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  const HttpRequest call = r.Deliver(client, "id-1");
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(client, "delivered", 1);
-  r.relay.Signal(SIGSTOP);
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
+  fixture.relay.Signal(SIGSTOP);
   call.from->Close();
   client.Put("id-2");
-  r.relay.Signal(SIGCONT);
-  REQUIRE(client.Line() == "+OK");
-  r.world.Answer(r.world.NextCall(), "200 OK");
-  r.UntilOver(client, "delivered", 2);
+  fixture.relay.Signal(SIGCONT);
+  REQUIRE(client.ReadLine() == "+OK");
+  fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
+  fixture.WaitForCounter(client, "delivered", 2);
   CHECK(client.Counters()["reset"] == 0);
 }
 
-// ---- spoilt answers ----
+// ---- malformed answers ----
 
-// Guards against a message that was delivered and is sent again, or given up, for the rest of its answer.
-TEST_CASE("a first line with 200 is a delivery, however the answer goes on, and its line is not used again") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
+// Guards against a delivered message that is sent again or reported as failed because of the rest of its
+// answer.
+TEST_CASE(
+    "a status line with 200 is a delivery even if the rest is malformed and its connection is not reused") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
   long delivered = 0;
-  for (const std::string spoilt :
+  for (const std::string malformed :
        {"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n", "HTTP/1.1 200 OK\r\nX-Head: that does not en",
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand it comes",
         "HTTP/1.1 200\r\n\x01\x02\x03 \r\n\r\n"}) {
-    const HttpRequest call = r.Deliver(client, "id-" + std::to_string(++delivered));
-    call.from->Send(spoilt);
-    r.UntilOver(client, "delivered", delivered);
-    r.world.Until([&] { return call.from->fd() < 0; });  // the relay closes it
+    const HttpRequest call = fixture.PutAndAwaitCall(client, "id-" + std::to_string(++delivered));
+    call.from->Send(malformed);
+    fixture.WaitForCounter(client, "delivered", delivered);
+    fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });  // the relay closes it
   }
-  CHECK(r.world.connections_to_hosts() == 4);
+  CHECK(fixture.stubs.connections_to_hosts() == 4);
   CHECK(client.Counters()["legs"] == 4);
 }
 
-// Guards against an attempt that waits for its deadline, and against taking a spoilt 503 for a call that
-// never ran: its repeat would go to the other room, where nobody drops it.
-TEST_CASE("any other spoilt answer ends its attempt soon, as one that may have run") {
-  for (const std::string spoilt : {"\x01\x02 noise\r\n\r\n", "HTTP/1.1 503 Full\r\nX-Head: that does not en",
-                                   "HTTP/1.1 503 Full\r\nContent-Length: 90\r\n\r\nshort", "HTTP/1.1 20"}) {
-    Relayed r(2);
-    r.relay.Start();
-    Client client(r.relay);
-    const HttpRequest call = r.Deliver(client, "id-1");
-    const std::string first = r.world.HostOf(call);
-    const auto answered = Clock::now();
-    call.from->Send(spoilt);
-    const HttpRequest again = r.world.NextCall(3s);
-    CHECK(Clock::now() - answered < 3s);
+// Guards against an attempt that waits for its deadline, and against treating a malformed 503 as a call that
+// never ran: the repeat would go to the other zone, where it is not recognised as a duplicate.
+TEST_CASE("any other malformed answer ends its attempt early as one that may have run") {
+  for (const std::string malformed :
+       {"\x01\x02 noise\r\n\r\n", "HTTP/1.1 503 Full\r\nX-Head: that does not en",
+        "HTTP/1.1 503 Full\r\nContent-Length: 90\r\n\r\nshort", "HTTP/1.1 20"}) {
+    RelayFixture fixture(2);
+    fixture.relay.Start();
+    Client client(fixture.relay);
+    const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
+    const std::string first = fixture.stubs.HostOf(call);
+    const auto answered_at = Clock::now();
+    call.from->Send(malformed);
+    const HttpRequest again = fixture.stubs.NextCall(3s);
+    CHECK(Clock::now() - answered_at < 3s);
     CHECK(again.id() == "id-1");
     CHECK(again.from != call.from);
-    CHECK(r.world.HostOf(again) == first);
-    r.world.Answer(again, "200 OK");
-    r.UntilOver(client, "delivered", 1);
+    CHECK(fixture.stubs.HostOf(again) == first);
+    fixture.stubs.Answer(again, "200 OK");
+    fixture.WaitForCounter(client, "delivered", 1);
     CHECK(client.Counters()["answers_spoilt"] == 1);
   }
 }
 
-TEST_CASE(
-    "interim answers and reports that make no sense leave an answer good: what follows it ends no attempt") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  const HttpRequest first = r.Deliver(client, "id-1");
+TEST_CASE("interim responses and invalid load reports are ignored and a second response ends no attempt") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  const HttpRequest first = fixture.PutAndAwaitCall(client, "id-1");
   first.from->Send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Wait\r\nX: y\r\n\r\n");
   CHECK(client.Counters()["delivered"] == 0);
-  r.world.Answer(first, "200 OK", "X-Server-Load: =,x0=\xff;;\r\n");
-  r.UntilOver(client, "delivered", 1);
-  r.world.CallWithin(60ms);  // lines rest after an answer
-  const HttpRequest second = r.Deliver(client, "id-2");
+  fixture.stubs.Answer(first, "200 OK", "X-Server-Load: =,x0=\xff;;\r\n");
+  fixture.WaitForCounter(client, "delivered", 1);
+  fixture.stubs.CallArrivesWithin(60ms);  // connections are not reused at once after an answer
+  const HttpRequest second = fixture.PutAndAwaitCall(client, "id-2");
   CHECK(second.from == first.from);
   const std::string good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   second.from->Send(good + good);
-  r.UntilOver(client, "delivered", 2);
-  const HttpRequest third = r.Deliver(client, "id-3");
+  fixture.WaitForCounter(client, "delivered", 2);
+  const HttpRequest third = fixture.PutAndAwaitCall(client, "id-3");
   CHECK(third.from != second.from);
   CHECK(client.Counters()["delivered"] == 2);
-  r.world.Answer(third, "200 OK");
-  r.UntilOver(client, "delivered", 3);
+  fixture.stubs.Answer(third, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 3);
   CHECK(client.Counters()["answers_spoilt"] == 0);
 }
 
-// ---- lines ----
+// ---- connections to hosts ----
 
-// Guards against a handshake for nearly every call: a full pool closed all that stood idle.
-TEST_CASE("a full pool gives up the line that stood idle longest, and no other") {
-  Relayed r;
-  r.relay.config["limits"]["sockets"] = 64;  // 24 lines
-  for (int cell = 100; cell < 125; ++cell) r.world.AddHost("h" + std::to_string(cell), cell);
-  r.relay.Start();
-  Client client(r.relay);
+// Guards against a handshake for nearly every call: a full pool used to close all idle connections.
+TEST_CASE("a full pool closes the connection that was idle longest and no other") {
+  RelayFixture fixture;
+  fixture.relay.config["limits"]["sockets"] = 64;  // 24 connections to hosts
+  for (int cell = 100; cell < 125; ++cell) fixture.stubs.AddHost("h" + std::to_string(cell), cell);
+  fixture.relay.Start();
+  Client client(fixture.relay);
   long delivered = 0;
   const auto deliver = [&](int cell) {
     client.Put("id-" + std::to_string(++delivered), "hello", 8000, ",k=key,dest=" + std::to_string(cell));
-    REQUIRE(client.Line() == "+OK");
-    r.world.Answer(r.world.NextCall(), "200 OK");
-    r.UntilOver(client, "delivered", delivered);
+    REQUIRE(client.ReadLine() == "+OK");
+    fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
+    fixture.WaitForCounter(client, "delivered", delivered);
   };
   for (int cell = 100; cell < 125; ++cell) deliver(cell);
   CHECK(client.Counters()["lines_evicted"] == 1);
@@ -294,137 +298,138 @@
   CHECK(client.Counters()["lines_opened"] == 25);
 }
 
-// Guards against a call for one partner at the machine of another: hosts are replaced, some at an old
-// address.
-TEST_CASE("a host whose address another one has taken over gets nothing more") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  r.world.Until([&] { return r.world.watches == 1; });
-  const HttpRequest call = r.Deliver(client, "id-1");
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(client, "delivered", 1);
-  auto taker = r.world.Entry("a");
-  taker["id"] = "taker";
-  taker["cell"] = 8;
-  r.world.Tell({{"version", 9}, {"servers", {taker}}});
-  r.world.Until([&] { return call.from->fd() < 0; });
+// Guards against a call for one destination at a host of another: hosts are replaced, and a new one may get
+// the address of an old one.
+TEST_CASE("a host whose address was reassigned to another host gets no more calls") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
+  auto replacement = fixture.stubs.ListEntry("a");
+  replacement["id"] = "taker";
+  replacement["cell"] = 8;
+  fixture.stubs.PushChange({{"version", 9}, {"servers", {replacement}}});
+  fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });
   client.Put("id-2", "hello", 600);
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   client.Put("id-3", "hello", 8000, ",k=key3,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  CHECK(r.world.NextCall().id() == "id-3");
-  CHECK(r.world.NoticeOf("id-2").at("status") == "deferred");  // never ran
+  REQUIRE(client.ReadLine() == "+OK");
+  CHECK(fixture.stubs.NextCall().id() == "id-3");
+  CHECK(fixture.stubs.WaitForNotice("id-2").at("status") == "deferred");  // it never ran
 }
 
-// ---- refusals ----
+// ---- rejected messages ----
 
-TEST_CASE("what is over at once is refused as busy, and so is what max_open leaves no room for") {
-  Relayed r;
-  r.relay.config["settings"]["limits"]["max-open"] = 2;
-  r.world.AddHost("drains", 99);
-  r.world.SetState("drains", "Terminating");
-  r.relay.Start();
-  Client client(r.relay);
+TEST_CASE("a message that would fail at once or exceeds max-open is rejected as busy") {
+  RelayFixture fixture;
+  fixture.relay.config["settings"]["limits"]["max-open"] = 2;
+  fixture.stubs.AddHost("drains", 99);
+  fixture.stubs.SetState("drains", "Terminating");
+  fixture.relay.Start();
+  Client client(fixture.relay);
   client.Put("late", "hello", 0);
-  CHECK(client.Line().substr(0, 5) == "-BUSY");
-  r.Deliver(client, "id-1");
-  // Its only host drains, so it would stand where others could: the step that takes it refuses it.
+  CHECK(client.ReadLine().substr(0, 5) == "-BUSY");
+  fixture.PutAndAwaitCall(client, "id-1");
+  // The only host of the destination drains, so the message would only use up room: the same step rejects it.
   client.Put("nowhere", "hello", 8000, ",k=key1,dest=99");
-  CHECK(client.Line().substr(0, 6) == "-BUSY ");
+  CHECK(client.ReadLine().substr(0, 6) == "-BUSY ");
   CHECK(client.Counters()["busy_by_module"] == 2);
-  r.Deliver(client, "id-2");
+  fixture.PutAndAwaitCall(client, "id-2");
   client.Put("id-3");
-  CHECK(client.Line().substr(0, 6) == "-BUSY ");
+  CHECK(client.ReadLine().substr(0, 6) == "-BUSY ");
   CHECK(client.Counters()["busy_full"] == 1);
-  CHECK(r.world.notices.empty());
+  CHECK(fixture.stubs.notices.empty());
 }
 
-TEST_CASE("a journal without room refuses, and its files stay within the limit") {
-  Relayed r;
-  r.relay.config["limits"]["disk_mb"] = 1;
-  r.relay.config["settings"]["limits"]["max-open"] = 1000;
-  r.relay.Start();
-  Client client(r.relay);
+TEST_CASE("a full journal rejects messages and its files stay within the limit") {
+  RelayFixture fixture;
+  fixture.relay.config["limits"]["disk_mb"] = 1;
+  fixture.relay.config["settings"]["limits"]["max-open"] = 1000;
+  fixture.relay.Start();
+  Client client(fixture.relay);
   const std::string body(60 * 1024, 'x');
-  int taken = 0, refused = 0;
+  int accepted = 0, refused = 0;
   for (int i = 0; i < 30; ++i) {
     client.Put("id-" + std::to_string(i), body);
-    const std::string answer = client.Line();
-    taken += answer == "+OK";
+    const std::string answer = client.ReadLine();
+    accepted += answer == "+OK";
     refused += answer.substr(0, 5) == "-BUSY";
     std::uintmax_t bytes = 0;
-    for (const auto& file : std::filesystem::directory_iterator(r.relay.state())) bytes += file.file_size();
+    for (const auto& file : std::filesystem::directory_iterator(fixture.relay.state()))
+      bytes += file.file_size();
     REQUIRE(bytes <= 1000 * 1000);
   }
-  CHECK(taken >= 4);
+  CHECK(accepted >= 4);
   CHECK(refused >= 10);
-  CHECK(taken + refused == 30);
+  CHECK(accepted + refused == 30);
 }
 
-// Guards against half a record in the journal, and against an end of the program by a failed write.
-TEST_CASE("a disk that takes no more refuses, loses nothing and crashes nothing") {
-  Relayed r;
-  r.relay.in_child = [] {
+// Guards against a partial record in the journal, and against a crash of the program by a failed write.
+TEST_CASE("a full disk rejects messages without a loss or a crash") {
+  RelayFixture fixture;
+  fixture.relay.in_child = [] {
     signal(SIGXFSZ, SIG_IGN);
     const rlimit full{100'000, 100'000};
     setrlimit(RLIMIT_FSIZE, &full);
   };
-  r.relay.Start();
-  Client client(r.relay);
+  fixture.relay.Start();
+  Client client(fixture.relay);
   const std::string body(60 * 1024, 'x');
-  const HttpRequest call = r.Deliver(client, "id-1", body);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1", body);
   client.Put("id-2", body);
-  CHECK(client.Line().substr(0, 6) == "-BUSY ");
+  CHECK(client.ReadLine().substr(0, 6) == "-BUSY ");
   CHECK(client.Counters()["busy_journal"] == 1);
-  CHECK_FALSE(r.world.CallWithin(50ms));
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(client, "delivered", 1);
-  r.Deliver(client, "id-3", body);
-  r.relay.Signal(SIGKILL);
-  r.relay.WaitForEnd();
-  r.relay.Start();
-  CHECK(r.world.NextCall().id() == "id-3");
-}
-
-TEST_CASE("bad input gets an error and a close, and harms nobody else") {
-  Relayed r;
-  r.relay.Start();
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(50ms));
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
+  fixture.PutAndAwaitCall(client, "id-3", body);
+  fixture.relay.Signal(SIGKILL);
+  fixture.relay.WaitForExit();
+  fixture.relay.Start();
+  CHECK(fixture.stubs.NextCall().id() == "id-3");
+}
+
+TEST_CASE("invalid input gets an error and a closed connection and affects no other client") {
+  RelayFixture fixture;
+  fixture.relay.Start();
   const std::string huge = std::to_string(65 * 1024);
   for (const std::string bad :
        {"GET / HTTP/1.1\r\n\r\n", "*1\r\n:5\r\n", "*99\r\n", "*1\r\n$-1\r\n", "*1\r\n$4\r\nPINGxx\r\n"}) {
-    Client client(r.relay);
+    Client client(fixture.relay);
     CHECK(client.Ask(bad).substr(0, 4) == "-ERR");
-    CHECK(client.Line().empty());
+    CHECK(client.ReadLine().empty());
   }
-  Client large(r.relay);
+  Client large(fixture.relay);
   CHECK(large.Ask("*2\r\n$4\r\nPING\r\n$" + huge + "\r\n").substr(0, 4) == "-ERR");
-  Client split(r.relay);
+  Client split(fixture.relay);
   split.Put("two\r\nlines");
-  CHECK(split.Line().substr(0, 4) == "-ERR");
-  Client unknown(r.relay);
+  CHECK(split.ReadLine().substr(0, 4) == "-ERR");
+  Client unknown(fixture.relay);
   unknown.Put("id-1", "hello", 100, ",c=other,dest=7");
-  CHECK(unknown.Line().substr(0, 4) == "-ERR");
-  Client good(r.relay);
+  CHECK(unknown.ReadLine().substr(0, 4) == "-ERR");
+  Client good(fixture.relay);
   good.socket().Send("*1\r\n$4\r\nPI");
   CHECK(good.Ask("NG\r\n") == "+PONG");
 }
 
-// Guards against bad clients that are taken on: nothing could ever end their messages well.
-TEST_CASE("a message that can't be delivered as it stands gets an error, not an OK") {
-  Relayed r;
-  r.relay.Start();
-  Client watcher(r.relay);
+// Guards against accepting messages that no endpoint could ever process.
+TEST_CASE("a message with missing or invalid attributes gets an error instead of +OK") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client watcher(fixture.relay);
   const auto refused = [&](const std::string& id, const std::string& values) {
-    Client client(r.relay);
+    Client client(fixture.relay);
     client.Put(id, "hello", 8000, values);
-    return client.Line().substr(0, 5) == "-ERR ";
+    return client.ReadLine().substr(0, 5) == "-ERR ";
   };
-  CHECK(refused("id-1", ",k=key1,dest=12345"));  // no list ever named a host of it
+  CHECK(refused("id-1", ",k=key1,dest=12345"));  // no list has ever named a host of it
   CHECK(refused("id-1", ",k=key1,dest=-1"));
   CHECK(refused("id-1", ",k=key1,dest=7x"));
   CHECK(refused("id-1", ",k=key1"));
-  CHECK(refused("id-1", ",dest=7"));  // a keyed class
+  CHECK(refused("id-1", ",dest=7"));  // its class needs a key
   CHECK(refused("id-1", ",k=key1,dest=7,d=soon"));
   CHECK(refused("id-1", ",k=key1,dest=7,d=-5"));
   CHECK(refused("id-1", ",k=key1,dest=7,c=unheard"));
@@ -433,498 +438,502 @@
   CHECK(watcher.Counters()["malformed"] == 9);
 }
 
-// A list that lags may hold no host of a partner whose hosts are just replaced.
-TEST_CASE("a destination that a list named once is still taken on when its host has gone") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  r.world.Until([&] { return r.world.watches == 1; });
+// A list that lags may hold no host of a destination whose hosts are being replaced.
+TEST_CASE("a message for a destination whose only host has gone is still accepted") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
-  r.world.SetState("a", "Gone");
-  r.UntilOver(client, "list_changes", changes + 1);
+  fixture.stubs.SetState("a", "Gone");
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
   client.Put("id-1");
-  CHECK(client.Line() == "+OK");
+  CHECK(client.ReadLine() == "+OK");
 }
 
-TEST_CASE("silent clients and half commands are closed in time, one that waits for its answer is not") {
-  Relayed r;
-  r.relay.Start();
-  const auto begun = Clock::now();
-  Client good(r.relay), silent(r.relay), half(r.relay), asked(r.relay);
+TEST_CASE("silent clients and partial commands are closed in time and a client awaiting its answer is kept") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  const auto started_at = Clock::now();
+  Client good(fixture.relay), silent(fixture.relay), half(fixture.relay), asked(fixture.relay);
   half.socket().Send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00");
   REQUIRE(asked.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
-  const HttpRequest call = r.Deliver(good, "id-1");
-  CHECK(silent.Line().substr(0, 4) == "-ERR");
-  CHECK(silent.Line().empty());
-  CHECK(half.Line().substr(0, 4) == "-ERR");
-  CHECK(Clock::now() - begun < 3s);
+  const HttpRequest call = fixture.PutAndAwaitCall(good, "id-1");
+  CHECK(silent.ReadLine().substr(0, 4) == "-ERR");
+  CHECK(silent.ReadLine().empty());
+  CHECK(half.ReadLine().substr(0, 4) == "-ERR");
+  CHECK(Clock::now() - started_at < 3s);
   CHECK(asked.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(good, "delivered", 1);
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(good, "delivered", 1);
 }
 
-// Guards against a flood that crowds out those who ask.
-TEST_CASE("hundreds of connections that say nothing give way to clients that ask") {
-  Relayed r;
-  r.relay.config["limits"]["sockets"] = 256;  // 96 clients
-  r.relay.Start();
-  Client good(r.relay);
-  const HttpRequest call = r.Deliver(good, "id-1");
+// Guards against silent connections that keep out clients with messages.
+TEST_CASE("hundreds of silent connections give way to clients that send commands") {
+  RelayFixture fixture;
+  fixture.relay.config["limits"]["sockets"] = 256;  // 96 clients
+  fixture.relay.Start();
+  Client good(fixture.relay);
+  const HttpRequest call = fixture.PutAndAwaitCall(good, "id-1");
   std::vector<Client> flood;
-  for (int i = 0; i < 300; ++i) flood.emplace_back(r.relay);
-  Client late(r.relay);
-  r.Deliver(late, "id-2");
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(late, "delivered", 1);
+  for (int i = 0; i < 300; ++i) flood.emplace_back(fixture.relay);
+  Client late(fixture.relay);
+  fixture.PutAndAwaitCall(late, "id-2");
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(late, "delivered", 1);
   CHECK(late.Counters()["clients_turned_away"] == 0);
   CHECK(late.Counters()["clients_evicted"] >= 200);
 }
 
-// Guards against a slow but honest client's being taken for one of the crowd that stops half way.
-TEST_CASE("a client that takes 2 s to write its message is served beside a crowd that stops half way") {
-  Relayed r;
-  r.relay.config["limits"]["sockets"] = 128;
-  r.relay.Start();
-  Client slow(r.relay);
-  const std::string whole = Client::PutText("slow", "hello", 8000, ",k=key1,dest=7");
-  std::vector<Client> crowd;
-  const auto begun = Clock::now();
+// Guards against evicting a slow client as one of the many that never complete their command.
+TEST_CASE("a client that takes 2 s to write its message is served beside many that stop half way") {
+  RelayFixture fixture;
+  fixture.relay.config["limits"]["sockets"] = 128;
+  fixture.relay.Start();
+  Client slow(fixture.relay);
+  const std::string whole = Client::PutCommand("slow", "hello", 8000, ",k=key1,dest=7");
+  std::vector<Client> incomplete_clients;
+  const auto started_at = Clock::now();
   for (std::size_t i = 0; i < 10; ++i) {
-    for (int k = 0; k < 40; ++k) {
-      crowd.emplace_back(r.relay);
-      if (k % 2 == 0) crowd.back().socket().Send("*5\r\n$7");
+    for (int j = 0; j < 40; ++j) {
+      incomplete_clients.emplace_back(fixture.relay);
+      if (j % 2 == 0) incomplete_clients.back().socket().Send("*5\r\n$7");
     }
-    // Others are served meanwhile.
-    Client quick(r.relay);
-    r.world.Answer(r.Deliver(quick, "quick-" + std::to_string(i)), "200 OK");
+    // Other clients are served meanwhile.
+    Client quick(fixture.relay);
+    fixture.stubs.Answer(fixture.PutAndAwaitCall(quick, "quick-" + std::to_string(i)), "200 OK");
     slow.socket().Send(
         whole.substr(whole.size() * i / 10, whole.size() * (i + 1) / 10 - whole.size() * i / 10));
-    if (i < 9) r.world.Until([&] { return Clock::now() - begun >= (i + 1) * 225ms; });
+    if (i < 9) fixture.stubs.WaitUntil([&] { return Clock::now() - started_at >= (i + 1) * 225ms; });
   }
-  CHECK(Clock::now() - begun >= 2s);
-  CHECK(slow.Line() == "+OK");
-  CHECK(r.world.NextCall().id() == "slow");
+  CHECK(Clock::now() - started_at >= 2s);
+  CHECK(slow.ReadLine() == "+OK");
+  CHECK(fixture.stubs.NextCall().id() == "slow");
 }
 
-// Guards against clients that can't connect: the platform opens no more than a third of the descriptors, and
-// who stays without asking counts in that.
-TEST_CASE("clients that rest give way before the room for clients is used up") {
-  Relayed r;
-  r.relay.config["limits"]["sockets"] = 256;  // 96 clients
-  r.relay.Start();
+// Guards against clients that can't connect: the platform opens connections for no more than a third of the
+// descriptors, and idle ones count towards that.
+TEST_CASE("idle clients are closed before the client limit is reached") {
+  RelayFixture fixture;
+  fixture.relay.config["limits"]["sockets"] = 256;  // 96 clients
+  fixture.relay.Start();
   std::vector<Client> clients;
   for (int i = 0; i < 60; ++i) {
-    clients.emplace_back(r.relay);
+    clients.emplace_back(fixture.relay);
     REQUIRE(clients.back().Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
   }
-  CHECK(clients.front().Line().empty());  // closed
-  r.world.Answer(r.Deliver(clients.back(), "id-1"), "200 OK");
-  r.UntilOver(clients.back(), "delivered", 1);
+  CHECK(clients.front().ReadLine().empty());  // the connection was closed
+  fixture.stubs.Answer(fixture.PutAndAwaitCall(clients.back(), "id-1"), "200 OK");
+  fixture.WaitForCounter(clients.back(), "delivered", 1);
   CHECK(clients.back().Counters()["clients_evicted"] >= 12);
 }
 
-TEST_CASE("commands behind one another on a connection are answered in order") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
+TEST_CASE("pipelined commands are answered in order") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
   client.Put("id-1");
   client.Put("id-2");
   client.socket().Send("*1\r\n$4\r\nPING\r\n");
-  CHECK(client.Line() == "+OK");
-  CHECK(client.Line() == "+OK");
-  CHECK(client.Line() == "+PONG");
+  CHECK(client.ReadLine() == "+OK");
+  CHECK(client.ReadLine() == "+OK");
+  CHECK(client.ReadLine() == "+PONG");
 }
 
-// Guards against sending what nobody was told is taken on: its client hands it in elsewhere.
-TEST_CASE("a client that is gone before its answer withdraws the message") {
-  Relayed r;
-  r.relay.Start();
-  Client watcher(r.relay);
+// Guards against sending a message whose client got no +OK: that client hands it in to another relay.
+TEST_CASE("a message whose client disconnects before its answer is withdrawn") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client watcher(fixture.relay);
   REQUIRE(watcher.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
   {
-    Client client(r.relay);
+    Client client(fixture.relay);
     REQUIRE(client.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
-    r.relay.Signal(SIGSTOP);
+    fixture.relay.Signal(SIGSTOP);
     client.Put("id-1");
   }
-  r.relay.Signal(SIGCONT);
-  r.UntilOver(watcher, "withdrawn", 1);
-  CHECK_FALSE(r.world.CallWithin(50ms));
+  fixture.relay.Signal(SIGCONT);
+  fixture.WaitForCounter(watcher, "withdrawn", 1);
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(50ms));
   CHECK(watcher.Counters()["held"] == 0);
   CHECK(watcher.Counters()["taken_on"] == 0);
 }
 
-// Guards against a relay without descriptors left for its attempts.
-TEST_CASE("more clients than there is room for cost nobody his attempts") {
-  Relayed r;
-  // The deployment's own figure is larger than what the system gives.
-  r.relay.in_child = [] {
+// Guards against clients that use up the descriptors that attempts need.
+TEST_CASE("more clients than descriptors leave enough descriptors for attempts") {
+  RelayFixture fixture;
+  // The configured number of descriptors is larger than what the system allows.
+  fixture.relay.in_child = [] {
     const rlimit few{64, 64};
     setrlimit(RLIMIT_NOFILE, &few);
   };
-  r.relay.Start();
+  fixture.relay.Start();
   std::vector<Client> clients;
   for (int i = 0; i < 60; ++i) {
-    clients.emplace_back(r.relay);
+    clients.emplace_back(fixture.relay);
     CHECK(clients.back().Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
   }
-  r.world.Answer(r.Deliver(clients.back(), "id-1"), "200 OK");
-  r.UntilOver(clients.back(), "delivered", 1);
+  fixture.stubs.Answer(fixture.PutAndAwaitCall(clients.back(), "id-1"), "200 OK");
+  fixture.WaitForCounter(clients.back(), "delivered", 1);
 }
 
 // ---- discovery ----
 
-TEST_CASE("nothing new goes to a host that drains") {
-  Relayed r(2);
-  r.relay.Start();
-  Client client(r.relay);
-  r.world.Until([&] { return r.world.watches == 1; });
+TEST_CASE("no new call goes to a draining host") {
+  RelayFixture fixture(2);
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
-  r.world.SetState("b", "Terminating");
-  r.UntilOver(client, "list_changes", changes + 1);
+  fixture.stubs.SetState("b", "Terminating");
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
   for (int i = 0; i < 5; ++i) {
-    const HttpRequest call = r.Deliver(client, "id-" + std::to_string(i));
-    CHECK(r.world.HostOf(call) == "a");
-    r.world.Answer(call, "200 OK");
+    const HttpRequest call = fixture.PutAndAwaitCall(client, "id-" + std::to_string(i));
+    CHECK(fixture.stubs.HostOf(call) == "a");
+    fixture.stubs.Answer(call, "200 OK");
   }
 }
 
-// A host with room for one connection that nobody has accepted: a stranger in it keeps an attempt connecting.
-struct Narrow {
+// A host with a listen backlog of one connection. While another connection fills the backlog, the connection
+// of an attempt is not established.
+struct FullBacklogHost {
   Socket listener = Socket::Listen(0);
-  Socket stranger;
+  Socket backlog_connection;
 
-  explicit Narrow(World& world) {
-    world.AddHost("narrow", 8);
-    world.SetPort("narrow", listener.port());
+  explicit FullBacklogHost(StubServices& stubs) {
+    stubs.AddHost("narrow", 8);
+    stubs.SetPort("narrow", listener.port());
   }
-  void Fill() { stranger = Socket::Connect(listener.port()); }
-  // Lets the stranger in, and then the attempt's connection, which its system tries again.
-  Socket AcceptAttempt() {
-    const Socket first = listener.Accept(5s);
+  void FillBacklog() { backlog_connection = Socket::Connect(listener.port()); }
+  // Accepts the connection in the backlog and then the attempt's, which the relay's kernel retries.
+  Socket AcceptRelayConnection() {
+    const Socket accepted_first = listener.Accept(5s);
     return listener.Accept(5s);
   }
 };
 
-// A drain is counted from a send's first byte, which a slow connection writes long after the decision.
-TEST_CASE("an attempt that still connects when its host drains is not written") {
-  Relayed r;
-  Narrow narrow(r.world);
-  narrow.Fill();
-  r.relay.Start();
-  Client client(r.relay);
-  r.world.Until([&] { return r.world.watches == 1; });
+// Drain violations are judged by a call's first byte, which a slow connection writes long after the decision.
+TEST_CASE("an attempt still connecting when its host starts to drain is not sent") {
+  RelayFixture fixture;
+  FullBacklogHost slow_host(fixture.stubs);
+  slow_host.FillBacklog();
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   client.Put("id-1", "hello", 8000, ",k=key1,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  r.UntilOver(client, "legs", 1);
+  REQUIRE(client.ReadLine() == "+OK");
+  fixture.WaitForCounter(client, "legs", 1);
   const long changes = client.Counters()["list_changes"];
-  r.world.SetState("narrow", "Terminating");
-  r.UntilOver(client, "list_changes", changes + 1);
-  r.world.CallWithin(150ms);  // past the slack that a drain allows
-  const Socket late = narrow.AcceptAttempt();
+  fixture.stubs.SetState("narrow", "Terminating");
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
+  fixture.stubs.CallArrivesWithin(150ms);  // longer than the grace period of a drain
+  const Socket late = slow_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   CHECK(late.Receive(1500ms).empty());
   CHECK(client.Counters()["legs_held_back"] == 1);
 }
 
-// A wait runs for all messages, also for one whose attempt was decided before and connects after.
-TEST_CASE("an attempt that still connects when its host tells a wait is not written") {
-  Relayed r;
-  Narrow narrow(r.world);
-  r.relay.Start();
-  Client client(r.relay);
+// A requested wait applies to all messages, also to an attempt that was decided before it and connects after
+// it.
+TEST_CASE("an attempt still connecting when its host requests a wait is not sent") {
+  RelayFixture fixture;
+  FullBacklogHost slow_host(fixture.stubs);
+  fixture.relay.Start();
+  Client client(fixture.relay);
   client.Put("id-1", "hello", 8000, ",k=key1,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  const Socket first = narrow.listener.Accept(5s);
+  REQUIRE(client.ReadLine() == "+OK");
+  const Socket first = slow_host.listener.Accept(5s);
   REQUIRE(first.Receive(5s).find("id-1") != std::string::npos);
-  narrow.Fill();
+  slow_host.FillBacklog();
   client.Put("id-2", "hello", 8000, ",k=key2,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  r.UntilOver(client, "legs", 2);
+  REQUIRE(client.ReadLine() == "+OK");
+  fixture.WaitForCounter(client, "legs", 2);
   first.Send("HTTP/1.1 429 Full\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n");
-  r.UntilOver(client, "refused", 1);
-  r.world.CallWithin(100ms);  // past the slack that a wait allows
-  const Socket late = narrow.AcceptAttempt();
+  fixture.WaitForCounter(client, "refused", 1);
+  fixture.stubs.CallArrivesWithin(100ms);  // longer than the grace period of a wait
+  const Socket late = slow_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   CHECK(late.Receive(500ms).empty());
   CHECK(client.Counters()["legs_held_back"] == 1);
 }
 
-// One entry that can't be read would otherwise hide the drain of another.
-TEST_CASE("entries of the list that make no sense are passed over") {
-  Relayed r(2);
-  r.relay.Start();
-  Client client(r.relay);
-  r.world.Until([&] { return r.world.watches == 1; });
+// Guards against one unreadable entry that hides the drain of another host.
+TEST_CASE("invalid entries of the list are skipped") {
+  RelayFixture fixture(2);
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
-  r.world.Tell(
+  fixture.stubs.PushChange(
       {{"version", 9}, {"servers", {5, {{"id", nullptr}}, {{"id", "b"}, {"state", "Gone"}, {"cell", 7}}}}});
-  r.UntilOver(client, "list_changes", changes + 1);
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
   for (int i = 0; i < 3; ++i) {
-    const HttpRequest call = r.Deliver(client, "id-" + std::to_string(i));
-    CHECK(r.world.HostOf(call) == "a");
-    r.world.Answer(call, "200 OK");
+    const HttpRequest call = fixture.PutAndAwaitCall(client, "id-" + std::to_string(i));
+    CHECK(fixture.stubs.HostOf(call) == "a");
+    fixture.stubs.Answer(call, "200 OK");
   }
   CHECK(client.Counters()["list_failures"] == 0);
 }
 
-TEST_CASE("a watch that falls silent is asked for again in time") {
-  Relayed r;
-  r.relay.Start();
-  r.world.Until([&] { return r.world.watches == 1; });
-  r.world.heartbeats = false;
-  const auto silent = Clock::now();
-  r.world.Until([&] { return r.world.watches == 2; });
-  CHECK(Clock::now() - silent < 6s);
+TEST_CASE("a watch without heartbeats is requested again in time") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
+  fixture.stubs.discovery_heartbeats = false;
+  const auto silent_since = Clock::now();
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; });
+  CHECK(Clock::now() - silent_since < 6s);
 }
 
 // ---- notices ----
 
-TEST_CASE("a notice is told until it is taken, also by the next process") {
-  Relayed r;
-  r.relay.Start();
-  r.world.notice_status = 503;
+TEST_CASE("a notice is repeated until it is accepted and also by the next process") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  fixture.stubs.notice_status = 503;
   {
-    Client client(r.relay);
-    r.Deliver(client, "id-1", "hello", 300);
+    Client client(fixture.relay);
+    fixture.PutAndAwaitCall(client, "id-1", "hello", 300);
   }
-  r.world.Until([&] { return r.world.notices_refused >= 3; });
-  r.relay.Signal(SIGKILL);
-  CHECK(r.relay.WaitForEnd() == -SIGKILL);
-  r.world.notice_status = 204;
-  r.relay.Start();
-  CHECK(r.world.NoticeOf("id-1").at("status") == "undeliverable");
-  Client client(r.relay);
-  r.UntilOver(client, "notices_taken", 1);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.notices_refused >= 3; });
+  fixture.relay.Signal(SIGKILL);
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
+  fixture.stubs.notice_status = 204;
+  fixture.relay.Start();
+  CHECK(fixture.stubs.WaitForNotice("id-1").at("status") == "undeliverable");
+  Client client(fixture.relay);
+  fixture.WaitForCounter(client, "notices_taken", 1);
   CHECK(client.Counters()["held"] == 0);
 }
 
 // ---- restarts ----
 
-TEST_CASE("what was taken on outlasts SIGKILL, with its room and its window") {
-  Relayed r(2);
-  r.relay.Start();
+TEST_CASE("accepted messages survive SIGKILL and keep their zone and idempotency key") {
+  RelayFixture fixture(2);
+  fixture.relay.Start();
   std::string host;
   {
-    Client client(r.relay);
-    const HttpRequest call = r.Deliver(client, "id-1", "the body");
-    host = r.world.HostOf(call);
-    r.world.Answer(r.Deliver(client, "id-2"), "200 OK");
-    r.UntilOver(client, "delivered", 1);
+    Client client(fixture.relay);
+    const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1", "the body");
+    host = fixture.stubs.HostOf(call);
+    fixture.stubs.Answer(fixture.PutAndAwaitCall(client, "id-2"), "200 OK");
+    fixture.WaitForCounter(client, "delivered", 1);
   }
-  r.relay.Signal(SIGKILL);
-  CHECK(r.relay.WaitForEnd() == -SIGKILL);
-  r.relay.Start();
-  const HttpRequest again = r.world.NextCall();
+  fixture.relay.Signal(SIGKILL);
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
+  fixture.relay.Start();
+  const HttpRequest again = fixture.stubs.NextCall();
   CHECK(again.id() == "id-1");
   CHECK(again.body == "the body");
   CHECK(again.headers.at("idempotency-key") == "key1");
-  CHECK(r.world.HostOf(again) == host);
-  r.world.Answer(again, "200 OK");
-  Client client(r.relay);
-  r.UntilOver(client, "delivered", 1);
-  CHECK_FALSE(r.world.CallWithin(50ms));
+  CHECK(fixture.stubs.HostOf(again) == host);
+  fixture.stubs.Answer(again, "200 OK");
+  Client client(fixture.relay);
+  fixture.WaitForCounter(client, "delivered", 1);
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(50ms));
 }
 
-TEST_CASE("a time that ran out while the relay was down ends with a notice") {
-  Relayed r;
-  r.relay.Start();
+TEST_CASE("a deadline that passes while the relay is down is reported by a notice") {
+  RelayFixture fixture;
+  fixture.relay.Start();
   {
-    Client client(r.relay);
-    r.Deliver(client, "id-1", "hello", 200);
-    r.relay.Signal(SIGKILL);
+    Client client(fixture.relay);
+    fixture.PutAndAwaitCall(client, "id-1", "hello", 200);
+    fixture.relay.Signal(SIGKILL);
   }
-  CHECK(r.relay.WaitForEnd() == -SIGKILL);
-  CHECK_FALSE(r.world.CallWithin(250ms));
-  r.relay.Start();
-  CHECK(r.world.NoticeOf("id-1").at("status") == "undeliverable");
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(250ms));
+  fixture.relay.Start();
+  CHECK(fixture.stubs.WaitForNotice("id-1").at("status") == "undeliverable");
 }
 
-// Guards against a process killed in the middle of a write.
-TEST_CASE("a torn tail of the journal is cut and what stands before it is kept") {
-  Relayed r;
-  r.relay.Start();
+// Guards against records lost or misread after a kill in the middle of a write.
+TEST_CASE("an incomplete record at the end of the journal is cut and the records before it are kept") {
+  RelayFixture fixture;
+  fixture.relay.Start();
   {
-    Client client(r.relay);
-    r.Deliver(client, "id-1");
+    Client client(fixture.relay);
+    fixture.PutAndAwaitCall(client, "id-1");
   }
-  r.relay.Signal(SIGKILL);
-  r.relay.WaitForEnd();
-  std::ofstream(r.relay.state() + "/journal", std::ios::app) << std::string("\x40\0\0\0torn", 8);
-  std::ofstream(r.relay.state() + "/journal.next") << "half a rewrite";
-  r.relay.Start();
-  CHECK(r.world.NextCall().id() == "id-1");
-  Client client(r.relay);
+  fixture.relay.Signal(SIGKILL);
+  fixture.relay.WaitForExit();
+  std::ofstream(fixture.relay.state() + "/journal", std::ios::app) << std::string("\x40\0\0\0torn", 8);
+  std::ofstream(fixture.relay.state() + "/journal.next") << "half a rewrite";
+  fixture.relay.Start();
+  CHECK(fixture.stubs.NextCall().id() == "id-1");
+  Client client(fixture.relay);
   CHECK(client.Counters()["journal_cut_bytes"] == 8);
   CHECK(client.Counters()["recovered"] == 1);
 }
 
-TEST_CASE("a journal much smaller than what passes through it is rewritten on the way") {
-  Relayed r;
-  r.relay.config["limits"]["disk_mb"] = 0.5;
-  r.relay.Start();
+TEST_CASE("a journal smaller than its total input is compacted while the relay runs") {
+  RelayFixture fixture;
+  fixture.relay.config["limits"]["disk_mb"] = 0.5;
+  fixture.relay.Start();
   {
-    Client client(r.relay);
+    Client client(fixture.relay);
     const std::string body(60 * 1024, 'x');
-    const HttpRequest kept = r.Deliver(client, "kept", body, 16000);
+    const HttpRequest kept = fixture.PutAndAwaitCall(client, "kept", body, 16000);
     for (int i = 1; i <= 25; ++i) {
-      r.world.Answer(r.Deliver(client, "id-" + std::to_string(i), body), "200 OK");
-      r.UntilOver(client, "delivered", i);
+      fixture.stubs.Answer(fixture.PutAndAwaitCall(client, "id-" + std::to_string(i), body), "200 OK");
+      fixture.WaitForCounter(client, "delivered", i);
       REQUIRE(client.Counters()["journal_bytes"] <= 250'000);
     }
   }
-  r.relay.Signal(SIGKILL);
-  r.relay.WaitForEnd();
-  r.relay.Start();
-  CHECK(r.world.NextCall().id() == "kept");
-  Client client(r.relay);
+  fixture.relay.Signal(SIGKILL);
+  fixture.relay.WaitForExit();
+  fixture.relay.Start();
+  CHECK(fixture.stubs.NextCall().id() == "kept");
+  Client client(fixture.relay);
   CHECK(client.Counters()["recovered"] == 1);
 }
 
-TEST_CASE("SIGUSR1 prints the counters and ends nothing") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  r.world.Answer(r.Deliver(client, "id-1"), "200 OK");
-  r.UntilOver(client, "delivered", 1);
-  r.relay.Signal(SIGUSR1);
-  r.world.Until([&] { return r.relay.log().find("phase=serving\n") != std::string::npos; });
-  r.world.Until([&] { return r.relay.log().find("\ndelivered=1\n") != std::string::npos; });
+TEST_CASE("SIGUSR1 prints the counters and the relay keeps serving") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  fixture.stubs.Answer(fixture.PutAndAwaitCall(client, "id-1"), "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
+  fixture.relay.Signal(SIGUSR1);
+  fixture.stubs.WaitUntil([&] { return fixture.relay.log().find("phase=serving\n") != std::string::npos; });
+  fixture.stubs.WaitUntil([&] { return fixture.relay.log().find("\ndelivered=1\n") != std::string::npos; });
   CHECK(client.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
 }
 
-TEST_CASE("SIGTERM: clients that still come are served, what is out is finished, the end is clean") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  const HttpRequest call = r.Deliver(client, "id-1");
-  r.relay.Signal(SIGTERM);
-  Client late(r.relay);
-  const HttpRequest second = r.Deliver(late, "id-2");
-  r.world.Answer(call, "200 OK");
-  r.world.Answer(second, "200 OK");
-  const auto asked = Clock::now();
-  CHECK(r.relay.WaitForEnd() == 0);
-  CHECK(Clock::now() - asked < 3s);
-  CHECK(r.relay.log().find("draining") != std::string::npos);
-  CHECK(r.relay.log().find("delivered=2") != std::string::npos);
-}
-
-// Guards against the load of a relay that drains falling on the others while it could still serve it.
-TEST_CASE("SIGTERM: a client is served on the connection that it has until the end is near") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  const HttpRequest call = r.Deliver(client, "id-1");
-  r.relay.Signal(SIGTERM);
-  r.world.CallWithin(900ms);  // the door is closed by then
-  CHECK(Socket::Connect(r.relay.port()).fd() < 0);
-  const HttpRequest second = r.Deliver(client, "id-2");
-  r.world.Answer(call, "200 OK");
-  r.world.Answer(second, "200 OK");
-  CHECK(r.relay.WaitForEnd() == 0);
-  CHECK(r.relay.log().find("delivered=2") != std::string::npos);
-}
-
-TEST_CASE("SIGTERM with an attempt that gets no answer: the end comes in time, the next process goes on") {
-  Relayed r;
-  r.relay.Start();
+TEST_CASE("SIGTERM: new clients are still served and pending attempts finish and the exit code is 0") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
+  fixture.relay.Signal(SIGTERM);
+  Client late(fixture.relay);
+  const HttpRequest second = fixture.PutAndAwaitCall(late, "id-2");
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.stubs.Answer(second, "200 OK");
+  const auto requested_at = Clock::now();
+  CHECK(fixture.relay.WaitForExit() == 0);
+  CHECK(Clock::now() - requested_at < 3s);
+  CHECK(fixture.relay.log().find("draining") != std::string::npos);
+  CHECK(fixture.relay.log().find("delivered=2") != std::string::npos);
+}
+
+// Guards against shifting a draining relay's load to the others while it can still serve.
+TEST_CASE("SIGTERM: a connected client is served until shortly before the exit") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
+  fixture.relay.Signal(SIGTERM);
+  fixture.stubs.CallArrivesWithin(900ms);  // the listener is closed by then
+  CHECK(Socket::Connect(fixture.relay.port()).fd() < 0);
+  const HttpRequest second = fixture.PutAndAwaitCall(client, "id-2");
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.stubs.Answer(second, "200 OK");
+  CHECK(fixture.relay.WaitForExit() == 0);
+  CHECK(fixture.relay.log().find("delivered=2") != std::string::npos);
+}
+
+TEST_CASE("SIGTERM with an unanswered attempt: the relay exits in time and the next process continues") {
+  RelayFixture fixture;
+  fixture.relay.Start();
   {
-    Client client(r.relay);
-    r.Deliver(client, "id-1", "hello", 16000);
+    Client client(fixture.relay);
+    fixture.PutAndAwaitCall(client, "id-1", "hello", 16000);
   }
-  r.relay.Signal(SIGTERM);
-  CHECK(r.relay.WaitForEnd() == 0);
-  const std::string log = r.relay.log();
-  const std::size_t took = log.find("drain_ms=");
-  REQUIRE(took != std::string::npos);
-  CHECK(std::stol(log.substr(took + 9)) < 3700);  // SIGKILL comes then
-  r.relay.Start();
-  CHECK(r.world.NextCall().id() == "id-1");
+  fixture.relay.Signal(SIGTERM);
+  CHECK(fixture.relay.WaitForExit() == 0);
+  const std::string log = fixture.relay.log();
+  const std::size_t drain_time = log.find("drain_ms=");
+  REQUIRE(drain_time != std::string::npos);
+  CHECK(std::stol(log.substr(drain_time + 9)) < 3700);  // milliseconds from SIGTERM to SIGKILL
+  fixture.relay.Start();
+  CHECK(fixture.stubs.NextCall().id() == "id-1");
 }
 
 // ---- reloads ----
 
-// Guards against an end by SIGHUP, and against the environment, which still names the old discovery.
-TEST_CASE("SIGHUP moves the watch and the notices that are owed to the new discovery, well before 4 s") {
-  Relayed r;
-  const std::string old = "127.0.0.1:" + std::to_string(r.world.discovery_port());
-  r.relay.environment["ROUTER_DISCOVERY"] = old;
-  r.relay.Start();
-  r.world.Until([&] { return r.world.watches == 1; });
-  r.world.notice_status = 503;
-  Client client(r.relay);
-  r.Deliver(client, "owed", "hello", 300);
-  r.world.Until([&] { return r.world.notices_refused >= 1; });
-  const HttpRequest call = r.Deliver(client, "kept");
-  r.world.MoveDiscovery();
-  r.world.AddHost("new", 8);  // only the new discovery tells of it
-  r.world.notice_status = 204;
-  auto config = r.relay.config;
-  config["discovery"] = "127.0.0.1:" + std::to_string(r.world.discovery_port());
-  const auto asked = Clock::now();
-  r.relay.Reload(config.dump());
-  r.world.Until([&] { return r.world.watches == 2; });
-  CHECK(r.world.NoticeOf("owed").at("status") == "undeliverable");
-  CHECK(Clock::now() - asked < 2s);
-  const int before = r.world.notices_of_old;
-  // The watch is told, but its list may still be on its way.
-  r.world.Until([&] { return client.Counters()["list_changes"] >= 2; });
+// Guards against an exit by SIGHUP, and against using the old discovery address that the environment still
+// holds.
+TEST_CASE("SIGHUP moves the watch and unsent notices to the new discovery within 2 s") {
+  RelayFixture fixture;
+  const std::string old = "127.0.0.1:" + std::to_string(fixture.stubs.discovery_port());
+  fixture.relay.environment["ROUTER_DISCOVERY"] = old;
+  fixture.relay.Start();
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
+  fixture.stubs.notice_status = 503;
+  Client client(fixture.relay);
+  fixture.PutAndAwaitCall(client, "owed", "hello", 300);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.notices_refused >= 1; });
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "kept");
+  fixture.stubs.MoveDiscovery();
+  fixture.stubs.AddHost("new", 8);  // only the new discovery lists it
+  fixture.stubs.notice_status = 204;
+  auto config = fixture.relay.config;
+  config["discovery"] = "127.0.0.1:" + std::to_string(fixture.stubs.discovery_port());
+  const auto requested_at = Clock::now();
+  fixture.relay.Reload(config.dump());
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; });
+  CHECK(fixture.stubs.WaitForNotice("owed").at("status") == "undeliverable");
+  CHECK(Clock::now() - requested_at < 2s);
+  const int before = fixture.stubs.notices_at_old_address;
+  // Discovery has answered the watch, but its list may not have arrived yet.
+  fixture.stubs.WaitUntil([&] { return client.Counters()["list_changes"] >= 2; });
   client.Put("to-new", "hello", 8000, ",k=key2,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  CHECK(r.world.HostOf(r.world.NextCall()) == "new");
-  r.world.Answer(call, "200 OK");
-  r.UntilOver(client, "delivered", 1);  // what was out goes on
-  CHECK(r.world.notices_of_old == before);
-  CHECK(r.world.watches == 2);
-}
-
-TEST_CASE("a reload that can't be used leaves what runs, with a line that names the key") {
-  Relayed r;
-  r.relay.Start();
-  Client client(r.relay);
-  r.world.Until([&] { return r.world.watches == 1; });
+  REQUIRE(client.ReadLine() == "+OK");
+  CHECK(fixture.stubs.HostOf(fixture.stubs.NextCall()) == "new");
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);  // the attempt from before the reload continues
+  CHECK(fixture.stubs.notices_at_old_address == before);
+  CHECK(fixture.stubs.watch_requests == 2);
+}
+
+TEST_CASE("an invalid reload changes nothing and logs a line that names the key") {
+  RelayFixture fixture;
+  fixture.relay.Start();
+  Client client(fixture.relay);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const auto refused = [&](const std::string& text, const std::string& line) {
-    r.relay.Reload(text);
-    r.world.Until([&] { return r.relay.log().find(line) != std::string::npos; });
+    fixture.relay.Reload(text);
+    fixture.stubs.WaitUntil([&] { return fixture.relay.log().find(line) != std::string::npos; });
   };
-  auto config = r.relay.config;
+  auto config = fixture.relay.config;
   refused("{ half a fi", "reload refused: ROUTER_CONFIG: ");
   config["discovery"] = "localhost:80";
   refused(config.dump(), "reload refused: discovery: ");
-  config["discovery"] = r.relay.config["discovery"];
+  config["discovery"] = fixture.relay.config["discovery"];
   config["limits"]["sockets"] = "many";
   refused(config.dump(), "reload refused: limits.sockets: ");
   config["limits"]["sockets"] = 512;
   config["name"] = "n2";
   refused(config.dump(), "reload: name stays as it is until a restart");
-  r.world.Answer(r.Deliver(client, "id-1"), "200 OK");
-  r.UntilOver(client, "delivered", 1);
+  fixture.stubs.Answer(fixture.PutAndAwaitCall(client, "id-1"), "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["reloads_refused"] == 3);
   CHECK(client.Counters()["reloads"] == 1);
-  CHECK(r.world.watches == 1);
+  CHECK(fixture.stubs.watch_requests == 1);
 }
 
 // ---- configuration ----
 
-TEST_CASE("a configuration that can't work names the key at fault") {
-  World world;
-  const auto message = [&](const std::function<void(nlohmann::json&)>& spoil) {
-    RelayProcess relay(world);
-    spoil(relay.config);
+TEST_CASE("an invalid configuration ends the start with an error that names the key") {
+  StubServices stubs;
+  const auto start_error = [&](const std::function<void(nlohmann::json&)>& change) {
+    RelayProcess relay(stubs);
+    change(relay.config);
     int code = 0;
-    const std::string text = relay.RunToEnd(&code);
+    const std::string text = relay.RunToExit(&code);
     CHECK(code == 1);
     return text;
   };
   using Catch::Contains;
-  CHECK_THAT(message([](auto& c) { c["listen"] = "nowhere"; }), Contains("listen:"));
-  CHECK_THAT(message([](auto& c) { c["discovery"] = 5; }), Contains("discovery:"));
-  CHECK_THAT(message([](auto& c) { c["seed"] = "xyz"; }), Contains("seed:"));
-  CHECK_THAT(message([](auto& c) { c["limits"]["sockets"] = 3; }), Contains("limits.sockets:"));
-  CHECK_THAT(message([](auto& c) { c["limits"]["disk_mb"] = "big"; }), Contains("limits.disk_mb:"));
-  CHECK_THAT(message([](auto& c) { c.erase("settings"); }), Contains("settings:"));
-  CHECK_THAT(message([](auto& c) { c["settings"].erase("services"); }), Contains("services"));
+  CHECK_THAT(start_error([](auto& config) { config["listen"] = "nowhere"; }), Contains("listen:"));
+  CHECK_THAT(start_error([](auto& config) { config["discovery"] = 5; }), Contains("discovery:"));
+  CHECK_THAT(start_error([](auto& config) { config["seed"] = "xyz"; }), Contains("seed:"));
+  CHECK_THAT(start_error([](auto& config) { config["limits"]["sockets"] = 3; }), Contains("limits.sockets:"));
+  CHECK_THAT(start_error([](auto& config) { config["limits"]["disk_mb"] = "big"; }),
+             Contains("limits.disk_mb:"));
+  CHECK_THAT(start_error([](auto& config) { config.erase("settings"); }), Contains("settings:"));
+  CHECK_THAT(start_error([](auto& config) { config["settings"].erase("services"); }), Contains("services"));
 }
 
 }  // namespace
--- a/tests/relay/rig.cpp
+++ b/tests/relay/rig.cpp
@@ -23,17 +23,17 @@
 namespace oxbowspread::testing {
 namespace {
 
-int Left(Clock::time_point until) {
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now()).count();
-  return static_cast<int>(std::max<long>(0, left));
+int RemainingMs(Clock::time_point until) {
+  const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(until - Clock::now()).count();
+  return static_cast<int>(std::max<long>(0, remaining));
 }
 
 sockaddr_in Loopback(int port) {
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_port = htons(static_cast<std::uint16_t>(port));
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  return a;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<std::uint16_t>(port));
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  return address;
 }
 
 }  // namespace
@@ -47,46 +47,48 @@
 }
 
 Socket Socket::Listen(int backlog) {
-  Socket s(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const sockaddr_in a = Loopback(0);
-  REQUIRE(bind(s.fd_, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0);
-  REQUIRE(listen(s.fd_, backlog) == 0);
-  return s;
+  Socket result(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const sockaddr_in address = Loopback(0);
+  REQUIRE(bind(result.fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
+  REQUIRE(listen(result.fd_, backlog) == 0);
+  return result;
 }
 
 Socket Socket::Connect(int port) {
-  Socket s(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const sockaddr_in a = Loopback(port);
-  if (connect(s.fd_, reinterpret_cast<const sockaddr*>(&a), sizeof a) != 0) s.Close();
-  return s;
+  Socket result(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const sockaddr_in address = Loopback(port);
+  if (connect(result.fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) result.Close();
+  return result;
 }
 
 Socket Socket::Accept(std::chrono::milliseconds limit) const {
-  pollfd p{fd_, POLLIN, 0};
-  if (poll(&p, 1, static_cast<int>(limit.count())) <= 0) return Socket();
+  pollfd poll_entry{fd_, POLLIN, 0};
+  if (poll(&poll_entry, 1, static_cast<int>(limit.count())) <= 0) return Socket();
   return Socket(accept(fd_, nullptr, nullptr));
 }
 
 int Socket::port() const {
-  sockaddr_in a{};
-  socklen_t size = sizeof a;
-  getsockname(fd_, reinterpret_cast<sockaddr*>(&a), &size);
-  return ntohs(a.sin_port);
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
+  return ntohs(address.sin_port);
 }
 
 void Socket::Close() {
   if (fd_ >= 0) close(std::exchange(fd_, -1));
 }
 
-void Socket::Narrow(int receive_buffer) const {
+void Socket::SetReceiveBufferSize(int receive_buffer) const {
   setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
 }
 
-void Socket::Segment(int most) const { setsockopt(fd_, IPPROTO_TCP, TCP_MAXSEG, &most, sizeof most); }
+void Socket::SetMaxSegmentSize(int max_bytes) const {
+  setsockopt(fd_, IPPROTO_TCP, TCP_MAXSEG, &max_bytes, sizeof max_bytes);
+}
 
 void Socket::Reset() {
-  const linger hard{1, 0};
-  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  const linger abort_on_close{1, 0};
+  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &abort_on_close, sizeof abort_on_close);
   Close();
 }
 
@@ -99,22 +101,23 @@
   }
 }
 
-bool Socket::Ended() const {
+bool Socket::IsClosed() const {
   char byte = 0;
   return fd_ < 0 || recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0 ||
          (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-void Socket::UntilTaken() const {
+void Socket::WaitUntilAcknowledged() const {
   const auto until = Clock::now() + 5s;
-  int left = 1;
-  while (ioctl(fd_, SIOCOUTQ, &left) == 0 && left > 0 && Clock::now() < until) poll(nullptr, 0, 1);
-  REQUIRE(left == 0);
+  int unacknowledged = 1;
+  while (ioctl(fd_, SIOCOUTQ, &unacknowledged) == 0 && unacknowledged > 0 && Clock::now() < until)
+    poll(nullptr, 0, 1);
+  REQUIRE(unacknowledged == 0);
 }
 
 std::string Socket::Receive(std::chrono::milliseconds limit, bool* ended, int* error) const {
-  pollfd p{fd_, POLLIN, 0};
-  if (poll(&p, 1, static_cast<int>(limit.count())) <= 0) return {};
+  pollfd poll_entry{fd_, POLLIN, 0};
+  if (poll(&poll_entry, 1, static_cast<int>(limit.count())) <= 0) return {};
   char bytes[65536];
   const ssize_t count = recv(fd_, bytes, sizeof bytes, 0);
   if (count <= 0 && ended != nullptr) *ended = true;
@@ -122,13 +125,13 @@
   return std::string(bytes, static_cast<std::size_t>(std::max<ssize_t>(0, count)));
 }
 
-// ---- the world ----
+// ---- stub services ----
 
-World::World() : discovery_(Socket::Listen()) {}
+StubServices::StubServices() : discovery_(Socket::Listen()) {}
 
-void World::AddHost(const std::string& id, int cell, const std::string& zone, int receive_buffer) {
+void StubServices::AddHost(const std::string& id, int cell, const std::string& zone, int receive_buffer) {
   Socket& listener = listeners_[id] = Socket::Listen();
-  if (receive_buffer > 0) listener.Narrow(receive_buffer);
+  if (receive_buffer > 0) listener.SetReceiveBufferSize(receive_buffer);
   hosts_[id] = {{"id", id},         {"addr", "127.0.0.1:" + std::to_string(listener.port())},
                 {"zone", zone},     {"kind", "partner"},
                 {"cell", cell},     {"state", "Ready"},
@@ -136,62 +139,62 @@
                 {"unheard_of", {1}}};
 }
 
-void World::SetState(const std::string& id, const std::string& state) {
+void StubServices::SetState(const std::string& id, const std::string& state) {
   hosts_[id]["state"] = state;
-  Tell({{"version", ++version_}, {"full", false}, {"servers", {hosts_[id]}}});
+  PushChange({{"version", ++version_}, {"full", false}, {"servers", {hosts_[id]}}});
 }
 
-void World::SetStateUntold(const std::string& id, const std::string& state) {
+void StubServices::SetStateWithoutPush(const std::string& id, const std::string& state) {
   hosts_[id]["state"] = state;
   ++version_;
 }
 
-int World::standing() const {
+int StubServices::open_watches() const {
   return static_cast<int>(std::count_if(peers_.begin(), peers_.end(), [](const Peer& peer) {
-    return peer.watch && !peer.left && peer.socket.fd() >= 0;
+    return peer.watch && !peer.at_old_address && peer.socket.fd() >= 0;
   }));
 }
 
-void World::Tell(const nlohmann::json& change) {
+void StubServices::PushChange(const nlohmann::json& change) {
   for (Peer& peer : peers_) {
-    if (peer.watch && !peer.left) Chunk(peer.socket, change.dump() + "\n");
+    if (peer.watch && !peer.at_old_address) SendChunk(peer.socket, change.dump() + "\n");
   }
 }
 
-void World::TellText(const std::string& text) {
+void StubServices::PushChunk(const std::string& text) {
   for (Peer& peer : peers_) {
-    if (peer.watch && !peer.left) Chunk(peer.socket, text);
+    if (peer.watch && !peer.at_old_address) SendChunk(peer.socket, text);
   }
 }
 
-void World::EndWatches() {
+void StubServices::CloseWatches() {
   for (Peer& peer : peers_) {
     if (std::exchange(peer.watch, false)) peer.socket.Close();
   }
 }
 
-void World::UntilTold() const {
+void StubServices::WaitUntilPushesDelivered() const {
   for (const Peer& peer : peers_) {
-    if (peer.watch && !peer.left && peer.socket.fd() >= 0) peer.socket.UntilTaken();
+    if (peer.watch && !peer.at_old_address && peer.socket.fd() >= 0) peer.socket.WaitUntilAcknowledged();
   }
 }
 
-void World::SetPort(const std::string& id, int port) {
+void StubServices::SetPort(const std::string& id, int port) {
   hosts_[id]["addr"] = "127.0.0.1:" + std::to_string(port);
 }
 
-void World::MoveDiscovery() {
-  for (Peer& peer : peers_) peer.left = peer.left || peer.host.empty();
+void StubServices::MoveDiscovery() {
+  for (Peer& peer : peers_) peer.at_old_address = peer.at_old_address || peer.host.empty();
   discovery_ = Socket::Listen();
 }
 
-void World::TellLeft(const nlohmann::json& change) {
+void StubServices::PushChangeToOldAddress(const nlohmann::json& change) {
   for (Peer& peer : peers_) {
-    if (peer.watch && peer.left) Chunk(peer.socket, change.dump() + "\n");
+    if (peer.watch && peer.at_old_address) SendChunk(peer.socket, change.dump() + "\n");
   }
 }
 
-void World::CloseDiscovery() {
+void StubServices::CloseDiscovery() {
   for (Peer& peer : peers_) {
     if (!peer.host.empty() || peer.socket.fd() < 0) continue;
     peer.watch = false;
@@ -200,30 +203,30 @@
   discovery_.Close();
 }
 
-void World::Stop(const std::string& id) { listeners_.erase(id); }
+void StubServices::StopHost(const std::string& id) { listeners_.erase(id); }
 
-nlohmann::json World::List() const {
+nlohmann::json StubServices::List() const {
   nlohmann::json servers = nlohmann::json::array();
   for (const auto& [id, host] : hosts_) servers.push_back(host);
   return {{"version", version_}, {"full", true}, {"servers", servers}};
 }
 
-void World::Chunk(const Socket& socket, const std::string& text) {
+void StubServices::SendChunk(const Socket& socket, const std::string& text) {
   std::ostringstream out;
   out << std::hex << text.size() << "\r\n" << text << "\r\n";
   socket.Send(out.str());
 }
 
-void World::Serve(std::chrono::milliseconds limit) {
-  if (heartbeats && Clock::now() - heartbeat_ > 2s) {
-    heartbeat_ = Clock::now();
+void StubServices::ServeOnce(std::chrono::milliseconds limit) {
+  if (discovery_heartbeats && Clock::now() - last_heartbeat_at_ > 2s) {
+    last_heartbeat_at_ = Clock::now();
     for (Peer& peer : peers_) {
-      if (peer.watch && !peer.left) Chunk(peer.socket, "\n");
+      if (peer.watch && !peer.at_old_address) SendChunk(peer.socket, "\n");
     }
   }
-  RefuseDue();
-  AnswerInTurn();
-  std::vector<pollfd> polls{{discovery_.fd(), static_cast<short>(accepting ? POLLIN : 0), 0}};
+  SendDueRefusals();
+  AnswerQueuedWatches();
+  std::vector<pollfd> polls{{discovery_.fd(), static_cast<short>(discovery_accepts ? POLLIN : 0), 0}};
   std::vector<std::string> names;
   for (const auto& [id, listener] : listeners_) {
     names.push_back(id);
@@ -239,7 +242,7 @@
     if (polls[at].revents == 0) continue;
     bool ended = false;
     peer.bytes += peer.socket.Receive(0ms, &ended);
-    while (TakeRequest(peer)) {
+    while (ReadRequest(peer)) {
     }
     if (ended) peer.socket.Close();
   }
@@ -248,12 +251,12 @@
     peers_.push_back(
         {Socket(accept(polls[i].fd, nullptr, nullptr)), i == 0 ? "" : names[i - 1], "", false, false});
     host_of_[&peers_.back().socket] = peers_.back().host;
-    accepted_ += i > 0;
-    if (i > 0) last_connected_ = names[i - 1];
+    host_connections_ += i > 0;
+    if (i > 0) last_connected_host_ = names[i - 1];
   }
 }
 
-bool World::TakeRequest(Peer& peer) {
+bool StubServices::ReadRequest(Peer& peer) {
   const std::size_t head_end = peer.bytes.find("\r\n\r\n");
   if (head_end == peer.bytes.npos) return false;
   HttpRequest request;
@@ -273,17 +276,17 @@
   if (peer.bytes.size() < head_end + 4 + body) return false;
   request.body = peer.bytes.substr(head_end + 4, body);
   peer.bytes.erase(0, head_end + 4 + body);
-  if (peer.left) {
-    notices_of_old += request.line.find("/v1/outcomes") != request.line.npos;
+  if (peer.at_old_address) {
+    notices_at_old_address += request.line.find("/v1/outcomes") != request.line.npos;
   } else if (peer.host.empty()) {
-    OnDiscovery(peer, request);
+    HandleDiscoveryRequest(peer, request);
   } else {
     calls_.push_back(std::move(request));
   }
   return true;
 }
 
-void World::OnDiscovery(Peer& peer, const HttpRequest& request) {
+void StubServices::HandleDiscoveryRequest(Peer& peer, const HttpRequest& request) {
   if (request.line.find("/v1/outcomes") != request.line.npos) {
     peer.socket.Send("HTTP/1.1 " + std::to_string(notice_status) + " X\r\nContent-Length: 0\r\n\r\n");
     notices_refused += notice_status != 204;
@@ -294,88 +297,88 @@
     }
     return;
   }
-  watches += 1;
-  if (silent) return;
-  if (refusing) {
-    refusals_.emplace_back(Clock::now() + refuses_after, &peer);
-    return RefuseDue();
+  watch_requests += 1;
+  if (discovery_silent) return;
+  if (discovery_refuses) {
+    refusals_.emplace_back(Clock::now() + discovery_refusal_delay, &peer);
+    return SendDueRefusals();
   }
-  if (each_call == 0ms) return AnswerWatch(peer);
-  if (queue_.empty()) turn_at_ = Clock::now() + each_call;
-  queue_.push_back(&peer);
+  if (discovery_time_per_request == 0ms) return AnswerWatch(peer);
+  if (queued_watches_.empty()) next_answer_at_ = Clock::now() + discovery_time_per_request;
+  queued_watches_.push_back(&peer);
 }
 
-void World::AnswerWatch(Peer& peer) {
+void StubServices::AnswerWatch(Peer& peer) {
   peer.watch = true;
   peer.socket.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  Chunk(peer.socket, beating_only ? "\n" : List().dump() + "\n");
-  if (!ending) return;
+  SendChunk(peer.socket, discovery_sends_only_heartbeats ? "\n" : List().dump() + "\n");
+  if (!discovery_ends_watches) return;
   peer.socket.Send("0\r\n\r\n");
   peer.watch = false;
 }
 
-void World::RefuseDue() {
+void StubServices::SendDueRefusals() {
   while (!refusals_.empty() && refusals_.front().first <= Clock::now()) {
     refusals_.front().second->socket.Send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     refusals_.pop_front();
   }
 }
 
-void World::AnswerInTurn() {
-  while (!queue_.empty() && Clock::now() >= turn_at_) {
-    Peer* const peer = queue_.front();
-    queue_.pop_front();
-    turn_at_ += each_call;
+void StubServices::AnswerQueuedWatches() {
+  while (!queued_watches_.empty() && Clock::now() >= next_answer_at_) {
+    Peer* const peer = queued_watches_.front();
+    queued_watches_.pop_front();
+    next_answer_at_ += discovery_time_per_request;
     if (peer->socket.fd() >= 0) AnswerWatch(*peer);
   }
 }
 
-HttpRequest World::NextCall(std::chrono::milliseconds limit) {
-  Until([this] { return !calls_.empty(); }, limit);
+HttpRequest StubServices::NextCall(std::chrono::milliseconds limit) {
+  WaitUntil([this] { return !calls_.empty(); }, limit);
   HttpRequest call = calls_.front();
   calls_.erase(calls_.begin());
   return call;
 }
 
-bool World::CallWithin(std::chrono::milliseconds limit) {
+bool StubServices::CallArrivesWithin(std::chrono::milliseconds limit) {
   const auto until = Clock::now() + limit;
-  while (calls_.empty() && Left(until) > 0) Serve(std::chrono::milliseconds(Left(until)));
+  while (calls_.empty() && RemainingMs(until) > 0) ServeOnce(std::chrono::milliseconds(RemainingMs(until)));
   return !calls_.empty();
 }
 
-void World::Answer(const HttpRequest& call, const std::string& status, const std::string& headers) {
+void StubServices::Answer(const HttpRequest& call, const std::string& status, const std::string& headers) {
   call.from->Send("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: 2\r\n\r\nok");
 }
 
-void World::Until(const std::function<bool()>& holds, std::chrono::milliseconds limit) {
+void StubServices::WaitUntil(const std::function<bool()>& condition, std::chrono::milliseconds limit) {
   const auto until = Clock::now() + limit;
-  while (!holds()) {
-    if (Left(until) == 0) FAIL("what was waited for did not come");
-    Serve(std::chrono::milliseconds(Left(until)));
+  while (!condition()) {
+    if (RemainingMs(until) == 0) FAIL("the awaited condition did not become true in time");
+    ServeOnce(std::chrono::milliseconds(RemainingMs(until)));
   }
 }
 
-nlohmann::json World::NoticeOf(const std::string& id) {
-  Until([&] { return notices.count(id) > 0; });
+nlohmann::json StubServices::WaitForNotice(const std::string& id) {
+  WaitUntil([&] { return notices.count(id) > 0; });
   return notices.at(id);
 }
 
 // ---- the process ----
 
-RelayProcess::RelayProcess(World& world) : world_(world) {
+RelayProcess::RelayProcess(StubServices& stubs) : stubs_(stubs) {
   char name[] = "/tmp/oxbowspread-XXXXXX";
   folder_ = mkdtemp(name);
   state_ = folder_ + "/state";
   std::filesystem::create_directory(state_);
-  reserved_ = Socket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const int on = 1;
-  setsockopt(reserved_.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  port_reservation_ = Socket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const int enabled = 1;
+  setsockopt(port_reservation_.fd(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   const sockaddr_in any = Loopback(0);
-  REQUIRE(bind(reserved_.fd(), reinterpret_cast<const sockaddr*>(&any), sizeof any) == 0);
-  port_ = reserved_.port();
+  REQUIRE(bind(port_reservation_.fd(), reinterpret_cast<const sockaddr*>(&any), sizeof any) == 0);
+  port_ = port_reservation_.port();
   config = {{"name", "n1"},
             {"listen", "127.0.0.1:" + std::to_string(port_)},
-            {"discovery", "127.0.0.1:" + std::to_string(world.discovery_port())},
+            {"discovery", "127.0.0.1:" + std::to_string(stubs.discovery_port())},
             {"seed", "8c1f30d27a5be964"},
             {"limits", {{"memory_mb", 192}, {"sockets", 1024}, {"disk_mb", 3}}},
             {"settings", nlohmann::json::parse(standin::kSettings)}};
@@ -386,26 +389,26 @@
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
   }
-  if (output_ >= 0) close(output_);
+  if (output_fd_ >= 0) close(output_fd_);
   std::filesystem::remove_all(folder_);
 }
 
 void RelayProcess::Spawn() {
   std::ofstream(folder_ + "/config.json") << config.dump();
-  int ends[2];
-  REQUIRE(pipe2(ends, O_CLOEXEC) == 0);
+  int pipe_fds[2];
+  REQUIRE(pipe2(pipe_fds, O_CLOEXEC) == 0);
   pid_ = fork();
   if (pid_ != 0) {
-    close(ends[1]);
-    if (output_ >= 0) close(output_);
-    output_ = ends[0];
-    fcntl(output_, F_SETFL, O_NONBLOCK);
+    close(pipe_fds[1]);
+    if (output_fd_ >= 0) close(output_fd_);
+    output_fd_ = pipe_fds[0];
+    fcntl(output_fd_, F_SETFL, O_NONBLOCK);
     return;
   }
-  dup2(ends[1], 1);
-  dup2(ends[1], 2);
-  if (held != nullptr) {
-    dup2(held->fd(), 5);
+  dup2(pipe_fds[1], 1);
+  dup2(pipe_fds[1], 2);
+  if (inherited_listener != nullptr) {
+    dup2(inherited_listener->fd(), 5);
     fcntl(5, F_SETFD, 0);
     setenv("ROUTER_LISTEN_FD", "5", 1);
   }
@@ -421,30 +424,31 @@
 }
 
 void RelayProcess::Start() {
-  config["known"] = world_.List();
+  config["known"] = stubs_.List();
   Spawn();
   const std::size_t before = log_.size();
   const auto until = Clock::now() + 10s;
   while (log().find(": serving", before) == std::string::npos) {
-    pollfd p{output_, POLLIN, 0};
-    if (poll(&p, 1, Left(until)) <= 0 || (p.revents & POLLIN) == 0) FAIL("no start: " + log());
+    pollfd poll_entry{output_fd_, POLLIN, 0};
+    if (poll(&poll_entry, 1, RemainingMs(until)) <= 0 || (poll_entry.revents & POLLIN) == 0)
+      FAIL("the relay did not start: " + log());
   }
   Client client(*this);
   REQUIRE(client.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
 }
 
-void RelayProcess::UntilLog(const std::string& text) {
-  world_.Until([&] { return log().find(text) != std::string::npos; });
+void RelayProcess::WaitForLog(const std::string& text) {
+  stubs_.WaitUntil([&] { return log().find(text) != std::string::npos; });
 }
 
 void RelayProcess::Signal(int number) const { kill(pid_, number); }
 
-void RelayProcess::Halt() {
+void RelayProcess::Suspend() {
   Signal(SIGSTOP);
-  UntilStopped();
+  WaitUntilSuspended();
 }
 
-void RelayProcess::UntilStopped() {
+void RelayProcess::WaitUntilSuspended() {
   int status = 0;
   REQUIRE(waitpid(pid_, &status, WUNTRACED) == pid_);
   REQUIRE(WIFSTOPPED(status));
@@ -455,20 +459,20 @@
   Signal(SIGHUP);
 }
 
-int RelayProcess::WaitForEnd() {
+int RelayProcess::WaitForExit() {
   int status = 0;
-  world_.Until([&] { return waitpid(pid_, &status, WNOHANG) == pid_; });
-  return Ended(status);
+  stubs_.WaitUntil([&] { return waitpid(pid_, &status, WNOHANG) == pid_; });
+  return MarkExited(status);
 }
 
-int RelayProcess::Ended(int status) {
+int RelayProcess::MarkExited(int status) {
   pid_ = -1;
   return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
-std::string RelayProcess::RunToEnd(int* code) {
+std::string RelayProcess::RunToExit(int* code) {
   Spawn();
-  *code = WaitForEnd();
+  *code = WaitForExit();
   return log();
 }
 
@@ -480,7 +484,7 @@
 
 const std::string& RelayProcess::log() {
   char bytes[4096];
-  for (ssize_t count = 0; (count = read(output_, bytes, sizeof bytes)) > 0;) {
+  for (ssize_t count = 0; (count = read(output_fd_, bytes, sizeof bytes)) > 0;) {
     log_.append(bytes, static_cast<std::size_t>(count));
   }
   return log_;
@@ -489,11 +493,11 @@
 // ---- clients ----
 
 void Client::Put(const std::string& id, const std::string& body, int ms, const std::string& values) const {
-  socket_.Send(PutText(id, body, ms, values));
+  socket_.Send(PutCommand(id, body, ms, values));
 }
 
-std::string Client::PutText(const std::string& id, const std::string& body, int ms,
-                            const std::string& values) {
+std::string Client::PutCommand(const std::string& id, const std::string& body, int ms,
+                               const std::string& values) {
   const std::string list = "c=outbound,d=" + std::to_string(ms) + values;
   std::string command = "*5\r\n";
   for (const std::string& part : {std::string("MSG.PUT"), std::string("0000000000000000"), id, list, body}) {
@@ -502,27 +506,27 @@
   return command;
 }
 
-std::string Client::Line() {
+std::string Client::ReadLine() {
   const auto until = Clock::now() + 5s;
   bool ended = false;
   std::size_t end = 0;
   while ((end = bytes_.find("\r\n")) == bytes_.npos) {
-    if (ended || Left(until) == 0) return {};
-    bytes_ += socket_.Receive(std::chrono::milliseconds(Left(until)), &ended, &error_);
+    if (ended || RemainingMs(until) == 0) return {};
+    bytes_ += socket_.Receive(std::chrono::milliseconds(RemainingMs(until)), &ended, &error_);
   }
   const std::string line = bytes_.substr(0, end);
   bytes_.erase(0, end + 2);
   return line;
 }
 
-bool Client::AnsweredOrUnread() {
-  const std::string line = Line();
-  return line == "+OK" || line.substr(0, 5) == "-BUSY" || unread();
+bool Client::AnsweredOrReset() {
+  const std::string line = ReadLine();
+  return line == "+OK" || line.substr(0, 5) == "-BUSY" || was_reset();
 }
 
 std::string Client::Ask(const std::string& command) {
   socket_.Send(command);
-  return Line();
+  return ReadLine();
 }
 
 std::map<std::string, long> Client::Counters() {
--- a/tests/relay/rig.hpp
+++ b/tests/relay/rig.hpp
@@ -1,5 +1,5 @@
-// The relay as its surroundings see it: a process, with this test as its client, endpoints and discovery
-// on ephemeral loopback ports. One thread, no sleeps: everything waits for an event, up to a limit.
+// Runs the relay as a process, with the test as its clients, endpoints and discovery service on ephemeral
+// loopback ports. One thread and no sleeps: every wait is for an event, up to a time limit.
 #pragma once
 
 #include <signal.h>
@@ -19,6 +19,7 @@
 using Clock = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
+// A TCP socket over loopback that closes itself.
 class Socket {
  public:
   Socket() = default;
@@ -29,24 +30,25 @@
 
   static Socket Listen(int backlog = 64);
   static Socket Connect(int port);
-  Socket Accept(std::chrono::milliseconds limit) const;  // empty when nobody came
+  Socket Accept(std::chrono::milliseconds limit) const;  // fd() is -1 if nobody connected
   int fd() const { return fd_; }
   int port() const;
   void Close();
-  void Narrow(int receive_buffer) const;  // of what it accepts
-  void Segment(int most) const;           // bytes in a segment to what it accepts: less is on its way
-  void Reset();                           // closes with a reset
+  void SetReceiveBufferSize(int receive_buffer) const;  // in bytes; of connections that it accepts
+  void SetMaxSegmentSize(int max_bytes) const;          // in bytes; limits what is in flight
+  void Reset();                                         // closes the connection with a TCP reset
   void Send(const std::string& bytes) const;
-  bool Ended() const;       // the other side has closed it, or this one has
-  void UntilTaken() const;  // until the other side's system has all that was sent
-  // What came within the limit; empty when nothing did, and `ended` when the other side closed.
-  // `error` why, 0 if it did so without a reset.
+  bool IsClosed() const;               // whether either side has closed it
+  void WaitUntilAcknowledged() const;  // until the peer's kernel has all sent bytes
+  // Returns the bytes received within the limit; empty if there were none. Sets *ended if the other side
+  // closed the connection, and *error to the errno of a failed read, or 0.
   std::string Receive(std::chrono::milliseconds limit, bool* ended = nullptr, int* error = nullptr) const;
 
  private:
   int fd_ = -1;
 };
 
+// A request that a stub endpoint or stub discovery received.
 struct HttpRequest {
   std::string line;
   std::map<std::string, std::string> headers;  // names in lower case
@@ -56,157 +58,164 @@
   std::string id() const { return headers.count("x-request-id") ? headers.at("x-request-id") : ""; }
 };
 
-// All that listens for the relay: endpoints by id, and discovery. Calls wait until the test answers them.
-class World {
+// Stubs of everything that the relay connects to: endpoints by host id, and the discovery service. Calls to
+// endpoints wait until the test answers them. Discovery answers watch requests with its list and then pushes
+// changes on the same response.
+class StubServices {
  public:
-  World();
+  StubServices();
 
-  // Listed as Ready unless told otherwise; every host belongs to `cell`.
+  // Adds a host of destination `cell`, listed as Ready.
   void AddHost(const std::string& id, int cell, const std::string& zone = "north-room",
                int receive_buffer = 0);
-  void SetState(const std::string& id, const std::string& state);  // tells the watch too
-  // In the list from now on; no watch is told.
-  void SetStateUntold(const std::string& id, const std::string& state);
-  void TellText(const std::string& text);   // to the watch, a chunk as it is
-  void EndWatches();                        // closes them
-  void UntilTold() const;                   // until the relay's system has all that the watches were told
-  void Tell(const nlohmann::json& change);  // to the watch, as it is
-  void SetPort(const std::string& id, int port);  // listed there instead
-  void Stop(const std::string& id);               // refuses connections from now on
-  nlohmann::json Entry(const std::string& id) const { return hosts_.at(id); }
+  void SetState(const std::string& id, const std::string& state);  // also pushes the change to open watches
+  // Changes the list without pushing the change.
+  void SetStateWithoutPush(const std::string& id, const std::string& state);
+  void PushChunk(const std::string& text);        // as one chunk, to open watches
+  void CloseWatches();                            // closes their connections
+  void WaitUntilPushesDelivered() const;          // until the relay's kernel has all pushed bytes
+  void PushChange(const nlohmann::json& change);  // to open watches; the list stays
+  void SetPort(const std::string& id, int port);  // lists the host at this port
+  void StopHost(const std::string& id);           // refuses connections from now on
+  nlohmann::json ListEntry(const std::string& id) const { return hosts_.at(id); }
   nlohmann::json List() const;
   int discovery_port() const { return discovery_.port(); }
-  // Discovery listens at a new port; the old one takes nothing more, what is open there falls silent.
+  // Moves discovery to a new port. The old port accepts nothing more, and its open watches receive nothing
+  // more.
   void MoveDiscovery();
-  // Discovery ends: its connections are reset and new ones are refused.
+  // Ends discovery: resets its connections and refuses new ones.
   void CloseDiscovery();
-  // To the watches at addresses that discovery has left.
-  void TellLeft(const nlohmann::json& change);
+  // Pushes a change to the watches at addresses that discovery has left.
+  void PushChangeToOldAddress(const nlohmann::json& change);
 
-  // The next call at any host; fails the test if none comes in time.
+  // Waits for the next call to any host; fails the test if none arrives in time.
   HttpRequest NextCall(std::chrono::milliseconds limit = 5s);
-  // Whether a call came within the limit; it is left for NextCall.
-  bool CallWithin(std::chrono::milliseconds limit);
+  // Whether a call arrives within the limit. NextCall still returns it.
+  bool CallArrivesWithin(std::chrono::milliseconds limit);
   void Answer(const HttpRequest& call, const std::string& status, const std::string& headers = "");
   std::string HostOf(const HttpRequest& call) const { return host_of_.at(call.from); }
-  int connections_to_hosts() const { return accepted_; }
-  // The host that the last of them was made to.
-  const std::string& last_connected() const { return last_connected_; }
-
-  // Serves until it holds, or fails the test.
-  void Until(const std::function<bool()>& holds, std::chrono::milliseconds limit = 8s);
-  // One round of it.
-  void ServeFor(std::chrono::milliseconds limit) { Serve(limit); }
-  nlohmann::json NoticeOf(const std::string& id);
-
-  std::map<std::string, nlohmann::json> notices;  // by id
-  int notice_status = 204;
+  int connections_to_hosts() const { return host_connections_; }
+  // The host to which the relay connected last.
+  const std::string& last_connected_host() const { return last_connected_host_; }
+
+  // Serves until the condition holds, or fails the test.
+  void WaitUntil(const std::function<bool()>& condition, std::chrono::milliseconds limit = 8s);
+  // Serves the events of one poll, which waits up to the limit.
+  void ServeFor(std::chrono::milliseconds limit) { ServeOnce(limit); }
+  nlohmann::json WaitForNotice(const std::string& id);
+
+  std::map<std::string, nlohmann::json> notices;  // by message id
+  int notice_status = 204;                        // the answer to posted notices
   int notices_refused = 0;
-  int notices_of_old = 0;  // told at an address that discovery has left
-  int watches = 0;
-  int standing() const;  // watches that were answered and have not ended
-  bool heartbeats = true;
-  bool silent = false;                         // discovery takes what is asked, and never answers
-  bool refusing = false;                       // it answers each call by 503
-  std::chrono::milliseconds refuses_after{0};  // so long after it came
-  bool accepting = true;                       // else connections to it come up and are never looked at
-  bool beating_only = false;               // it answers 200 and then nothing but empty lines, never a list
-  bool ending = false;                     // it ends each watch behind its first list
-  std::chrono::milliseconds each_call{0};  // it works through calls one by one, given-up ones as well
+  int notices_at_old_address = 0;  // posted to an address that discovery has left
+  int watch_requests = 0;          // watch requests received
+  int open_watches() const;        // watches that were answered and have not ended
+  bool discovery_heartbeats = true;
+  bool discovery_silent = false;                         // reads requests and never answers them
+  bool discovery_refuses = false;                        // answers each watch request with 503
+  std::chrono::milliseconds discovery_refusal_delay{0};  // time between the request and the 503
+  bool discovery_accepts = true;                 // false: connections are established but never accepted
+  bool discovery_sends_only_heartbeats = false;  // answers 200, then empty lines and never a list
+  bool discovery_ends_watches = false;           // ends each watch after its first list
+  std::chrono::milliseconds discovery_time_per_request{0};  // answers requests one by one, abandoned ones too
 
  private:
   struct Peer {
     Socket socket;
-    std::string host;  // empty: discovery
-    std::string bytes;
+    std::string host;   // the stub endpoint's id; empty: discovery
+    std::string bytes;  // received and not yet parsed
     bool watch = false;
-    bool left = false;  // at an address that discovery has left
+    bool at_old_address = false;  // at an address that discovery has left
   };
 
-  void Serve(std::chrono::milliseconds limit);
-  bool TakeRequest(Peer& peer);
-  void OnDiscovery(Peer& peer, const HttpRequest& request);
+  void ServeOnce(std::chrono::milliseconds limit);
+  bool ReadRequest(Peer& peer);
+  void HandleDiscoveryRequest(Peer& peer, const HttpRequest& request);
   void AnswerWatch(Peer& peer);
-  void AnswerInTurn();
-  void RefuseDue();
-  static void Chunk(const Socket& socket, const std::string& text);
+  void AnswerQueuedWatches();
+  void SendDueRefusals();
+  static void SendChunk(const Socket& socket, const std::string& text);
 
   Socket discovery_;
   std::map<std::string, Socket> listeners_;
   std::list<Peer> peers_;
-  std::list<Socket> ended_;  // kept, so that a call's `from` stays good
+  std::list<Socket> closed_sockets_;  // kept, so that `from` of a call stays valid
   std::map<const Socket*, std::string> host_of_;
   std::vector<HttpRequest> calls_;
-  std::list<Peer*> queue_;                                   // watches asked for that wait for their turn
-  std::list<std::pair<Clock::time_point, Peer*>> refusals_;  // by when they are due
-  Clock::time_point turn_at_ = Clock::now();
+  std::list<Peer*> queued_watches_;                          // watch requests that wait for their answer
+  std::list<std::pair<Clock::time_point, Peer*>> refusals_;  // 503 answers by the time when they are due
+  Clock::time_point next_answer_at_ = Clock::now();
   std::map<std::string, nlohmann::json> hosts_;
-  Clock::time_point heartbeat_ = Clock::now();
+  Clock::time_point last_heartbeat_at_ = Clock::now();
   int version_ = 1;
-  int accepted_ = 0;
-  std::string last_connected_;
+  int host_connections_ = 0;
+  std::string last_connected_host_;
 };
 
-// One relay process with its lasting folder.
+// One relay process with its folders, which are removed with this object. Its log is kept in memory.
 class RelayProcess {
  public:
-  explicit RelayProcess(World& world);
+  explicit RelayProcess(StubServices& stubs);
   ~RelayProcess();
   RelayProcess(const RelayProcess&) = delete;
   RelayProcess& operator=(const RelayProcess&) = delete;
 
-  nlohmann::json config;  // to be changed before Start
+  nlohmann::json config;  // written to the configuration file by Spawn
   std::map<std::string, std::string> environment;
   std::vector<std::string> arguments;
-  std::function<void()> in_child;  // before the program starts: limits of the system
+  std::function<void()> in_child;  // called after the fork, such as for setrlimit
 
-  void Start();  // until it answers PING
+  void Start();  // returns once it answers PING
   void Signal(int number) const;
-  // SIGSTOP, until the process stands; what is done meanwhile waits for it, all at once, when it goes on.
-  void Halt();
-  void UntilStopped();
-  void GoOn() const { Signal(SIGCONT); }
-  void Reload(const std::string& text) const;  // replaces the configuration file, then SIGHUP
-  int WaitForEnd();                            // its exit code, or minus the signal
-  int Ended(int status);                       // the same of one that the test has waited for
-  std::string RunToEnd(int* code);             // one that can't start: what it wrote to standard error
-  // The clients' listening socket, held by the test and inherited as descriptor 5; null: it listens itself.
-  const Socket* held = nullptr;
-  int port() const { return held != nullptr ? held->port() : port_; }
-  void Spawn();  // without waiting for anything
-  void UntilLog(const std::string& text);
-  void Use(const std::string& state) { state_ = state; }  // another one's folder
+  // Sends SIGSTOP and waits until the process is suspended. On SIGCONT it finds all that arrived meanwhile at
+  // once.
+  void Suspend();
+  void WaitUntilSuspended();
+  void Resume() const { Signal(SIGCONT); }
+  void Reload(const std::string& text) const;  // replaces the configuration file and sends SIGHUP
+  int WaitForExit();                           // returns the exit code, or minus the signal number
+  int MarkExited(int status);                  // the same, for a status from the test's own waitpid()
+  std::string RunToExit(int* code);            // for one that can't start; returns its output
+  // The listening socket for clients, which the process inherits as descriptor 5; null: it opens its own.
+  const Socket* inherited_listener = nullptr;
+  int port() const { return inherited_listener != nullptr ? inherited_listener->port() : port_; }
+  void Spawn();  // starts the program without waiting for it
+  void WaitForLog(const std::string& text);
+  void UseStateFolder(const std::string& state) { state_ = state; }  // that of another process
   const std::string& state() const { return state_; }
   const std::string& folder() const { return folder_; }
   pid_t pid() const { return pid_; }
-  const std::string& log();  // what it has written so far
-  long DrainMs();            // of one that has ended: from SIGTERM to its last look
+  const std::string& log();  // all output so far, of standard output and error
+  long DrainMs();            // after the exit: milliseconds from SIGTERM to its last check
 
  private:
-  World& world_;
+  StubServices& stubs_;
   std::string folder_, state_, log_;
-  Socket reserved_;  // keeps the port from others while no relay listens
-  int output_ = -1;  // of the process, a pipe
+  Socket port_reservation_;  // bound without listening, so that nobody else gets the port
+  int output_fd_ = -1;       // read end of the pipe for the process's output
   int port_ = 0;
   pid_t pid_ = -1;
 };
 
+// A client connection to a relay.
 class Client {
  public:
   explicit Client(const RelayProcess& relay) : socket_(Socket::Connect(relay.port())) {}
-  // The bytes of MSG.PUT.
-  static std::string PutText(const std::string& id, const std::string& body, int ms,
-                             const std::string& values);
-  // Sends MSG.PUT; `values` is added to class, time and destination.
+  // Returns the bytes of a MSG.PUT command; `ms` is the message's deadline.
+  static std::string PutCommand(const std::string& id, const std::string& body, int ms,
+                                const std::string& values);
+  // Sends MSG.PUT; `values` is appended to the attributes for class and deadline.
   void Put(const std::string& id, const std::string& body = "hello", int ms = 8000,
            const std::string& values = ",k=key1,dest=7") const;
-  std::string Line();  // the next line of an answer; empty if the relay closed instead
-  // It has closed over bytes that it had not read: the client's to send once more.
-  bool unread() const { return error_ != 0; }
-  // The next answer to MSG.PUT is a word on it, or the relay has ended without having read it.
-  bool AnsweredOrUnread();
+  std::string ReadLine();  // the next line of an answer; empty if the connection was closed
+  // Whether the relay closed the connection with unread bytes, which resets it; the client then sends them
+  // again.
+  bool was_reset() const { return error_ != 0; }
+  // Whether the next line answers MSG.PUT with +OK or -BUSY, or the connection was reset without an answer.
+  bool AnsweredOrReset();
+  // Sends a command and returns the first line of its answer.
   std::string Ask(const std::string& command);
-  // The counters as INFO tells them.
+  // The counters that INFO returns, by name.
   std::map<std::string, long> Counters();
   Socket& socket() { return socket_; }
 
--- a/tests/relay/tracer.cpp
+++ b/tests/relay/tracer.cpp
@@ -14,35 +14,35 @@
 
 namespace oxbowspread::testing {
 
-Tracer::Tracer(World& world, pid_t pid) : world_(world), pid_(pid) {
+Tracer::Tracer(StubServices& stubs, pid_t pid) : stubs_(stubs), pid_(pid) {
   REQUIRE(ptrace(PTRACE_SEIZE, pid_, nullptr, PTRACE_O_TRACESYSGOOD) == 0);
   REQUIRE(ptrace(PTRACE_INTERRUPT, pid_, nullptr, nullptr) == 0);
-  held_ = true;
+  attached_ = true;
   int status = 0;
-  Await(&status);
+  WaitForStop(&status);
   REQUIRE(WIFSTOPPED(status));
 }
 
-void Tracer::Await(int* status) {
+void Tracer::WaitForStop(int* status) {
   const auto until = Clock::now() + 8s;
   while (waitpid(pid_, status, WNOHANG) != pid_) {
-    if (Clock::now() > until) FAIL("the traced process does not stop");
-    world_.ServeFor(1ms);
+    if (Clock::now() > until) FAIL("the traced process did not stop in time");
+    stubs_.ServeFor(1ms);
   }
 }
 
-void Tracer::Until(const std::function<bool(const Call&)>& wanted) {
+void Tracer::RunUntil(const std::function<bool(const Call&)>& wanted) {
   Call call;
   while (true) {
-    REQUIRE(ptrace(PTRACE_SYSCALL, pid_, nullptr, std::exchange(signal_, 0)) == 0);
+    REQUIRE(ptrace(PTRACE_SYSCALL, pid_, nullptr, std::exchange(pending_signal_, 0)) == 0);
     int status = 0;
-    Await(&status);
-    if (!WIFSTOPPED(status)) held_ = false;
+    WaitForStop(&status);
+    if (!WIFSTOPPED(status)) attached_ = false;
     REQUIRE(WIFSTOPPED(status));
-    const int stop = WSTOPSIG(status);
-    if ((status >> 16) != 0) continue;  // a stop of tracing itself
-    if (stop != (SIGTRAP | 0x80)) {
-      signal_ = stop;
+    const int stop_signal = WSTOPSIG(status);
+    if ((status >> 16) != 0) continue;  // a ptrace event, neither a system call nor a signal
+    if (stop_signal != (SIGTRAP | 0x80)) {
+      pending_signal_ = stop_signal;
       continue;
     }
     __ptrace_syscall_info info{};
@@ -58,32 +58,32 @@
   }
 }
 
-void Tracer::UntilJournalled(int records) {
-  Until([&](const Call& call) {
+void Tracer::RunUntilJournalWrites(int records) {
+  RunUntil([&](const Call& call) {
     const bool written = call.number == SYS_write && call.done && call.result > 0;
     if (written && FileOf(call.fd).ends_with("/journal")) records -= 1;
     return records == 0;
   });
 }
 
-void Tracer::UntilReceivedFrom(int port) {
-  Until([&](const Call& call) {
-    return call.number == SYS_recvfrom && call.done && call.result > 1 && PeerOf(call.fd) == port;
+void Tracer::RunUntilReceivedFrom(int port) {
+  RunUntil([&](const Call& call) {
+    return call.number == SYS_recvfrom && call.done && call.result > 1 && RemotePortOf(call.fd) == port;
   });
 }
 
-void Tracer::UntilWaiting(const std::function<bool()>& holds) {
-  Until([&](const Call& call) {
-    bool waits = call.number == SYS_epoll_pwait;
+void Tracer::RunUntilWaiting(const std::function<bool()>& condition) {
+  RunUntil([&](const Call& call) {
+    bool is_epoll_wait = call.number == SYS_epoll_pwait;
 #ifdef SYS_epoll_wait
-    waits = waits || call.number == SYS_epoll_wait;
+    is_epoll_wait = is_epoll_wait || call.number == SYS_epoll_wait;
 #endif
-    return waits && !call.done && holds();
+    return is_epoll_wait && !call.done && condition();
   });
 }
 
 void Tracer::Detach() {
-  if (std::exchange(held_, false)) ptrace(PTRACE_DETACH, pid_, nullptr, signal_);
+  if (std::exchange(attached_, false)) ptrace(PTRACE_DETACH, pid_, nullptr, pending_signal_);
 }
 
 std::string Tracer::FileOf(int fd) const {
@@ -93,17 +93,18 @@
   return size > 0 ? std::string(path, static_cast<std::size_t>(size)) : std::string();
 }
 
-// By the system's table: "socket:[inode]" of the descriptor, and the peer of that inode.
-int Tracer::PeerOf(int fd) const {
+// Finds the socket's inode in the kernel's table of TCP connections.
+int Tracer::RemotePortOf(int fd) const {
   const std::string file = FileOf(fd);
   std::ifstream table("/proc/net/tcp");
   std::string line;
   while (std::getline(table, line)) {
-    unsigned peer = 0;
+    unsigned remote_port = 0;
     unsigned long inode = 0;
-    const int found =
-        std::sscanf(line.c_str(), " %*d: %*x:%*x %*x:%x %*x %*x:%*x %*x:%*x %*x %*d %*d %lu", &peer, &inode);
-    if (found == 2 && file == "socket:[" + std::to_string(inode) + "]") return static_cast<int>(peer);
+    const int parsed_fields = std::sscanf(
+        line.c_str(), " %*d: %*x:%*x %*x:%x %*x %*x:%*x %*x:%*x %*x %*d %*d %lu", &remote_port, &inode);
+    if (parsed_fields == 2 && file == "socket:[" + std::to_string(inode) + "]")
+      return static_cast<int>(remote_port);
   }
   return 0;
 }
--- a/tests/relay/tracer.hpp
+++ b/tests/relay/tracer.hpp
@@ -1,5 +1,5 @@
-// A relay process stopped between two of its system calls (ptrace), so that signals and ends of the process
-// meet it at just that point.
+// Stops a relay process at a chosen system call (ptrace), so that signals and kills reach it at exactly that
+// point.
 #pragma once
 
 #include <functional>
@@ -9,42 +9,44 @@
 
 namespace oxbowspread::testing {
 
+// Traces a process from construction to Detach() or destruction.
 class Tracer {
  public:
-  // A call of the system, before it is made or with its result.
+  // A system call at its entry (`done` is false) or its exit.
   struct Call {
     long number = -1;
-    int fd = -1;  // its first argument; of one that opens a file, once done, the file
+    int fd = -1;  // the first argument; for a completed openat, the new descriptor
     bool done = false;
     long result = 0;
   };
 
-  // Takes hold of the process, which stops until the first Until; the world is served meanwhile.
-  Tracer(World& world, pid_t pid);
+  // Attaches to the process and stops it until the first RunUntil. `stubs` is served during all waits.
+  Tracer(StubServices& stubs, pid_t pid);
   ~Tracer() { Detach(); }
   Tracer(const Tracer&) = delete;
   Tracer& operator=(const Tracer&) = delete;
 
-  // Lets it run to where that holds, and stops it there. Fails the test if it ends before.
-  void Until(const std::function<bool(const Call&)>& wanted);
-  // A record has been written to the journal, so many of them from now on.
-  void UntilJournalled(int records);
-  // Bytes have been received on a connection that the process opened to that port.
-  void UntilReceivedFrom(int port);
-  // It is about to wait for what comes, and that holds.
-  void UntilWaiting(const std::function<bool()>& holds);
-  // It goes on, free.
+  // Lets the process run to the first system call for which `wanted` holds, and stops it there. Fails the
+  // test if the process ends before.
+  void RunUntil(const std::function<bool(const Call&)>& wanted);
+  // Runs until this many more journal records have been written.
+  void RunUntilJournalWrites(int records);
+  // Runs until bytes have been received on a connection that the process opened to that port.
+  void RunUntilReceivedFrom(int port);
+  // Runs until the process is about to wait in epoll while the condition holds.
+  void RunUntilWaiting(const std::function<bool()>& condition);
+  // Ends the tracing; the process runs on.
   void Detach();
-  std::string FileOf(int fd) const;  // the path, or "socket:[inode]"
+  std::string FileOf(int fd) const;  // path of a descriptor's file, or "socket:[inode]"
 
  private:
-  int PeerOf(int fd) const;  // its port
-  void Await(int* status);
+  int RemotePortOf(int fd) const;  // the remote port of a socket; 0 if unknown
+  void WaitForStop(int* status);
 
-  World& world_;
+  StubServices& stubs_;
   pid_t pid_;
-  bool held_ = false;
-  int signal_ = 0;  // one that came and is passed on
+  bool attached_ = false;
+  int pending_signal_ = 0;  // received while stopped, to be delivered to the process next
 };
 
 }  // namespace oxbowspread::testing
