--- a/tests/relay/client_crossing_test.cpp
+++ b/tests/relay/client_crossing_test.cpp
@@ -11,7 +11,7 @@
 
 // The MSG.PUT command of a message with that id.
 std::string Put(const std::string& id) {
-  return Client::PutText(id, "hello", 8000, ",k=key-" + id + ",dest=7");
+  return Client::PutCommand(id, "hello", 8000, ",k=key-" + id + ",dest=7");
 }
 const char* const kPing = "*1\r\n$4\r\nPING\r\n";
 bool IsAnswer(const std::string& line) { return line == "+OK" || line.substr(0, 5) == "-BUSY"; }
@@ -26,43 +26,43 @@
 }
 
 TEST_CASE("SIGTERM with half a request read: the request is answered once it is complete") {
-  Crossing fixture;
+  RelayFixture fixture;
   fixture.relay.Start();
   const std::string whole = Put("early"), late = Put("late");
   Client hung(fixture.relay), first(fixture.relay), second(fixture.relay);
   hung.Put("hung");
-  REQUIRE(hung.Line() == "+OK");
-  fixture.world.NextCall();
+  REQUIRE(hung.ReadLine() == "+OK");
+  fixture.stubs.NextCall();
   first.socket().Send(whole.substr(0, whole.size() / 2));
-  first.socket().UntilTaken();
+  first.socket().WaitUntilAcknowledged();
   REQUIRE(second.Ask(kPing) == "+PONG");
   fixture.relay.Signal(SIGTERM);
-  fixture.relay.UntilLog("draining");
+  fixture.relay.WaitForLog("draining");
   first.socket().Send(whole.substr(whole.size() / 2));
-  CHECK(first.Line() == "+OK");
-  fixture.world.Answer(fixture.world.NextCall(), "200 OK");
-  fixture.Pass(1500ms);
+  CHECK(first.ReadLine() == "+OK");
+  fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
+  fixture.WaitFor(1500ms);
   second.socket().Send(late.substr(0, 20));
-  fixture.relay.UntilLog("settling");
+  fixture.relay.WaitForLog("settling");
   second.socket().Send(late.substr(20));
   // No new call begins by now: a client whose message is not accepted is told so, and its connection is
   // closed without a reset.
-  const std::string answer = second.Line();
-  CHECK((answer.substr(0, 5) == "-BUSY" || second.unread()));
+  const std::string answer = second.ReadLine();
+  CHECK((answer.substr(0, 5) == "-BUSY" || second.was_reset()));
   if (!answer.empty()) {
-    CHECK(second.Line().empty());
-    CHECK_FALSE(second.unread());
+    CHECK(second.ReadLine().empty());
+    CHECK_FALSE(second.was_reset());
   }
-  CHECK(fixture.relay.WaitForEnd() == 0);
-  fixture.UnreadOnlyAtTheEnd(second);
-  CHECK_FALSE(fixture.world.CallWithin(0ms));
+  CHECK(fixture.relay.WaitForExit() == 0);
+  fixture.CheckResetOnlyAtExit(second);
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(0ms));
 }
 
 // Whenever SIGKILL follows SIGTERM, a message that was answered +OK is delivered by this process or the next.
 TEST_CASE("messages accepted between SIGTERM and SIGKILL are delivered or attempted again") {
   for (const auto time_to_kill : {100ms, 900ms, 2500ms}) {
     INFO(time_to_kill.count());
-    Crossing fixture;
+    RelayFixture fixture;
     fixture.relay.Start();
     std::vector<Client> clients;
     for (int i = 0; i < 8; ++i) {
@@ -70,13 +70,13 @@
       REQUIRE(clients.back().Ask(kPing) == "+PONG");
     }
     fixture.relay.Signal(SIGTERM);
-    fixture.relay.UntilLog("draining");
+    fixture.relay.WaitForLog("draining");
     std::set<std::string> accepted, delivered;
     const auto answer_calls = [&] {
-      while (fixture.world.CallWithin(0ms)) {
-        const HttpRequest call = fixture.world.NextCall();
+      while (fixture.stubs.CallArrivesWithin(0ms)) {
+        const HttpRequest call = fixture.stubs.NextCall();
         delivered.insert(call.id());
-        fixture.world.Answer(call, "200 OK");
+        fixture.stubs.Answer(call, "200 OK");
       }
     };
     const auto until = Clock::now() + time_to_kill;
@@ -84,7 +84,7 @@
       for (std::size_t i = 0; i < clients.size(); ++i) {
         const std::string id = std::to_string(round) + "-" + std::to_string(i);
         clients[i].socket().Send(Put(id));
-        const std::string line = clients[i].Line();
+        const std::string line = clients[i].ReadLine();
         REQUIRE(IsAnswer(line));
         if (line == "+OK") accepted.insert(id);
       }
@@ -94,13 +94,13 @@
     for (std::size_t i = 0; i < clients.size(); ++i)
       clients[i].socket().Send(Put("last-" + std::to_string(i)));
     fixture.relay.Signal(SIGKILL);
-    CHECK(fixture.relay.WaitForEnd() == -SIGKILL);
+    CHECK(fixture.relay.WaitForExit() == -SIGKILL);
     for (std::size_t i = 0; i < clients.size(); ++i) {
-      if (clients[i].Line() == "+OK") accepted.insert("last-" + std::to_string(i));
+      if (clients[i].ReadLine() == "+OK") accepted.insert("last-" + std::to_string(i));
     }
     clients.clear();
     fixture.relay.Start();
-    fixture.world.Until([&] {
+    fixture.stubs.WaitUntil([&] {
       answer_calls();
       Client watcher(fixture.relay);
       return watcher.Counters()["held"] == 0;
@@ -109,41 +109,41 @@
     for (const std::string& id : accepted) CHECK(delivered.count(id) == 1);
     // Calls whose answers were lost with the kill may have run and are repeated while the retry budget lasts.
     // No other message may end undeliverable.
-    for (const auto& [id, notice] : fixture.world.notices) CHECK(delivered.count(id) == 1);
+    for (const auto& [id, notice] : fixture.stubs.notices) CHECK(delivered.count(id) == 1);
   }
 }
 
 // At the connection limit the idle client is closed, and its answers have reached it.
 TEST_CASE("a client closed to make room has its answer and a request it sends meanwhile is not processed") {
-  Crossing fixture;
+  RelayFixture fixture;
   fixture.relay.config["limits"]["sockets"] = 64;  // 19 clients
   fixture.relay.Start();
   Client idle(fixture.relay), watcher(fixture.relay);
   idle.Put("id-1");
-  idle.socket().UntilTaken();
+  idle.socket().WaitUntilAcknowledged();
   // Its answer stays unread in the receive buffer of the client.
-  fixture.world.Answer(fixture.world.NextCall(), "200 OK");
-  fixture.UntilCount(watcher, "delivered", 1);
+  fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
+  fixture.WaitForCounter(watcher, "delivered", 1);
   std::vector<Client> others;
-  fixture.world.Until([&] {
+  fixture.stubs.WaitUntil([&] {
     others.emplace_back(fixture.relay);
     REQUIRE(others.back().Ask(kPing) == "+PONG");
     return watcher.Counters()["clients_evicted"] >= 1;
   });
   idle.Put("id-2");
-  CHECK(idle.Line() == "+OK");
-  CHECK(idle.Line().empty());  // closed: the second request was not read, the client has to repeat it
+  CHECK(idle.ReadLine() == "+OK");
+  CHECK(idle.ReadLine().empty());  // closed: the second request was not read, the client has to repeat it
   const long authorisations = watcher.Counters()["authorisations"];
   CHECK(authorisations == 1);
-  CHECK_FALSE(fixture.world.CallWithin(0ms));
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(0ms));
   Client reconnected(fixture.relay);
   reconnected.Put("id-2");
-  CHECK(reconnected.Line() == "+OK");
-  CHECK(fixture.world.NextCall().id() == "id-2");
+  CHECK(reconnected.ReadLine() == "+OK");
+  CHECK(fixture.stubs.NextCall().id() == "id-2");
 }
 
 TEST_CASE("a client that repeatedly sends thousands of requests and disconnects does not affect others") {
-  Crossing fixture;
+  RelayFixture fixture;
   fixture.relay.environment["ASAN_OPTIONS"] = "quarantine_size_mb=1:malloc_context_size=2";
   fixture.relay.Start();
   Client unaffected(fixture.relay);
@@ -161,8 +161,8 @@
     }
     flood.Reset();
     // Some of its messages were accepted by then; none of them waits for the client, which has disconnected.
-    fixture.world.Until([&] {
-      while (fixture.world.CallWithin(0ms)) fixture.world.Answer(fixture.world.NextCall(), "200 OK");
+    fixture.stubs.WaitUntil([&] {
+      while (fixture.stubs.CallArrivesWithin(0ms)) fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
       return unaffected.Counters()["held"] == 0;
     });
     resident_mb = ResidentMb(fixture.relay.pid());
@@ -171,19 +171,19 @@
   INFO(resident_after_four_mb << " MB after four rounds, " << resident_mb << " MB after eight");
   CHECK(resident_mb < resident_after_four_mb + 4);
   unaffected.Put("mine");
-  CHECK(unaffected.Line() == "+OK");
-  CHECK(fixture.world.NextCall().id() == "mine");
+  CHECK(unaffected.ReadLine() == "+OK");
+  CHECK(fixture.stubs.NextCall().id() == "mine");
 }
 
 TEST_CASE("a request sent byte by byte is refused within 3 s and another client is served") {
-  Crossing fixture;
+  RelayFixture fixture;
   fixture.relay.Start();
   Client slow(fixture.relay);
   const std::string request = Put("drip");
   const auto started_at = Clock::now();
   std::size_t sent = 0;
   std::string answer;
-  fixture.world.Until([&] {
+  fixture.stubs.WaitUntil([&] {
     const auto due = static_cast<std::size_t>((Clock::now() - started_at) / 200ms) + 1;
     while (sent < due && sent < request.size()) slow.socket().Send(request.substr(sent++, 1));
     answer += slow.socket().Receive(0ms);
@@ -197,29 +197,29 @@
 }
 
 TEST_CASE("clients that retry at once after -BUSY are answered each time and others are served") {
-  Crossing fixture;
+  RelayFixture fixture;
   fixture.relay.config["settings"]["limits"]["max-open"] = 1;
   fixture.relay.Start();
   Client holder(fixture.relay), unaffected(fixture.relay);
   holder.Put("held");
-  REQUIRE(holder.Line() == "+OK");
-  const HttpRequest call = fixture.world.NextCall();
+  REQUIRE(holder.ReadLine() == "+OK");
+  const HttpRequest call = fixture.stubs.NextCall();
   std::vector<Client> retrying;
   for (int i = 0; i < 20; ++i) retrying.emplace_back(fixture.relay);
   for (int round = 0; round < 50; ++round) {
     for (std::size_t i = 0; i < retrying.size(); ++i) {
       retrying[i].socket().Send(Put(std::to_string(round) + "-" + std::to_string(i)));
     }
-    for (Client& client : retrying) REQUIRE(client.Line().substr(0, 6) == "-BUSY ");
+    for (Client& client : retrying) REQUIRE(client.ReadLine().substr(0, 6) == "-BUSY ");
     const auto asked_at = Clock::now();
     CHECK(unaffected.Ask(kPing) == "+PONG");
     CHECK(Clock::now() - asked_at < 400ms);
   }
   CHECK(unaffected.Counters()["busy_full"] == 1000);
-  fixture.world.Answer(call, "200 OK");
-  fixture.UntilCount(unaffected, "delivered", 1);
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(unaffected, "delivered", 1);
   retrying.front().Put("now");
-  CHECK(retrying.front().Line() == "+OK");
+  CHECK(retrying.front().ReadLine() == "+OK");
 }
 
 // Guards against notices after the client's deadline, as the soak test found them with seed 7300011 in 2 of
@@ -228,20 +228,20 @@
 // that it gave up the call to a silent host and sent the notice 0.368 s after the client's deadline; 0.35 s
 // are allowed. X-Timeout tells how long the relay will wait, which must not be long past the client's
 // deadline.
-struct UnreadMessage : Crossing {
+struct UnreadMessage : RelayFixture {
   static constexpr int kDeadlineMs = 1500, kToleranceMs = 100;
   Clock::time_point sent_at{};
 
   // Keeps the relay suspended for nearly all of the 0.4 s that a client waits for its answer.
   void LeaveUnread() {
     sent_at = Clock::now();
-    Pass(380ms);
+    WaitFor(380ms);
   }
   // Resumes the relay and checks the time limit of the call for that message.
   void CheckCallEndsInTime(const std::string& id) {
     const auto unread_ms = std::chrono::floor<std::chrono::milliseconds>(Clock::now() - sent_at).count();
-    relay.GoOn();
-    const HttpRequest call = world.NextCall();
+    relay.Resume();
+    const HttpRequest call = stubs.NextCall();
     REQUIRE(call.id() == id);
     CHECK(std::stol(call.headers.at("x-timeout")) + unread_ms <= kDeadlineMs + kToleranceMs);
   }
@@ -252,7 +252,7 @@
   fixture.relay.Start();
   Client client(fixture.relay);
   REQUIRE(client.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
-  fixture.relay.Halt();
+  fixture.relay.Suspend();
   client.Put("id-1", "hello", UnreadMessage::kDeadlineMs);
   fixture.LeaveUnread();
   fixture.CheckCallEndsInTime("id-1");
@@ -261,7 +261,7 @@
 TEST_CASE("a message on a connection in the backlog of a suspended relay ends by its client's deadline") {
   UnreadMessage fixture;
   fixture.relay.Start();
-  fixture.relay.Halt();
+  fixture.relay.Suspend();
   Client client(fixture.relay);
   client.Put("id-1", "hello", UnreadMessage::kDeadlineMs);
   fixture.LeaveUnread();
@@ -273,7 +273,7 @@
   fixture.relay.Start();
   Client client(fixture.relay);
   REQUIRE(client.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
-  fixture.relay.Halt();
+  fixture.relay.Suspend();
   client.Put("id-1", "hello", UnreadMessage::kDeadlineMs);
   fixture.LeaveUnread();
   for (const int signal : {SIGUSR1, SIGHUP}) fixture.relay.Signal(signal);
@@ -282,15 +282,15 @@
 
 TEST_CASE("a message that was unread behind another one in a suspended relay ends by its client's deadline") {
   UnreadMessage fixture;
-  fixture.world.AddHost("b", 8);
+  fixture.stubs.AddHost("b", 8);
   fixture.relay.Start();
   Client client(fixture.relay);
   REQUIRE(client.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
-  fixture.relay.Halt();
+  fixture.relay.Suspend();
   // The host of the first message refuses connections, so that the only call is for the second message.
-  fixture.world.Stop("b");
-  client.socket().Send(Client::PutText("id-0", "hello", 8000, ",k=key0,dest=8") +
-                       Client::PutText("id-1", "hello", UnreadMessage::kDeadlineMs, ",k=key1,dest=7"));
+  fixture.stubs.StopHost("b");
+  client.socket().Send(Client::PutCommand("id-0", "hello", 8000, ",k=key0,dest=8") +
+                       Client::PutCommand("id-1", "hello", UnreadMessage::kDeadlineMs, ",k=key1,dest=7"));
   fixture.LeaveUnread();
   fixture.CheckCallEndsInTime("id-1");
 }
@@ -302,7 +302,7 @@
     "a message in the backlog of a suspended relay behind many connections ends by its client's deadline") {
   UnreadMessage fixture;
   fixture.relay.Start();
-  fixture.relay.Halt();
+  fixture.relay.Suspend();
   std::deque<Client> connections;
   for (int i = 0; i < 320; ++i) connections.emplace_back(fixture.relay);
   Client client(fixture.relay);
@@ -312,11 +312,11 @@
 }
 
 TEST_CASE("a message that is read at once keeps its whole deadline") {
-  Crossing fixture;
+  RelayFixture fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
   client.Put("id-1", "hello", 1500);
-  CHECK(std::stol(fixture.world.NextCall().headers.at("x-timeout")) > 1000);
+  CHECK(std::stol(fixture.stubs.NextCall().headers.at("x-timeout")) > 1000);
 }
 
 }  // namespace
--- a/tests/relay/endpoint_crossing_test.cpp
+++ b/tests/relay/endpoint_crossing_test.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 // Two hosts of one destination in two zones, and another destination with one host.
-struct TwoZones : Crossing {
+struct TwoZones : RelayFixture {
   TwoZones() {
-    world.AddHost("b", 7, "east-room");
-    world.AddHost("lone", 9);
+    stubs.AddHost("b", 7, "east-room");
+    stubs.AddHost("lone", 9);
   }
   // Hands in a message and returns the call for it, which is still to be answered.
   HttpRequest HandIn(Client& client, const std::string& id, const std::string& body = "hello",
                      int destination = 7) {
     client.Put(id, body, 8000, ",k=key-" + id + ",dest=" + std::to_string(destination));
-    REQUIRE(client.Line() == "+OK");
-    return world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    return stubs.NextCall();
   }
 };
 
@@ -30,35 +30,35 @@
   fixture.relay.Start();
   Client client(fixture.relay);
   const HttpRequest call = fixture.HandIn(client, "id-1");
-  const std::string host = fixture.world.HostOf(call);
-  fixture.Pass(1200ms);
+  const std::string host = fixture.stubs.HostOf(call);
+  fixture.WaitFor(1200ms);
   call.from->Reset();
-  const HttpRequest repeat = fixture.world.NextCall();
+  const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "id-1");
-  CHECK(fixture.world.HostOf(repeat) == host);
+  CHECK(fixture.stubs.HostOf(repeat) == host);
   CHECK(repeat.headers.at("idempotency-key") == "key-id-1");
-  fixture.world.Answer(repeat, "200 OK");
-  fixture.UntilCount(client, "delivered", 1);
+  fixture.stubs.Answer(repeat, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["reset"] == 1);
 }
 
 // The relay has written part of the call, and the kernel's send buffer is full.
 TEST_CASE("a call reset before its last byte never ran and may be repeated anywhere") {
-  Crossing fixture;
+  RelayFixture fixture;
   Socket slow = Socket::Listen();
-  slow.Narrow(2048);
-  slow.Segment(536);
-  fixture.world.AddHost("slow", 8);
-  fixture.world.SetPort("slow", slow.port());
+  slow.SetReceiveBufferSize(2048);
+  slow.SetMaxSegmentSize(536);
+  fixture.stubs.AddHost("slow", 8);
+  fixture.stubs.SetPort("slow", slow.port());
   fixture.relay.Start();
   Client client(fixture.relay);
   client.Put("id-1", std::string(60'000, 'x'), 8000, ",k=key1,dest=8");
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   Socket first = slow.Accept(5s);
   REQUIRE(first.fd() >= 0);
   REQUIRE_FALSE(first.Receive(5s).empty());
   first.Reset();
-  fixture.UntilCount(client, "no_connection", 1);
+  fixture.WaitForCounter(client, "no_connection", 1);
   CHECK(client.Counters()["reset"] == 0);
   // It certainly never ran, so the next attempt is bound neither to a zone nor to the repeat window.
   const Socket second = slow.Accept(5s);
@@ -67,37 +67,37 @@
 
 TEST_CASE(
     "a late connection carries its call once and one that is never established is replaced by another") {
-  Crossing fixture;
-  Narrow narrow(fixture.world, "narrow", 8);
+  RelayFixture fixture;
+  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
   fixture.relay.config["settings"]["limits"]["connect-timeout-s"] = 2.5;
   fixture.relay.Start();
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
-  narrow.Fill();
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
+  narrow.FillBacklog();
   Client client(fixture.relay);
   client.Put("late", "hello", 8000, ",k=key1,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  fixture.UntilCount(client, "legs", 1);
-  const Socket late = narrow.AcceptLate();  // the kernel repeats the connection request after 1 s
+  REQUIRE(client.ReadLine() == "+OK");
+  fixture.WaitForCounter(client, "legs", 1);
+  const Socket late = narrow.AcceptRelayConnection();  // the kernel repeats the connection request after 1 s
   REQUIRE(late.fd() >= 0);
   CHECK(late.Receive(5s).find("late") != std::string::npos);
   late.Send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-  fixture.UntilCount(client, "delivered", 1);
+  fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["legs"] == 1);
   // From here on no connection to the narrow host is accepted.
-  narrow.Fill();
-  fixture.world.AddHost("open", 8, "east-room");
-  fixture.world.SetState("open", "Ready");
-  fixture.UntilCount(client, "list_changes", 3);
-  fixture.world.SetState("open", "Terminating");
-  fixture.UntilCount(client, "list_changes", 4);
+  narrow.FillBacklog();
+  fixture.stubs.AddHost("open", 8, "east-room");
+  fixture.stubs.SetState("open", "Ready");
+  fixture.WaitForCounter(client, "list_changes", 3);
+  fixture.stubs.SetState("open", "Terminating");
+  fixture.WaitForCounter(client, "list_changes", 4);
   client.Put("never", "hello", 8000, ",k=key2,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  fixture.UntilCount(client, "legs", 2);
-  fixture.world.SetState("open", "Ready");
-  const HttpRequest call = fixture.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  fixture.WaitForCounter(client, "legs", 2);
+  fixture.stubs.SetState("open", "Ready");
+  const HttpRequest call = fixture.stubs.NextCall();
   CHECK(call.id() == "never");
-  fixture.world.Answer(call, "200 OK");
-  fixture.UntilCount(client, "delivered", 2);
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 2);
   CHECK(client.Counters()["no_connection"] == 1);
 }
 
@@ -110,12 +110,12 @@
   // The call tells how long the relay waits for its answer.
   const long waits_ms = std::stol(call.headers.at("x-timeout"));
   REQUIRE(waits_ms < 7000);
-  fixture.relay.Halt();
-  fixture.world.Answer(call, "429 Full", "Retry-After: 0.2\r\n");
-  call.from->UntilTaken();
-  fixture.Pass(std::chrono::milliseconds(waits_ms + 100));
-  fixture.relay.GoOn();
-  fixture.UntilCount(client, "refused", 1);
+  fixture.relay.Suspend();
+  fixture.stubs.Answer(call, "429 Full", "Retry-After: 0.2\r\n");
+  call.from->WaitUntilAcknowledged();
+  fixture.WaitFor(std::chrono::milliseconds(waits_ms + 100));
+  fixture.relay.Resume();
+  fixture.WaitForCounter(client, "refused", 1);
   CHECK(client.Counters()["timed_out"] == 0);
 }
 
@@ -130,11 +130,11 @@
     Client client(relay);
     const HttpRequest first = HandIn(client, "id-1");
     end(first);
-    const HttpRequest second = world.NextCall(8s);
-    CHECK(first.from->Ended());
+    const HttpRequest second = stubs.NextCall(8s);
+    CHECK(first.from->IsClosed());
     CHECK(second.id() == "id-1");
-    world.Answer(second, "200 OK");
-    UntilCount(client, "delivered", 1);
+    stubs.Answer(second, "200 OK");
+    WaitForCounter(client, "delivered", 1);
   }
 };
 
@@ -161,13 +161,13 @@
   {
     Client client(fixture.relay);
     const HttpRequest call = fixture.HandIn(client, "id-1");
-    fixture.relay.Halt();
+    fixture.relay.Suspend();
     fixture.relay.Signal(SIGTERM);
-    fixture.world.Answer(call, "200 OK");
-    call.from->UntilTaken();
-    fixture.relay.GoOn();
+    fixture.stubs.Answer(call, "200 OK");
+    call.from->WaitUntilAcknowledged();
+    fixture.relay.Resume();
   }
-  CHECK(fixture.relay.WaitForEnd() == 0);
+  CHECK(fixture.relay.WaitForExit() == 0);
   fixture.relay.Start();
   Client client(fixture.relay);
   CHECK(client.Counters()["recovered"] == 0);
@@ -185,17 +185,17 @@
     call = fixture.HandIn(client, "id-1");
   }
   fixture.relay.Signal(SIGTERM);
-  fixture.relay.UntilLog("draining");
-  Tracer tracer(fixture.world, fixture.relay.pid());
-  tracer.UntilWaiting([&] { return fixture.relay.log().find("settling") != std::string::npos; });
+  fixture.relay.WaitForLog("draining");
+  Tracer tracer(fixture.stubs, fixture.relay.pid());
+  tracer.RunUntilWaiting([&] { return fixture.relay.log().find("settling") != std::string::npos; });
   fixture.relay.Signal(SIGSTOP);
   tracer.Detach();
-  fixture.relay.UntilStopped();
-  fixture.Pass(600ms);
-  fixture.world.Answer(call, "200 OK");
-  call.from->UntilTaken();
-  fixture.relay.GoOn();
-  CHECK(fixture.relay.WaitForEnd() == 0);
+  fixture.relay.WaitUntilSuspended();
+  fixture.WaitFor(600ms);
+  fixture.stubs.Answer(call, "200 OK");
+  call.from->WaitUntilAcknowledged();
+  fixture.relay.Resume();
+  CHECK(fixture.relay.WaitForExit() == 0);
   fixture.relay.Start();
   Client client(fixture.relay);
   CHECK(client.Counters()["recovered"] == 0);
@@ -207,28 +207,28 @@
   fixture.relay.Start();
   Client client(fixture.relay);
   const HttpRequest first = fixture.HandIn(client, "id-1", "hello", 9);
-  fixture.world.Answer(first, "200 OK");
-  fixture.UntilCount(client, "delivered", 1);
-  fixture.Pass(50ms);  // until the connection is idle again
+  fixture.stubs.Answer(first, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
+  fixture.WaitFor(50ms);  // until the connection is idle again
   for (const std::string& stray :
        {std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), std::string("H")}) {
     const long delivered = client.Counters()["delivered"];
     const HttpRequest call = fixture.HandIn(client, "call-" + std::to_string(stray.size()), "hello", 9);
-    fixture.world.Answer(call, "200 OK");
-    fixture.UntilCount(client, "delivered", delivered + 1);
-    fixture.Pass(50ms);
-    fixture.relay.Halt();
+    fixture.stubs.Answer(call, "200 OK");
+    fixture.WaitForCounter(client, "delivered", delivered + 1);
+    fixture.WaitFor(50ms);
+    fixture.relay.Suspend();
     call.from->Send(stray);
-    call.from->UntilTaken();
+    call.from->WaitUntilAcknowledged();
     client.Put("next-" + std::to_string(stray.size()), "hello", 8000, ",k=key,dest=9");
-    client.socket().UntilTaken();
-    fixture.relay.GoOn();
-    REQUIRE(client.Line() == "+OK");
-    const HttpRequest next = fixture.world.NextCall();
+    client.socket().WaitUntilAcknowledged();
+    fixture.relay.Resume();
+    REQUIRE(client.ReadLine() == "+OK");
+    const HttpRequest next = fixture.stubs.NextCall();
     CHECK(next.from != call.from);
     CHECK(client.Counters()["delivered"] == delivered + 1);
-    fixture.world.Answer(next, "200 OK");
-    fixture.UntilCount(client, "delivered", delivered + 2);
+    fixture.stubs.Answer(next, "200 OK");
+    fixture.WaitForCounter(client, "delivered", delivered + 2);
   }
 }
 
@@ -239,15 +239,15 @@
   const HttpRequest call = fixture.HandIn(client, "id-1", "hello", 9);
   const auto started_at = Clock::now();
   call.from->Send("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n");
-  fixture.world.Until([&] {
+  fixture.stubs.WaitUntil([&] {
     call.from->Send("1\r\nx\r\n");
     return client.Counters()["errors"] == 1;
   });
   CHECK(Clock::now() - started_at < 7s);  // earlier than the message's deadline of 8 s
-  const HttpRequest repeat = fixture.world.NextCall();
+  const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.from != call.from);
-  fixture.world.Answer(repeat, "200 OK");
-  fixture.UntilCount(client, "delivered", 1);
+  fixture.stubs.Answer(repeat, "200 OK");
+  fixture.WaitForCounter(client, "delivered", 1);
 }
 
 // A message never has two open calls, not even across SIGTERM, SIGKILL and the next process.
@@ -260,12 +260,12 @@
     call = fixture.HandIn(client, "id-1");
   }
   fixture.relay.Signal(SIGTERM);
-  fixture.relay.UntilLog("draining");
+  fixture.relay.WaitForLog("draining");
   fixture.relay.Signal(SIGKILL);
-  CHECK(fixture.relay.WaitForEnd() == -SIGKILL);
-  fixture.world.Until([&] { return call.from->fd() < 0; });
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
+  fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });
   fixture.relay.Start();
-  const HttpRequest repeat = fixture.world.NextCall();
+  const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "id-1");
   CHECK(repeat.from != call.from);
 }
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -23,15 +23,15 @@
 
 // Two processes that share the clients' listening socket and the state folder.
 struct HandoverFixture {
-  World world;
+  StubServices stubs;
   Socket client_listener = Socket::Listen(511);
-  RelayProcess old_process{world}, new_process{world};
+  RelayProcess old_process{stubs}, new_process{stubs};
   int old_control_port = 0, new_control_port = 0;
 
   HandoverFixture() {
-    world.AddHost("a", 7);
-    for (RelayProcess* process : {&old_process, &new_process}) process->held = &client_listener;
-    new_process.Use(old_process.state());
+    stubs.AddHost("a", 7);
+    for (RelayProcess* process : {&old_process, &new_process}) process->inherited_listener = &client_listener;
+    new_process.UseStateFolder(old_process.state());
     old_control_port = AssignControlPort(old_process);
     new_control_port = AssignControlPort(new_process);
   }
@@ -44,7 +44,7 @@
   // Starts the new process and waits until the old one has handed its work over.
   void HandOver() {
     new_process.Start();
-    old_process.UntilLog("given over");
+    old_process.WaitForLog("given over");
   }
   // Sends an operator's command to that control port and returns the first line of the answer.
   std::string SendCommand(int port, const std::string& line) {
@@ -126,7 +126,7 @@
   for (RelayProcess* process : {&fixture.old_process, &fixture.new_process})
     process->config["settings"]["family-info"]["calls-out"] = 500;
   fixture.old_process.Start();
-  const std::string request = Client::PutText("id-000", "a body\r\n", 8000, ",k=key1,dest=7");
+  const std::string request = Client::PutCommand("id-000", "a body\r\n", 8000, ",k=key1,dest=7");
   std::vector<std::unique_ptr<Client>> clients;
   const auto request_with_id = [&](std::size_t id) {
     std::string copy = request;
@@ -137,23 +137,23 @@
     clients.push_back(std::make_unique<Client>(fixture.old_process));
     clients.back()->socket().Send(request_with_id(split).substr(0, split));
   }
-  fixture.world.Until([&] {
+  fixture.stubs.WaitUntil([&] {
     return fixture.Counter(fixture.old_process, "clients") >= static_cast<long>(clients.size()) + 1;
   });
   fixture.HandOver();
   for (std::size_t split = 0; split <= request.size(); ++split) {
     clients[split]->socket().Send(request_with_id(split).substr(split));
     INFO(split);
-    REQUIRE(clients[split]->Line() == "+OK");
+    REQUIRE(clients[split]->ReadLine() == "+OK");
   }
   std::set<std::string> ids;
   while (ids.size() < clients.size()) {
-    const HttpRequest call = fixture.world.NextCall();
+    const HttpRequest call = fixture.stubs.NextCall();
     CHECK(ids.insert(call.id()).second);
     CHECK(call.body == "a body\r\n");
-    fixture.world.Answer(call, "200 OK");
+    fixture.stubs.Answer(call, "200 OK");
   }
-  CHECK(fixture.old_process.WaitForEnd() == 0);
+  CHECK(fixture.old_process.WaitForExit() == 0);
 }
 
 TEST_CASE("attempts in flight end in the old process and the new process does what follows") {
@@ -163,67 +163,67 @@
   std::map<std::string, HttpRequest> calls;
   for (const std::string id : {"served", "failed", "waits"}) {
     client.Put(id);
-    REQUIRE(client.Line() == "+OK");
-    calls[id] = fixture.world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    calls[id] = fixture.stubs.NextCall();
   }
   fixture.HandOver();
   CHECK(fixture.SendCommand(fixture.new_control_port, "readyz") == "done");
   CHECK(fixture.SendCommand(fixture.old_control_port, "readyz") == "error given over");
-  fixture.world.Answer(calls["served"], "200 OK");
-  fixture.world.Until([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
+  fixture.stubs.Answer(calls["served"], "200 OK");
+  fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
   CHECK(fixture.Counter(fixture.new_process, "recovered") == 3);
   // A Retry-After that the old process receives also binds the new one, which repeats the message after it.
   const auto refused_at = Clock::now();
-  fixture.world.Answer(calls["waits"], "503 Full", "Retry-After: 0.6\r\n");
-  fixture.world.Until([&] { return fixture.Counter(fixture.new_process, "refused") == 1; });
-  fixture.world.Answer(calls["failed"], "500 No");
+  fixture.stubs.Answer(calls["waits"], "503 Full", "Retry-After: 0.6\r\n");
+  fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "refused") == 1; });
+  fixture.stubs.Answer(calls["failed"], "500 No");
   std::set<std::string> repeated;
   while (repeated.size() < 2) {
-    const HttpRequest call = fixture.world.NextCall();
+    const HttpRequest call = fixture.stubs.NextCall();
     repeated.insert(call.id());
-    fixture.world.Answer(call, "200 OK");
+    fixture.stubs.Answer(call, "200 OK");
   }
   CHECK(Clock::now() - refused_at > 500ms);
   CHECK(repeated == std::set<std::string>{"failed", "waits"});
   fixture.old_process.Signal(SIGTERM);
-  CHECK(fixture.old_process.WaitForEnd() == 0);
-  fixture.world.Until([&] { return fixture.Counter(fixture.new_process, "delivered") == 3; });
+  CHECK(fixture.old_process.WaitForExit() == 0);
+  fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 3; });
   // A second handover right after the first one.
-  RelayProcess third(fixture.world);
-  third.held = &fixture.client_listener;
-  third.Use(fixture.old_process.state());
+  RelayProcess third(fixture.stubs);
+  third.inherited_listener = &fixture.client_listener;
+  third.UseStateFolder(fixture.old_process.state());
   third.Start();
-  CHECK(fixture.new_process.WaitForEnd() == 0);
+  CHECK(fixture.new_process.WaitForExit() == 0);
   client.Put("more");
-  CHECK(client.Line() == "+OK");
+  CHECK(client.ReadLine() == "+OK");
 }
 
 TEST_CASE("a wait requested by a host and the exclusion of another one survive a handover") {
   HandoverFixture fixture;
   fixture.old_process.Start();
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   CHECK(fixture.SendCommand(fixture.old_control_port, "exclude a") == "done");
-  fixture.world.AddHost("b", 8);
-  fixture.world.Tell({{"version", 9}, {"full", false}, {"servers", {fixture.world.Entry("b")}}});
+  fixture.stubs.AddHost("b", 8);
+  fixture.stubs.PushChange({{"version", 9}, {"full", false}, {"servers", {fixture.stubs.ListEntry("b")}}});
   Client client(fixture.old_process);
-  fixture.world.Until([&] { return client.Counters()["list_changes"] >= 3; });
+  fixture.stubs.WaitUntil([&] { return client.Counters()["list_changes"] >= 3; });
   client.Put("held-a");
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   client.Put("first-b", "x", 8000, ",k=k2,dest=8");
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   const auto refused_at = Clock::now();
-  fixture.world.Answer(fixture.world.NextCall(), "503 Full", "Retry-After: 1.2\r\n");
-  fixture.world.Until([&] { return client.Counters()["refused"] == 1; });
+  fixture.stubs.Answer(fixture.stubs.NextCall(), "503 Full", "Retry-After: 1.2\r\n");
+  fixture.stubs.WaitUntil([&] { return client.Counters()["refused"] == 1; });
   // The attempt in flight keeps the old process alive.
   fixture.HandOver();
   client.Put("second-b", "x", 8000, ",k=k3,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  const HttpRequest call = fixture.world.NextCall();
-  CHECK(fixture.world.HostOf(call) == "b");
+  REQUIRE(client.ReadLine() == "+OK");
+  const HttpRequest call = fixture.stubs.NextCall();
+  CHECK(fixture.stubs.HostOf(call) == "b");
   CHECK(Clock::now() - refused_at > 1s);
   CHECK(fixture.SendCommand(fixture.new_control_port, "include a") == "done");
-  HttpRequest after = fixture.world.NextCall();
-  while (fixture.world.HostOf(after) != "a") after = fixture.world.NextCall();
+  HttpRequest after = fixture.stubs.NextCall();
+  while (fixture.stubs.HostOf(after) != "a") after = fixture.stubs.NextCall();
   CHECK(after.id() == "held-a");
 }
 
@@ -234,7 +234,7 @@
   for (RelayProcess* process : {&fixture.old_process, &fixture.new_process})
     process->config["settings"]["balancers"] = 300;
   fixture.old_process.Start();
-  fixture.world.Until([&] { return fixture.world.standing() == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.open_watches() == 1; });
   fixture.HandOver();
   CHECK(fixture.Counter(fixture.new_process, "watches") == 1);
 }
@@ -244,15 +244,15 @@
   fixture.old_process.Start();
   Client client(fixture.old_process);
   client.Put("out");
-  REQUIRE(client.Line() == "+OK");
-  const HttpRequest call = fixture.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  const HttpRequest call = fixture.stubs.NextCall();
   fixture.HandOver();
   // The old process waits here for the answer of the new one.
   CHECK(fixture.SendCommand(fixture.old_control_port, "exclude a") == "done");
   CHECK(fixture.SendCommand(fixture.old_control_port, "exclude nobody").substr(0, 6) == "error ");
   CHECK(fixture.Counter(fixture.new_process, "hosts_out") == 1);
-  fixture.world.Answer(call, "200 OK");
-  CHECK(fixture.old_process.WaitForEnd() == 0);
+  fixture.stubs.Answer(call, "200 OK");
+  CHECK(fixture.old_process.WaitForExit() == 0);
 }
 
 // Guards against two open attempts of one message. The new process needs the slot of an overdue attempt and
@@ -262,28 +262,28 @@
 // 0.15 s.
 TEST_CASE("an attempt that a suspended old process can't cancel is not repeated before it is cancelled") {
   HandoverFixture fixture;
-  fixture.world.AddHost("b", 8);
+  fixture.stubs.AddHost("b", 8);
   for (RelayProcess* process : {&fixture.old_process, &fixture.new_process})
     process->config["settings"]["family-info"]["calls-out"] = 1;
   fixture.old_process.Start();
   Client client(fixture.old_process);
   client.Put("out", "hello", 20000);
-  REQUIRE(client.Line() == "+OK");
-  REQUIRE(fixture.world.NextCall().id() == "out");
+  REQUIRE(client.ReadLine() == "+OK");
+  REQUIRE(fixture.stubs.NextCall().id() == "out");
   fixture.HandOver();
-  fixture.old_process.Halt();
+  fixture.old_process.Suspend();
   client.Put("other", "hello", 20000, ",k=key2,dest=8");
-  REQUIRE(client.Line() == "+OK");
-  CHECK_FALSE(fixture.world.CallWithin(5s));  // the attempt in flight occupies the only slot
-  fixture.old_process.GoOn();
+  REQUIRE(client.ReadLine() == "+OK");
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(5s));  // the attempt in flight occupies the only slot
+  fixture.old_process.Resume();
   std::set<std::string> called;
   while (called.size() < 2) {
-    const HttpRequest call = fixture.world.NextCall();
+    const HttpRequest call = fixture.stubs.NextCall();
     called.insert(call.id());
-    fixture.world.Answer(call, "200 OK");
+    fixture.stubs.Answer(call, "200 OK");
   }
   CHECK(called == std::set<std::string>{"other", "out"});
-  CHECK(fixture.old_process.WaitForEnd() == 0);
+  CHECK(fixture.old_process.WaitForExit() == 0);
 }
 
 // Guards against a late notice: only the old process used to watch the deadline of an attempt in flight
@@ -294,16 +294,16 @@
   Client client(fixture.old_process);
   client.Put("out", "hello", 2500);
   const auto sent = Clock::now();
-  REQUIRE(client.Line() == "+OK");
-  fixture.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  fixture.stubs.NextCall();
   fixture.HandOver();
-  fixture.old_process.Halt();
-  fixture.world.Until([&] { return fixture.world.notices.count("out") > 0; });
+  fixture.old_process.Suspend();
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.notices.count("out") > 0; });
   CHECK(Clock::now() - sent <= 2500ms + 350ms);
-  CHECK(fixture.world.notices.at("out").at("status") == "undeliverable");
-  CHECK_FALSE(fixture.world.CallWithin(500ms));  // no attempt begins after the message has ended
-  fixture.old_process.GoOn();
-  CHECK(fixture.old_process.WaitForEnd() == 0);
+  CHECK(fixture.stubs.notices.at("out").at("status") == "undeliverable");
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(500ms));  // no attempt begins after the message has ended
+  fixture.old_process.Resume();
+  CHECK(fixture.old_process.WaitForExit() == 0);
 }
 
 TEST_CASE("a message whose attempt was in flight in a killed old process may have run and is repeated") {
@@ -311,16 +311,16 @@
   fixture.old_process.Start();
   Client client(fixture.old_process);
   client.Put("out");
-  REQUIRE(client.Line() == "+OK");
-  fixture.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  fixture.stubs.NextCall();
   fixture.HandOver();
-  CHECK_FALSE(fixture.world.CallWithin(200ms));  // a message has one attempt at a time
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(200ms));  // a message has one attempt at a time
   fixture.old_process.Signal(SIGKILL);
-  fixture.old_process.WaitForEnd();
-  const HttpRequest repeat = fixture.world.NextCall();
+  fixture.old_process.WaitForExit();
+  const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "out");
-  fixture.world.Answer(repeat, "200 OK");
-  fixture.world.Until([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
+  fixture.stubs.Answer(repeat, "200 OK");
+  fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
 }
 
 // The test plays a new process that dies or hangs at each step of the handover.
@@ -329,9 +329,9 @@
   fixture.old_process.Start();
   Client client(fixture.old_process);
   client.Put("out");
-  REQUIRE(client.Line() == "+OK");
-  const HttpRequest call = fixture.world.NextCall();
-  client.socket().Send(Client::PutText("cut", "x", 8000, ",k=k2,dest=7").substr(0, 20));
+  REQUIRE(client.ReadLine() == "+OK");
+  const HttpRequest call = fixture.stubs.NextCall();
+  client.socket().Send(Client::PutCommand("cut", "x", 8000, ",k=k2,dest=7").substr(0, 20));
   const auto check_serves = [&] {
     Client other(fixture.old_process);
     REQUIRE(other.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
@@ -384,13 +384,13 @@
     CHECK(channel->ended());
   }
   check_serves();
-  client.socket().Send(Client::PutText("cut", "x", 8000, ",k=k2,dest=7").substr(20));
-  CHECK(client.Line() == "+OK");
-  const HttpRequest second = fixture.world.NextCall();
+  client.socket().Send(Client::PutCommand("cut", "x", 8000, ",k=k2,dest=7").substr(20));
+  CHECK(client.ReadLine() == "+OK");
+  const HttpRequest second = fixture.stubs.NextCall();
   CHECK(second.id() == "cut");
-  fixture.world.Answer(call, "200 OK");
-  fixture.world.Answer(second, "200 OK");
-  fixture.world.Until([&] { return fixture.Counter(fixture.old_process, "delivered") == 2; });
+  fixture.stubs.Answer(call, "200 OK");
+  fixture.stubs.Answer(second, "200 OK");
+  fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.old_process, "delivered") == 2; });
   // A new process that works can still take over afterwards.
   fixture.HandOver();
 }
@@ -401,18 +401,18 @@
   {
     Client client(fixture.old_process);
     client.Put("kept");
-    REQUIRE(client.Line() == "+OK");
-    fixture.world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    fixture.stubs.NextCall();
   }
   {
     auto channel = Channel::Connect(fixture.old_process.state());
     CloseDescriptors(ReceiveUntil(*channel, Taker::Phase::kOwner));
   }
-  fixture.old_process.UntilLog("starting anew");
-  const HttpRequest repeat = fixture.world.NextCall();
+  fixture.old_process.WaitForLog("starting anew");
+  const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "kept");
-  fixture.world.Answer(repeat, "200 OK");
-  fixture.world.Until([&] { return fixture.Counter(fixture.old_process, "delivered") == 1; });
+  fixture.stubs.Answer(repeat, "200 OK");
+  fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.old_process, "delivered") == 1; });
 }
 
 // The test holds the lock of the state folder and plays an old process that dies at each step.
@@ -422,11 +422,11 @@
   {
     Client client(fixture.old_process);
     client.Put("kept");
-    REQUIRE(client.Line() == "+OK");
-    fixture.world.NextCall();
+    REQUIRE(client.ReadLine() == "+OK");
+    fixture.stubs.NextCall();
   }
   fixture.old_process.Signal(SIGKILL);
-  fixture.old_process.WaitForEnd();
+  fixture.old_process.WaitForExit();
   auto lock = std::make_unique<journal::FolderLock>(fixture.old_process.state());
   net::Loop loop;
   std::optional<Channel> channel;
@@ -435,7 +435,7 @@
   const int step = GENERATE(0, 1, 2, 3);
   CAPTURE(step);
   fixture.new_process.Spawn();
-  fixture.world.Until([&] {
+  fixture.stubs.WaitUntil([&] {
     loop.ref().run(EVRUN_NOWAIT);
     return channel.has_value();
   });
@@ -455,11 +455,11 @@
   lock.reset();
   channel.reset();
   if (step != 1) listener.reset();  // otherwise its socket file stays, as a killed process leaves it
-  fixture.new_process.UntilLog(": serving");
-  const HttpRequest repeat = fixture.world.NextCall();
+  fixture.new_process.WaitForLog(": serving");
+  const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "kept");
-  fixture.world.Answer(repeat, "200 OK");
-  fixture.world.Until([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
+  fixture.stubs.Answer(repeat, "200 OK");
+  fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
 }
 
 TEST_CASE("SIGHUP and SIGTERM to either process around a handover") {
@@ -467,33 +467,33 @@
   fixture.old_process.Start();
   Client client(fixture.old_process);
   client.Put("out");
-  REQUIRE(client.Line() == "+OK");
-  const HttpRequest call = fixture.world.NextCall();
+  REQUIRE(client.ReadLine() == "+OK");
+  const HttpRequest call = fixture.stubs.NextCall();
   fixture.new_process.Spawn();
-  fixture.new_process.UntilLog(": serving");
+  fixture.new_process.WaitForLog(": serving");
   fixture.old_process.Signal(SIGHUP);
   fixture.new_process.Signal(SIGHUP);
-  fixture.new_process.UntilLog(": reloaded");
-  fixture.old_process.UntilLog("given over");
+  fixture.new_process.WaitForLog(": reloaded");
+  fixture.old_process.WaitForLog("given over");
   fixture.old_process.Signal(SIGTERM);
   // The old process stays until its attempt ends, well within its drain limit.
-  fixture.world.Answer(call, "200 OK");
-  CHECK(fixture.old_process.WaitForEnd() == 0);
-  fixture.world.Until([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
+  fixture.stubs.Answer(call, "200 OK");
+  CHECK(fixture.old_process.WaitForExit() == 0);
+  fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
   fixture.new_process.Signal(SIGTERM);
-  CHECK(fixture.new_process.WaitForEnd() == 0);
+  CHECK(fixture.new_process.WaitForExit() == 0);
 }
 
 TEST_CASE("an unusable listening socket fails the start with an error that names the variable") {
-  World world;
-  world.AddHost("a", 7);
+  StubServices stubs;
+  stubs.AddHost("a", 7);
   const Socket listening = Socket::Listen();
   const auto check_start_fails = [&](const std::string& value, const std::function<void()>& in_child) {
-    RelayProcess relay(world);
+    RelayProcess relay(stubs);
     relay.environment["ROUTER_LISTEN_FD"] = value;
     relay.in_child = in_child;
     int code = 0;
-    const std::string text = relay.RunToEnd(&code);
+    const std::string text = relay.RunToExit(&code);
     CHECK(code == 1);
     CHECK(text.find("ROUTER_LISTEN_FD: ") != std::string::npos);
   };
@@ -518,7 +518,7 @@
     CAPTURE(seed, kill.kills_old, kill.after_log);
     std::mt19937 random(seed);
     HandoverFixture fixture;
-    fixture.world.AddHost("b", 7);
+    fixture.stubs.AddHost("b", 7);
     fixture.old_process.Start();
     REQUIRE(fixture.SendCommand(fixture.old_control_port, "exclude b") == "done");
     std::set<std::string> accepted, delivered;
@@ -530,9 +530,9 @@
              (errno == EAGAIN || errno == EWOULDBLOCK);
     };
     const auto serve_calls = [&](std::size_t most_unanswered) {
-      while (fixture.world.CallWithin(5ms)) {
-        const HttpRequest call = fixture.world.NextCall();
-        CHECK(fixture.world.HostOf(call) == "a");
+      while (fixture.stubs.CallArrivesWithin(5ms)) {
+        const HttpRequest call = fixture.stubs.NextCall();
+        CHECK(fixture.stubs.HostOf(call) == "a");
         if (const auto it = in_flight.find(call.id()); it != in_flight.end())
           CHECK_FALSE(is_open(*it->second));
         in_flight[call.id()] = call.from;
@@ -541,7 +541,7 @@
       while (unanswered.size() > most_unanswered) {
         const auto it = unanswered.begin() + static_cast<std::ptrdiff_t>(random() % unanswered.size());
         if (is_open(*it->from)) delivered.insert(it->id());
-        fixture.world.Answer(*it, "200 OK");
+        fixture.stubs.Answer(*it, "200 OK");
         in_flight.erase(it->id());
         unanswered.erase(it);
       }
@@ -551,49 +551,49 @@
         Client client(fixture.old_process);
         const std::string id = id_prefix + std::to_string(i);
         client.Put(id, "x", 15000, ",k=" + id + ",dest=7");
-        if (client.Line() == "+OK") accepted.insert(id);
+        if (client.ReadLine() == "+OK") accepted.insert(id);
         serve_calls(5);
       }
     };
     send_messages(8 + static_cast<int>(random() % 6), "before-");
-    fixture.world.Until([&] {  // until it has read all answers, so that `in_flight` is what it counts
+    fixture.stubs.WaitUntil([&] {  // until it has read all answers, so that `in_flight` is what it counts
       serve_calls(5);
       return fixture.Counter(fixture.old_process, "out") == static_cast<long>(in_flight.size());
     });
     fixture.new_process.Spawn();
-    fixture.world.Until([&] {
+    fixture.stubs.WaitUntil([&] {
       return (fixture.old_process.log() + fixture.new_process.log()).find(kill.after_log) !=
              std::string::npos;
     });
     RelayProcess& victim = kill.kills_old ? fixture.old_process : fixture.new_process;
     RelayProcess& serving = kill.kills_old ? fixture.new_process : fixture.old_process;
     victim.Signal(SIGKILL);
-    victim.WaitForEnd();
+    victim.WaitForExit();
     // These attempts may have run: each is repeated if the retry budget has a token left, or else its message
     // ends undeliverable.
     std::set<std::string> may_have_run;
     for (const auto& [id, from] : in_flight) may_have_run.insert(id);
-    fixture.world.Until([&] {
+    fixture.stubs.WaitUntil([&] {
       serve_calls(5);
       Client probe(serving);
       probe.socket().Send("*1\r\n$4\r\nPING\r\n");
       return probe.socket().Receive(100ms) == "+PONG\r\n";
     });
     send_messages(6, "after-");
-    fixture.world.Until(
+    fixture.stubs.WaitUntil(
         [&] {
           serve_calls(0);
           return fixture.Counter(serving, "held") == 0 &&
                  std::all_of(accepted.begin(), accepted.end(), [&](const std::string& id) {
-                   return delivered.count(id) > 0 || fixture.world.notices.count(id) > 0;
+                   return delivered.count(id) > 0 || fixture.stubs.notices.count(id) > 0;
                  });
         },
         20s);
     CHECK(accepted.size() >= 14);
     for (const std::string& id : accepted) {
       CAPTURE(id);
-      const auto notice = fixture.world.notices.find(id);
-      if (notice == fixture.world.notices.end()) continue;
+      const auto notice = fixture.stubs.notices.find(id);
+      if (notice == fixture.stubs.notices.end()) continue;
       CHECK(notice->second.at("status") == "undeliverable");
       CHECK(may_have_run.count(id) > 0);
     }
--- a/tests/relay/list_crossing_test.cpp
+++ b/tests/relay/list_crossing_test.cpp
@@ -9,19 +9,19 @@
 
 // A relay with two hosts of one destination.
 struct ListFixture {
-  World world;
-  RelayProcess relay{world};
+  StubServices stubs;
+  RelayProcess relay{stubs};
 
   ListFixture() {
-    world.AddHost("a", 7);
-    world.AddHost("b", 7);
+    stubs.AddHost("a", 7);
+    stubs.AddHost("b", 7);
   }
-  void UntilCount(Client& client, const char* counter, long count) {
-    world.Until([&] { return client.Counters()[counter] >= count; });
+  void WaitForCounter(Client& client, const char* counter, long count) {
+    stubs.WaitUntil([&] { return client.Counters()[counter] >= count; });
   }
   // The list entry of that host with that state.
   nlohmann::json EntryWithState(const std::string& id, const std::string& state) const {
-    nlohmann::json entry = world.Entry(id);
+    nlohmann::json entry = stubs.ListEntry(id);
     entry["state"] = state;
     return entry;
   }
@@ -31,11 +31,11 @@
     for (int i = 0; i < messages; ++i) {
       const long before = client.Counters()["delivered"];
       client.Put("id-" + std::to_string(++sent_messages_));
-      REQUIRE(client.Line() == "+OK");
-      const HttpRequest call = world.NextCall();
-      hosts.insert(world.HostOf(call));
-      world.Answer(call, "200 OK");
-      UntilCount(client, "delivered", before + 1);
+      REQUIRE(client.ReadLine() == "+OK");
+      const HttpRequest call = stubs.NextCall();
+      hosts.insert(stubs.HostOf(call));
+      stubs.Answer(call, "200 OK");
+      WaitForCounter(client, "delivered", before + 1);
     }
     return hosts;
   }
@@ -51,30 +51,33 @@
   ListFixture fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
-  fixture.world.Tell(
+  fixture.stubs.PushChange(
       {{"version", 50}, {"full", false}, {"servers", {fixture.EntryWithState("b", "Terminating")}}});
-  fixture.UntilCount(client, "list_changes", changes + 1);
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
   // An old full list and then an old change, both from a discovery server that lags.
-  fixture.world.Tell(
+  fixture.stubs.PushChange(
       {{"version", 48},
        {"full", true},
        {"servers", {fixture.EntryWithState("a", "Ready"), fixture.EntryWithState("b", "Ready")}}});
-  fixture.world.Tell({{"version", 49}, {"full", false}, {"servers", {fixture.EntryWithState("b", "Ready")}}});
-  fixture.UntilCount(client, "lists_behind", 2);
+  fixture.stubs.PushChange(
+      {{"version", 49}, {"full", false}, {"servers", {fixture.EntryWithState("b", "Ready")}}});
+  fixture.WaitForCounter(client, "lists_behind", 2);
   CHECK(fixture.DeliverAndListHosts(client, 4) == kOnlyA);
-  fixture.world.Tell({{"version", 51}, {"full", false}, {"servers", {fixture.EntryWithState("a", "Gone")}}});
-  fixture.UntilCount(client, "list_changes", changes + 2);
+  fixture.stubs.PushChange(
+      {{"version", 51}, {"full", false}, {"servers", {fixture.EntryWithState("a", "Gone")}}});
+  fixture.WaitForCounter(client, "list_changes", changes + 2);
   const long attempts = client.Counters()["legs"];
   client.Put("kept");
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   CHECK(client.Counters()["legs"] == attempts);  // the step that accepted it would have begun the attempt
   // A change with the same version is not older.
-  fixture.world.Tell({{"version", 51}, {"full", false}, {"servers", {fixture.EntryWithState("b", "Ready")}}});
-  const HttpRequest call = fixture.world.NextCall();
+  fixture.stubs.PushChange(
+      {{"version", 51}, {"full", false}, {"servers", {fixture.EntryWithState("b", "Ready")}}});
+  const HttpRequest call = fixture.stubs.NextCall();
   CHECK(call.id() == "kept");
-  CHECK(fixture.world.HostOf(call) == "b");
+  CHECK(fixture.stubs.HostOf(call) == "b");
 }
 
 // Guards against a relay that keeps its last list forever after discovery has restarted its version count.
@@ -83,15 +86,15 @@
   ListFixture fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
-  fixture.world.Tell({{"version", 50}, {"full", false}, {"servers", nlohmann::json::array()}});
-  fixture.UntilCount(client, "list_changes", changes + 1);
-  fixture.world.SetState("b", "Terminating");  // version 2
-  fixture.UntilCount(client, "lists_behind", 1);
-  fixture.world.Until([&] { return fixture.world.watches == 2; }, 13s);
+  fixture.stubs.PushChange({{"version", 50}, {"full", false}, {"servers", nlohmann::json::array()}});
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
+  fixture.stubs.SetState("b", "Terminating");  // version 2
+  fixture.WaitForCounter(client, "lists_behind", 1);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; }, 13s);
   Client later(fixture.relay);  // the first client's connection has been idle for too long
-  fixture.UntilCount(later, "list_changes", changes + 2);
+  fixture.WaitForCounter(later, "list_changes", changes + 2);
   CHECK(fixture.DeliverAndListHosts(later, 4) == kOnlyA);
 }
 
@@ -100,22 +103,22 @@
     INFO(mode);
     ListFixture fixture;
     fixture.relay.config["settings"]["discovery"] = mode;
-    fixture.world.silent = true;
+    fixture.stubs.discovery_silent = true;
     fixture.relay.Start();
     {
       Client client(fixture.relay);
       CHECK(fixture.DeliverAndListHosts(client, 1).size() == 1);  // served with the list from the start
     }
-    fixture.world.Until([&] { return fixture.world.watches == 1; });
+    fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
     const auto asked = Clock::now();
-    fixture.world.Until([&] { return fixture.world.watches == 2; });
+    fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; });
     CHECK(Clock::now() - asked < 6s);
-    fixture.world.silent = false;
-    fixture.world.Until([&] { return fixture.world.watches == 3; });
+    fixture.stubs.discovery_silent = false;
+    fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 3; });
     Client client(fixture.relay);
-    fixture.UntilCount(client, "list_changes", 2);
-    fixture.world.SetState("b", "Terminating");
-    fixture.UntilCount(client, "list_changes", 3);
+    fixture.WaitForCounter(client, "list_changes", 2);
+    fixture.stubs.SetState("b", "Terminating");
+    fixture.WaitForCounter(client, "list_changes", 3);
     CHECK(fixture.DeliverAndListHosts(client, 4) == kOnlyA);
   }
 }
@@ -124,7 +127,7 @@
   ListFixture fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
   const std::string half =
       nlohmann::json(
@@ -132,36 +135,36 @@
            {"full", false},
            {"servers", {fixture.EntryWithState("a", "Gone"), fixture.EntryWithState("b", "Gone")}}})
           .dump();
-  fixture.world.TellText(half.substr(0, half.size() - 3));
-  fixture.world.UntilTold();
+  fixture.stubs.PushChunk(half.substr(0, half.size() - 3));
+  fixture.stubs.WaitUntilPushesDelivered();
   // This follows on the same subscription and is part of the unreadable text.
-  fixture.world.SetState("b", "Ready");
-  fixture.world.EndWatches();
-  fixture.world.Until([&] { return fixture.world.watches == 2; });
-  fixture.UntilCount(client, "list_changes", changes + 1);
+  fixture.stubs.SetState("b", "Ready");
+  fixture.stubs.CloseWatches();
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; });
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
   CHECK(client.Counters()["list_failures"] == 1);
   CHECK(fixture.DeliverAndListHosts(client, 1).size() == 1);
-  fixture.world.SetState("b", "Terminating");
-  fixture.UntilCount(client, "list_changes", changes + 2);
+  fixture.stubs.SetState("b", "Terminating");
+  fixture.WaitForCounter(client, "list_changes", changes + 2);
   CHECK(fixture.DeliverAndListHosts(client, 4) == kOnlyA);
 }
 
 TEST_CASE("a discovery that refuses repeatedly is asked at a bounded rate and its first answer is applied") {
   ListFixture fixture;
-  fixture.world.refusing = true;
+  fixture.stubs.discovery_refuses = true;
   fixture.relay.Start();
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const auto first = Clock::now();
-  fixture.world.Until([&] { return fixture.world.watches == 2; }, 15s);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; }, 15s);
   // The last list is used as long as its lease holds; list_lease_test.cpp covers what follows.
   Client client(fixture.relay);
   CHECK(fixture.DeliverAndListHosts(client, 1).size() == 1);
-  fixture.world.Until([&] { return fixture.world.watches == 4; }, 15s);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 4; }, 15s);
   // The first retry is delayed by 0.2 to 1.2 s, each further one by twice that.
   CHECK(Clock::now() - first > 1s);
-  fixture.world.refusing = false;
-  fixture.world.Until([&] { return fixture.world.watches == 5; });
-  fixture.UntilCount(client, "list_changes", 2);
+  fixture.stubs.discovery_refuses = false;
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 5; });
+  fixture.WaitForCounter(client, "list_changes", 2);
   CHECK(client.Counters()["list_failures"] == 4);
 }
 
@@ -170,17 +173,17 @@
   ListFixture fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
-  fixture.relay.Halt();
-  fixture.world.SetState("b", "Terminating");
-  fixture.world.UntilTold();
-  fixture.world.silent = true;  // discovery sends nothing yet at its new address
-  fixture.world.MoveDiscovery();
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
+  fixture.relay.Suspend();
+  fixture.stubs.SetState("b", "Terminating");
+  fixture.stubs.WaitUntilPushesDelivered();
+  fixture.stubs.discovery_silent = true;  // discovery sends nothing yet at its new address
+  fixture.stubs.MoveDiscovery();
   auto config = fixture.relay.config;
-  config["discovery"] = "127.0.0.1:" + std::to_string(fixture.world.discovery_port());
+  config["discovery"] = "127.0.0.1:" + std::to_string(fixture.stubs.discovery_port());
   fixture.relay.Reload(config.dump());
-  fixture.relay.GoOn();
-  fixture.world.Until([&] { return fixture.world.watches == 2; });
+  fixture.relay.Resume();
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; });
   CHECK(fixture.DeliverAndListHosts(client, 8) == kOnlyA);
 }
 
@@ -191,7 +194,7 @@
 bool CalledAtOnce(Client& client, int destination, const std::string& id) {
   const long before = client.Counters()["legs"];
   client.Put(id, "hello", 8000, ",k=key1,dest=" + std::to_string(destination));
-  REQUIRE(client.Line() == "+OK");
+  REQUIRE(client.ReadLine() == "+OK");
   return client.Counters()["legs"] > before;  // the step that accepts a message also begins its attempt
 }
 
@@ -199,52 +202,54 @@
 // them, although discovery had sent those.
 TEST_CASE("a drain in a list older than the known one applies at once until discovery has caught up") {
   ListFixture fixture;
-  fixture.world.AddHost("c", 8);
+  fixture.stubs.AddHost("c", 8);
   fixture.relay.config["settings"]["weights"] = "none";
   fixture.relay.Start();
   Client client(fixture.relay);
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
-  fixture.world.Tell({{"version", 50}, {"full", false}, {"servers", nlohmann::json::array()}});
-  fixture.UntilCount(client, "list_changes", changes + 1);
-  fixture.world.Tell(
+  fixture.stubs.PushChange({{"version", 50}, {"full", false}, {"servers", nlohmann::json::array()}});
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
+  fixture.stubs.PushChange(
       {{"version", 48}, {"full", false}, {"servers", {fixture.EntryWithState("c", "Terminating")}}});
-  fixture.UntilCount(client, "lists_behind", 1);
+  fixture.WaitForCounter(client, "lists_behind", 1);
   CHECK_FALSE(CalledAtOnce(client, 8, "id-1"));
   // The lagging discovery lists it as ready again, which was the state before version 50 as well.
-  fixture.world.Tell({{"version", 49}, {"full", false}, {"servers", {fixture.EntryWithState("c", "Ready")}}});
-  const HttpRequest call = fixture.world.NextCall();
+  fixture.stubs.PushChange(
+      {{"version", 49}, {"full", false}, {"servers", {fixture.EntryWithState("c", "Ready")}}});
+  const HttpRequest call = fixture.stubs.NextCall();
   CHECK(call.id() == "id-1");
-  fixture.world.Answer(call, "200 OK");
+  fixture.stubs.Answer(call, "200 OK");
   // An old full list without the host, and then the known version, which has it.
-  fixture.world.Tell({{"version", 49}, {"full", true}, {"servers", {fixture.EntryWithState("a", "Ready")}}});
-  fixture.UntilCount(client, "lists_behind", 3);
+  fixture.stubs.PushChange(
+      {{"version", 49}, {"full", true}, {"servers", {fixture.EntryWithState("a", "Ready")}}});
+  fixture.WaitForCounter(client, "lists_behind", 3);
   CHECK_FALSE(CalledAtOnce(client, 8, "id-2"));
-  fixture.world.Tell({{"version", 50}, {"full", false}, {"servers", nlohmann::json::array()}});
-  CHECK(fixture.world.NextCall().id() == "id-2");
+  fixture.stubs.PushChange({{"version", 50}, {"full", false}, {"servers", nlohmann::json::array()}});
+  CHECK(fixture.stubs.NextCall().id() == "id-2");
 }
 
 // Guards against a lost drain: an entry with one invalid field used to be dropped whole.
 TEST_CASE("an unreadable entry stops calls to its host only and is named in the log once") {
   ListFixture fixture;
-  fixture.world.AddHost("c", 8);
-  fixture.world.AddHost("d", 9);
+  fixture.stubs.AddHost("c", 8);
+  fixture.stubs.AddHost("d", 9);
   fixture.relay.config["settings"]["weights"] = "none";
   fixture.relay.Start();
   Client client(fixture.relay);
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
   nlohmann::json invalid = fixture.EntryWithState("c", "Terminating");
   invalid["weight"] = "fifty";
   const nlohmann::json entry_without_id = {{"state", "Gone"}};
   for (int version = 9; version < 11; ++version) {
-    fixture.world.Tell({{"version", version},
-                        {"full", false},
-                        {"servers",
-                         {invalid, entry_without_id, fixture.EntryWithState("d", "Terminating"),
-                          fixture.EntryWithState("a", "Ready")}}});
+    fixture.stubs.PushChange({{"version", version},
+                              {"full", false},
+                              {"servers",
+                               {invalid, entry_without_id, fixture.EntryWithState("d", "Terminating"),
+                                fixture.EntryWithState("a", "Ready")}}});
   }
-  fixture.UntilCount(client, "list_changes", changes + 2);
+  fixture.WaitForCounter(client, "list_changes", changes + 2);
   CHECK_FALSE(CalledAtOnce(client, 8, "id-1"));
   CHECK_FALSE(CalledAtOnce(client, 9, "id-2"));
   CHECK(CalledAtOnce(client, 7, "id-3"));
@@ -254,18 +259,19 @@
   REQUIRE(first != std::string::npos);
   CHECK(log.find("can't be read", first + 20) == std::string::npos);
   // The host may be used again once its entry is readable.
-  fixture.world.NextCall();
-  fixture.world.Tell({{"version", 12}, {"full", false}, {"servers", {fixture.EntryWithState("c", "Ready")}}});
-  CHECK(fixture.world.NextCall().id() == "id-1");
+  fixture.stubs.NextCall();
+  fixture.stubs.PushChange(
+      {{"version", 12}, {"full", false}, {"servers", {fixture.EntryWithState("c", "Ready")}}});
+  CHECK(fixture.stubs.NextCall().id() == "id-1");
 }
 
 TEST_CASE("a full list with an unreadable entry keeps the known data of that host but does not call it") {
   ListFixture fixture;
-  fixture.world.AddHost("c", 8);
+  fixture.stubs.AddHost("c", 8);
   fixture.relay.config["settings"]["weights"] = "none";
   fixture.relay.Start();
   Client client(fixture.relay);
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
   nlohmann::json invalid = fixture.EntryWithState("c", "Ready"),
                  unknown = fixture.EntryWithState("c", "Ready");
@@ -273,10 +279,10 @@
   unknown["id"] = "nobody-knows-it";
   unknown["zone"] = nlohmann::json::array();
   unknown["addr"] = 7;
-  fixture.world.Tell({{"version", 9},
-                      {"full", true},
-                      {"servers", {invalid, unknown, fixture.EntryWithState("a", "Ready")}}});
-  fixture.UntilCount(client, "list_changes", changes + 1);
+  fixture.stubs.PushChange({{"version", 9},
+                            {"full", true},
+                            {"servers", {invalid, unknown, fixture.EntryWithState("a", "Ready")}}});
+  fixture.WaitForCounter(client, "list_changes", changes + 1);
   CHECK_FALSE(CalledAtOnce(client, 8, "id-1"));
   CHECK(CalledAtOnce(client, 7, "id-2"));
 }
@@ -289,15 +295,15 @@
     ListFixture fixture;
     fixture.relay.Start();
     Client client(fixture.relay);
-    fixture.world.Until([&] { return fixture.world.watches == 1; });
+    fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
     const long changes = client.Counters()["list_changes"];
-    fixture.UntilCount(client, "list_changes", 1);
-    fixture.world.silent = true;  // the next call gets no answer
-    fixture.world.TellText(text);
-    fixture.UntilCount(client, "list_failures", 1);
+    fixture.WaitForCounter(client, "list_changes", 1);
+    fixture.stubs.discovery_silent = true;  // the next call gets no answer
+    fixture.stubs.PushChunk(text);
+    fixture.WaitForCounter(client, "list_failures", 1);
     CHECK(client.Counters()["list_changes"] <= changes + 1);
     CHECK(fixture.DeliverAndListHosts(client, 1).size() == 1);
-    fixture.world.Until([&] { return fixture.world.watches == 2; });
+    fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; });
   }
 }
 
@@ -305,12 +311,12 @@
   ListFixture fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  fixture.world.Until([&] { return fixture.world.watches == 1; });
-  fixture.UntilCount(client, "list_changes", 2);
+  fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
+  fixture.WaitForCounter(client, "list_changes", 2);
   CHECK(client.Counters()["list_age_ms"] < 2'000);
-  fixture.world.silent = true;
-  fixture.world.heartbeats = false;
-  fixture.world.Until([&] { return client.Counters()["list_age_ms"] > 4'000; });
+  fixture.stubs.discovery_silent = true;
+  fixture.stubs.discovery_heartbeats = false;
+  fixture.stubs.WaitUntil([&] { return client.Counters()["list_age_ms"] > 4'000; });
   CHECK(client.Counters()["watches"] >= 2);
 }
 
--- a/tests/relay/list_lease_test.cpp
+++ b/tests/relay/list_lease_test.cpp
@@ -23,7 +23,7 @@
 void KeepPinging(Fleet& fleet, std::deque<Client>& clients, Clock::time_point until) {
   while (Clock::now() < until) {
     for (Client& client : clients) REQUIRE(client.Ask(kPing) == "+PONG");
-    fleet.world.ServeFor(50ms);
+    fleet.stubs.ServeFor(50ms);
   }
 }
 
@@ -32,9 +32,9 @@
   for (int round = 0; Clock::now() < until; ++round) {
     for (std::size_t i = 0; i < clients.size(); ++i) {
       clients[i].Put("a-" + std::to_string(i) + "-" + std::to_string(round));
-      REQUIRE_FALSE(clients[i].Line().empty());
+      REQUIRE_FALSE(clients[i].ReadLine().empty());
     }
-    while (fleet.world.CallWithin(50ms)) fleet.world.Answer(fleet.world.NextCall(), "200 OK");
+    while (fleet.stubs.CallArrivesWithin(50ms)) fleet.stubs.Answer(fleet.stubs.NextCall(), "200 OK");
   }
 }
 
@@ -44,7 +44,7 @@
   for (Client& client : clients) {
     const long before = client.Counters()["legs"];
     client.Put("late-" + std::to_string(&client - &clients.front()), "hello", 8000, ",k=key1,dest=8");
-    client.Line();
+    client.ReadLine();
     calls += client.Counters()["legs"] > before;
   }
   return calls;
@@ -53,27 +53,27 @@
 // Ends the subscription in the middle of the change that contains the drain of host b. From then on discovery
 // refuses all calls. Returns the time at which discovery had the change.
 Clock::time_point BreakChange(Fleet& fleet) {
-  fleet.world.refusing = true;
-  fleet.world.SetStateUntold("b", "Terminating");
+  fleet.stubs.discovery_refuses = true;
+  fleet.stubs.SetStateWithoutPush("b", "Terminating");
   const auto changed_at = Clock::now();
-  fleet.world.TellText("{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"b\",");
-  fleet.world.EndWatches();
+  fleet.stubs.PushChunk("{\"version\":2,\"full\":false,\"servers\":[{\"id\":\"b\",");
+  fleet.stubs.CloseWatches();
   return changed_at;
 }
 
 TEST_CASE("no call to a draining host after a truncated change and a move of discovery and SIGTERM") {
   Fleet fleet(4);
   fleet.Start();
-  fleet.UntilEachHas("list_changes", 2);
+  fleet.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
   const auto changed_at = BreakChange(fleet);
-  fleet.UntilEachHas("list_failures", 2);
-  fleet.world.MoveDiscovery();
+  fleet.WaitForEachCounter("list_failures", 2);
+  fleet.stubs.MoveDiscovery();
   fleet.ReloadAll();
-  fleet.UntilEachHas("reloads", 1);
-  KeepPinging(fleet, clients, changed_at + kKnownWithin - 2700ms);
+  fleet.WaitForEachCounter("reloads", 1);
+  KeepPinging(fleet, clients, changed_at + kChangeKnownWithin - 2700ms);
   for (const RelayProcess& relay : fleet.relays) relay.Signal(SIGTERM);
-  KeepSendingMessages(fleet, clients, changed_at + kKnownWithin);
+  KeepSendingMessages(fleet, clients, changed_at + kChangeKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
 }
 
@@ -81,16 +81,16 @@
     "no call to a draining host while discovery refuses calls and waiting messages go out once it answers") {
   Fleet fleet(4);
   fleet.Start();
-  fleet.UntilEachHas("list_changes", 2);
+  fleet.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
   const auto changed_at = BreakChange(fleet);
-  KeepPinging(fleet, clients, changed_at + kKnownWithin);
+  KeepPinging(fleet, clients, changed_at + kChangeKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
   clients.front().Put("id-a", "hello", 8000, ",k=key2,dest=7");
-  CHECK(clients.front().Line() == "+OK");
-  CHECK_FALSE(fleet.world.CallWithin(500ms));
-  fleet.world.refusing = false;
-  CHECK(fleet.world.NextCall().id() == "id-a");
+  CHECK(clients.front().ReadLine() == "+OK");
+  CHECK_FALSE(fleet.stubs.CallArrivesWithin(500ms));
+  fleet.stubs.discovery_refuses = false;
+  CHECK(fleet.stubs.NextCall().id() == "id-a");
 }
 
 // Guards against a lost drain, as the soak test found it: SIGHUP closed the connection to discovery together
@@ -98,20 +98,21 @@
 TEST_CASE("a drain that discovery sends from its old address after SIGHUP is applied") {
   Fleet fleet(1);
   fleet.Start();
-  fleet.UntilEachHas("list_changes", 2);
+  fleet.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
-  fleet.world.silent = true;  // at the new address
-  fleet.world.MoveDiscovery();
+  fleet.stubs.discovery_silent = true;  // at the new address
+  fleet.stubs.MoveDiscovery();
   fleet.ReloadAll();
-  fleet.UntilEachHas("reloads", 1);
-  fleet.world.SetStateUntold("b", "Terminating");
-  fleet.world.TellLeft({{"version", 2}, {"full", false}, {"servers", {fleet.world.Entry("b")}}});
+  fleet.WaitForEachCounter("reloads", 1);
+  fleet.stubs.SetStateWithoutPush("b", "Terminating");
+  fleet.stubs.PushChangeToOldAddress(
+      {{"version", 2}, {"full", false}, {"servers", {fleet.stubs.ListEntry("b")}}});
   const auto told_at = Clock::now();
   KeepPinging(fleet, clients, told_at + 250ms);  // the grace period
   CHECK(CallsToDraining(clients) == 0);
   clients.front().Put("id-a", "hello", 8000, ",k=key2,dest=7");
-  CHECK(clients.front().Line() == "+OK");
-  CHECK(fleet.world.NextCall().id() == "id-a");
+  CHECK(clients.front().ReadLine() == "+OK");
+  CHECK(fleet.stubs.NextCall().id() == "id-a");
 }
 
 // Guards against a call during a requested wait, as the soak test found it with seed 1 in 1 of 12 runs: a
@@ -119,25 +120,25 @@
 // the host that answered had already taken over the address of the host that the call was meant for. The wait
 // was stored under the id of the old host, and it was lost with the first list that named the new one.
 TEST_CASE("a wait requested at an address binds the host that has taken over the address") {
-  World world;
-  world.AddHost("old", 7);
-  RelayProcess relay(world);
+  StubServices stubs;
+  stubs.AddHost("old", 7);
+  RelayProcess relay(stubs);
   relay.Start();
-  world.Until([&] { return world.standing() == 1; });
+  stubs.WaitUntil([&] { return stubs.open_watches() == 1; });
   Client client(relay);
   client.Put("id-1", "hello", 8000, ",k=key1,dest=7");
-  world.Answer(world.NextCall(), "429 Full", "Retry-After: 3\r\n");
-  REQUIRE(client.Line() == "+OK");
-  world.Until([&] { return client.Counters()["refused"] == 1; });
-  auto next = world.Entry("old");
+  stubs.Answer(stubs.NextCall(), "429 Full", "Retry-After: 3\r\n");
+  REQUIRE(client.ReadLine() == "+OK");
+  stubs.WaitUntil([&] { return client.Counters()["refused"] == 1; });
+  auto next = stubs.ListEntry("old");
   next["id"] = "new";
-  auto gone = world.Entry("old");
+  auto gone = stubs.ListEntry("old");
   gone["state"] = "Gone";
-  world.Tell({{"version", 2}, {"full", false}, {"servers", {gone, next}}});
-  world.Until([&] { return client.Counters()["list_changes"] == 3; });
+  stubs.PushChange({{"version", 2}, {"full", false}, {"servers", {gone, next}}});
+  stubs.WaitUntil([&] { return client.Counters()["list_changes"] == 3; });
   client.Put("id-2", "hello", 8000, ",k=key2,dest=7");
-  REQUIRE(client.Line() == "+OK");
-  CHECK_FALSE(world.CallWithin(1500ms));
+  REQUIRE(client.ReadLine() == "+OK");
+  CHECK_FALSE(stubs.CallArrivesWithin(1500ms));
 }
 
 // Guards against a lease that is renewed from the time at which a heartbeat is read. A heartbeat that was
@@ -147,28 +148,28 @@
 TEST_CASE("a heartbeat that was unread while its relay was suspended does not renew the list lease") {
   Fleet fleet(1);
   fleet.Start();
-  fleet.UntilEachHas("list_changes", 2);
+  fleet.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
   RelayProcess& relay = fleet.relays.front();
-  relay.Halt();
-  fleet.world.TellText("\n");
-  fleet.world.heartbeats = false;
-  fleet.world.silent = true;
-  fleet.world.SetStateUntold("b", "Terminating");
+  relay.Suspend();
+  fleet.stubs.PushChunk("\n");
+  fleet.stubs.discovery_heartbeats = false;
+  fleet.stubs.discovery_silent = true;
+  fleet.stubs.SetStateWithoutPush("b", "Terminating");
   const auto changed_at = Clock::now();
-  fleet.Pass(2500ms);
-  relay.GoOn();
-  KeepPinging(fleet, clients, changed_at + kKnownWithin);
+  fleet.WaitFor(2500ms);
+  relay.Resume();
+  KeepPinging(fleet, clients, changed_at + kChangeKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
 }
 
 TEST_CASE("a new process whose discovery calls are refused calls no host 6 s after its start") {
   Fleet fleet(4);
-  fleet.world.refusing = true;
+  fleet.stubs.discovery_refuses = true;
   fleet.Start();
   std::deque<Client> clients = ConnectClients(fleet);
-  fleet.world.SetStateUntold("b", "Terminating");
-  KeepPinging(fleet, clients, Clock::now() + kKnownWithin);
+  fleet.stubs.SetStateWithoutPush("b", "Terminating");
+  KeepPinging(fleet, clients, Clock::now() + kChangeKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
 }
 
@@ -178,16 +179,16 @@
 void CheckCallsInOutage(bool in_change, bool still_called) {
   Fleet fleet(1);
   fleet.Start();
-  fleet.UntilEachHas("list_changes", 2);
+  fleet.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
-  fleet.world.refusing = true;
-  fleet.world.refuses_after = 2s;
-  if (in_change) fleet.world.TellText("{\"version\":2,");
-  fleet.world.EndWatches();
-  KeepPinging(fleet, clients, Clock::now() + kKnownWithin + 3s);
+  fleet.stubs.discovery_refuses = true;
+  fleet.stubs.discovery_refusal_delay = 2s;
+  if (in_change) fleet.stubs.PushChunk("{\"version\":2,");
+  fleet.stubs.CloseWatches();
+  KeepPinging(fleet, clients, Clock::now() + kChangeKnownWithin + 3s);
   clients.front().Put("id-a", "hello", 8000, ",k=key1,dest=7");
-  CHECK(clients.front().Line() == "+OK");
-  CHECK(fleet.world.CallWithin(500ms) == still_called);
+  CHECK(clients.front().ReadLine() == "+OK");
+  CHECK(fleet.stubs.CallArrivesWithin(500ms) == still_called);
 }
 
 TEST_CASE("hosts are still called during an outage of discovery that is recognized as one") {
@@ -203,13 +204,13 @@
 TEST_CASE("hosts are still called while connections to discovery are refused") {
   Fleet fleet(1);
   fleet.Start();
-  fleet.UntilEachHas("list_changes", 2);
+  fleet.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
-  fleet.world.CloseDiscovery();
-  KeepPinging(fleet, clients, Clock::now() + kKnownWithin + 2s);
+  fleet.stubs.CloseDiscovery();
+  KeepPinging(fleet, clients, Clock::now() + kChangeKnownWithin + 2s);
   clients.front().Put("id-a", "hello", 8000, ",k=key1,dest=7");
-  CHECK(clients.front().Line() == "+OK");
-  CHECK(fleet.world.NextCall().id() == "id-a");
+  CHECK(clients.front().ReadLine() == "+OK");
+  CHECK(fleet.stubs.NextCall().id() == "id-a");
 }
 
 }  // namespace
--- a/tests/relay/record_crossing_test.cpp
+++ b/tests/relay/record_crossing_test.cpp
@@ -13,27 +13,27 @@
 namespace {
 
 // Two hosts of one destination in two zones, and a relay that a Tracer can stop between system calls.
-struct TracedRelay : Crossing {
-  TracedRelay() { world.AddHost("b", 7, "east-room"); }
+struct TracedRelay : RelayFixture {
+  TracedRelay() { stubs.AddHost("b", 7, "east-room"); }
   int PortOf(const std::string& host) const {
-    const std::string address = world.Entry(host).at("addr");
+    const std::string address = stubs.ListEntry(host).at("addr");
     return std::stoi(address.substr(address.rfind(':') + 1));
   }
   void KillAndRestart() {
     relay.Signal(SIGKILL);
-    CHECK(relay.WaitForEnd() == -SIGKILL);
+    CHECK(relay.WaitForExit() == -SIGKILL);
     relay.Start();
   }
   // Checks that the running process recovers one message, attempts it once and delivers it, in `zone` if
   // given.
   void CheckRecoveredAndDelivered(const std::string& zone = "") {
-    const HttpRequest call = world.NextCall();
+    const HttpRequest call = stubs.NextCall();
     CHECK(call.id() == "id-1");
     CHECK(call.headers.at("idempotency-key") == "key1");
-    if (!zone.empty()) CHECK(world.Entry(world.HostOf(call)).at("zone") == zone);
-    world.Answer(call, "200 OK");
+    if (!zone.empty()) CHECK(stubs.ListEntry(stubs.HostOf(call)).at("zone") == zone);
+    stubs.Answer(call, "200 OK");
     Client client(relay);
-    UntilCount(client, "delivered", 1);
+    WaitForCounter(client, "delivered", 1);
     CHECK(client.Counters()["recovered"] == 1);
     CHECK(client.Counters()["legs"] == 1);
     CHECK(client.Counters()["held"] == 0);
@@ -41,11 +41,11 @@
   // Starts the next process and checks that it waits for the zone of that host, although the host in the
   // other zone is ready.
   void StartAndCheckStaysInZone(const std::string& host) {
-    world.SetState(host, "Terminating");
+    stubs.SetState(host, "Terminating");
     relay.Start();
     CHECK(Client(relay).Counters()["legs"] == 0);
-    world.SetState(host, "Ready");
-    CheckRecoveredAndDelivered(world.Entry(host).at("zone"));
+    stubs.SetState(host, "Ready");
+    CheckRecoveredAndDelivered(stubs.ListEntry(host).at("zone"));
   }
 };
 
@@ -56,15 +56,15 @@
   fixture.relay.Start();
   {
     Client client(fixture.relay);
-    Tracer tracer(fixture.world, fixture.relay.pid());
+    Tracer tracer(fixture.stubs, fixture.relay.pid());
     client.Put("id-1");
-    tracer.UntilJournalled(1);
+    tracer.RunUntilJournalWrites(1);
     fixture.relay.Signal(SIGKILL);
     tracer.Detach();
-    CHECK(client.Line().empty());
+    CHECK(client.ReadLine().empty());
   }
-  CHECK(fixture.relay.WaitForEnd() == -SIGKILL);
-  CHECK_FALSE(fixture.world.CallWithin(0ms));
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(0ms));
   fixture.relay.Start();
   fixture.CheckRecoveredAndDelivered();
 }
@@ -73,14 +73,14 @@
   TracedRelay fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  Tracer tracer(fixture.world, fixture.relay.pid());
+  Tracer tracer(fixture.stubs, fixture.relay.pid());
   client.Put("id-1");
-  tracer.UntilJournalled(1);
+  tracer.RunUntilJournalWrites(1);
   fixture.relay.Signal(SIGTERM);
   tracer.Detach();
-  CHECK(client.Line() == "+OK");
-  fixture.world.Answer(fixture.world.NextCall(), "200 OK");
-  CHECK(fixture.relay.WaitForEnd() == 0);
+  CHECK(client.ReadLine() == "+OK");
+  fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
+  CHECK(fixture.relay.WaitForExit() == 0);
   CHECK(fixture.relay.log().find("delivered=1\n") != std::string::npos);
 }
 
@@ -91,16 +91,16 @@
   std::string host;
   {
     Client client(fixture.relay);
-    Tracer tracer(fixture.world, fixture.relay.pid());
+    Tracer tracer(fixture.stubs, fixture.relay.pid());
     client.Put("id-1");
-    tracer.UntilJournalled(2);
-    fixture.world.Until([&] { return fixture.world.connections_to_hosts() == 1; });
-    host = fixture.world.last_connected();
+    tracer.RunUntilJournalWrites(2);
+    fixture.stubs.WaitUntil([&] { return fixture.stubs.connections_to_hosts() == 1; });
+    host = fixture.stubs.last_connected_host();
     fixture.relay.Signal(SIGKILL);
     tracer.Detach();
   }
-  CHECK(fixture.relay.WaitForEnd() == -SIGKILL);
-  CHECK_FALSE(fixture.world.CallWithin(0ms));
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
+  CHECK_FALSE(fixture.stubs.CallArrivesWithin(0ms));
   fixture.StartAndCheckStaysInZone(host);
 }
 
@@ -108,14 +108,14 @@
   TracedRelay fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  Tracer tracer(fixture.world, fixture.relay.pid());
+  Tracer tracer(fixture.stubs, fixture.relay.pid());
   client.Put("id-1");
-  tracer.UntilJournalled(2);
+  tracer.RunUntilJournalWrites(2);
   fixture.relay.Signal(SIGTERM);
   tracer.Detach();
-  CHECK(client.Line() == "+OK");
-  fixture.world.Answer(fixture.world.NextCall(), "200 OK");
-  CHECK(fixture.relay.WaitForEnd() == 0);
+  CHECK(client.ReadLine() == "+OK");
+  fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
+  CHECK(fixture.relay.WaitForExit() == 0);
   CHECK(fixture.relay.log().find("legs=1\n") != std::string::npos);
   CHECK(fixture.relay.log().find("delivered=1\n") != std::string::npos);
 }
@@ -127,16 +127,16 @@
   {
     Client client(fixture.relay);
     client.Put("id-1");
-    REQUIRE(client.Line() == "+OK");
-    const HttpRequest call = fixture.world.NextCall();
-    host = fixture.world.HostOf(call);
-    Tracer tracer(fixture.world, fixture.relay.pid());
-    fixture.world.Answer(call, "200 OK");
-    tracer.UntilReceivedFrom(fixture.PortOf(host));
+    REQUIRE(client.ReadLine() == "+OK");
+    const HttpRequest call = fixture.stubs.NextCall();
+    host = fixture.stubs.HostOf(call);
+    Tracer tracer(fixture.stubs, fixture.relay.pid());
+    fixture.stubs.Answer(call, "200 OK");
+    tracer.RunUntilReceivedFrom(fixture.PortOf(host));
     fixture.relay.Signal(SIGKILL);
     tracer.Detach();
   }
-  CHECK(fixture.relay.WaitForEnd() == -SIGKILL);
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
   fixture.StartAndCheckStaysInZone(host);
 }
 
@@ -146,15 +146,15 @@
   {
     Client client(fixture.relay);
     client.Put("id-1");
-    REQUIRE(client.Line() == "+OK");
-    const HttpRequest call = fixture.world.NextCall();
-    Tracer tracer(fixture.world, fixture.relay.pid());
-    fixture.world.Answer(call, "200 OK");
-    tracer.UntilReceivedFrom(fixture.PortOf(fixture.world.HostOf(call)));
+    REQUIRE(client.ReadLine() == "+OK");
+    const HttpRequest call = fixture.stubs.NextCall();
+    Tracer tracer(fixture.stubs, fixture.relay.pid());
+    fixture.stubs.Answer(call, "200 OK");
+    tracer.RunUntilReceivedFrom(fixture.PortOf(fixture.stubs.HostOf(call)));
     fixture.relay.Signal(SIGTERM);
     tracer.Detach();
   }
-  CHECK(fixture.relay.WaitForEnd() == 0);
+  CHECK(fixture.relay.WaitForExit() == 0);
   fixture.relay.Start();
   Client client(fixture.relay);
   CHECK(client.Counters()["recovered"] == 0);
@@ -168,27 +168,27 @@
   {
     Client client(fixture.relay);
     client.Put("id-1");
-    REQUIRE(client.Line() == "+OK");
-    const HttpRequest call = fixture.world.NextCall();
-    Tracer tracer(fixture.world, fixture.relay.pid());
-    fixture.world.Answer(call, "500 No");
-    tracer.UntilJournalled(2);  // the attempt's end, then the message's
+    REQUIRE(client.ReadLine() == "+OK");
+    const HttpRequest call = fixture.stubs.NextCall();
+    Tracer tracer(fixture.stubs, fixture.relay.pid());
+    fixture.stubs.Answer(call, "500 No");
+    tracer.RunUntilJournalWrites(2);  // the attempt's end, then the message's
     fixture.relay.Signal(SIGKILL);
     tracer.Detach();
   }
-  CHECK(fixture.relay.WaitForEnd() == -SIGKILL);
-  CHECK(fixture.world.notices.empty());
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
+  CHECK(fixture.stubs.notices.empty());
   fixture.relay.Start();
-  CHECK(fixture.world.NoticeOf("id-1").at("status") == "undeliverable");
+  CHECK(fixture.stubs.WaitForNotice("id-1").at("status") == "undeliverable");
   {
     Client client(fixture.relay);
-    fixture.UntilCount(client, "notices_taken", 1);
+    fixture.WaitForCounter(client, "notices_taken", 1);
   }
-  fixture.world.notices.clear();
+  fixture.stubs.notices.clear();
   fixture.KillAndRestart();
   Client client(fixture.relay);
   CHECK(client.Counters()["recovered_notices"] == 0);
-  CHECK(fixture.world.notices.empty());
+  CHECK(fixture.stubs.notices.empty());
 }
 
 // A relay that is still starting must shut down on SIGTERM like any other.
@@ -198,19 +198,19 @@
   {
     Client client(fixture.relay);
     client.Put("id-1");
-    REQUIRE(client.Line() == "+OK");
+    REQUIRE(client.ReadLine() == "+OK");
   }
-  const HttpRequest first = fixture.world.NextCall();
+  const HttpRequest first = fixture.stubs.NextCall();
   fixture.relay.Signal(SIGKILL);
-  CHECK(fixture.relay.WaitForEnd() == -SIGKILL);
+  CHECK(fixture.relay.WaitForExit() == -SIGKILL);
   fixture.relay.in_child = [] { raise(SIGSTOP); };
   fixture.relay.Spawn();
   int status = 0;
   REQUIRE(waitpid(fixture.relay.pid(), &status, WUNTRACED) == fixture.relay.pid());
-  Tracer tracer(fixture.world, fixture.relay.pid());
+  Tracer tracer(fixture.stubs, fixture.relay.pid());
   fixture.relay.Signal(SIGCONT);
   int opened = 0;
-  tracer.Until([&](const Tracer::Call& call) {
+  tracer.RunUntil([&](const Tracer::Call& call) {
     // The program opens its own files first, then the lock of the state folder, then the journal.
     const bool open = call.number == SYS_openat && call.done && call.result >= 0;
     opened += open && tracer.FileOf(call.fd).ends_with("/journal");
@@ -218,8 +218,8 @@
   });
   for (const int number : {SIGHUP, SIGTERM}) fixture.relay.Signal(number);
   tracer.Detach();
-  fixture.world.Answer(fixture.world.NextCall(), "200 OK");
-  CHECK(fixture.relay.WaitForEnd() == 0);
+  fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
+  CHECK(fixture.relay.WaitForExit() == 0);
   CHECK(fixture.relay.log().find("delivered=1\n") != std::string::npos);
 }
 
--- a/tests/relay/restart_crossing_test.cpp
+++ b/tests/relay/restart_crossing_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // A relay that is killed and started again with messages in its journal.
-struct RestartFixture : Crossing {
+struct RestartFixture : RelayFixture {
   std::vector<Client> clients;
 
   nlohmann::json& settings() { return relay.config["settings"]; }
@@ -23,17 +23,17 @@
     std::string commands;
     for (int i = 0; i < messages; ++i) {
       const std::string id = "m-" + std::to_string(destination) + "-" + std::to_string(i);
-      commands +=
-          Client::PutText(id, "hello", deadline_ms, ",k=key-" + id + ",dest=" + std::to_string(destination));
+      commands += Client::PutCommand(id, "hello", deadline_ms,
+                                     ",k=key-" + id + ",dest=" + std::to_string(destination));
     }
     clients.emplace_back(relay);
     clients.back().socket().Send(commands);
-    for (int i = 0; i < messages; ++i) REQUIRE(clients.back().Line() == "+OK");
+    for (int i = 0; i < messages; ++i) REQUIRE(clients.back().ReadLine() == "+OK");
   }
   void Kill() {
     clients.clear();
     relay.Signal(SIGKILL);
-    CHECK(relay.WaitForEnd() == -SIGKILL);
+    CHECK(relay.WaitForExit() == -SIGKILL);
   }
   long Count(const char* counter) {
     Client client(relay);
@@ -48,16 +48,16 @@
   fixture.settings()["limits"]["max-open"] = 400;
   fixture.settings()["family-info"]["calls-out"] = 8;
   for (int destination = 100; destination < 100 + kDestinations; ++destination) {
-    fixture.world.AddHost("h" + std::to_string(destination), destination);
+    fixture.stubs.AddHost("h" + std::to_string(destination), destination);
     // No attempt is possible while the host refuses connections.
-    fixture.world.Stop("h" + std::to_string(destination));
+    fixture.stubs.StopHost("h" + std::to_string(destination));
   }
   fixture.relay.Start();
   for (int destination = 100; destination < 100 + kDestinations; ++destination)
     fixture.PutAll(kMessagesEach, destination);
   fixture.Kill();
   for (int destination = 100; destination < 100 + kDestinations; ++destination)
-    fixture.world.AddHost("h" + std::to_string(destination), destination);
+    fixture.stubs.AddHost("h" + std::to_string(destination), destination);
   const auto started_at = Clock::now();
   fixture.relay.Start();
   CHECK(Clock::now() - started_at < 1s);
@@ -65,21 +65,21 @@
   std::vector<HttpRequest> open;     // calls that are open at once, before any of them is answered
   int most_open = 0;
   const auto receive_calls = [&] {
-    while (fixture.world.CallWithin(0ms)) {
-      open.push_back(fixture.world.NextCall());
+    while (fixture.stubs.CallArrivesWithin(0ms)) {
+      open.push_back(fixture.stubs.NextCall());
       tried[open.back().id()] += 1;
       most_open = std::max(most_open, static_cast<int>(open.size()));
     }
   };
   const auto until = Clock::now() + 12s;
   while (tried.size() < kDestinations * kMessagesEach && Clock::now() < until) {
-    fixture.world.CallWithin(20ms);
+    fixture.stubs.CallArrivesWithin(20ms);
     receive_calls();
-    for (const HttpRequest& call : std::exchange(open, {})) fixture.world.Answer(call, "200 OK");
+    for (const HttpRequest& call : std::exchange(open, {})) fixture.stubs.Answer(call, "200 OK");
   }
   CHECK(most_open <= 8);
   Client client(fixture.relay);
-  fixture.UntilCount(client, "delivered", static_cast<long>(tried.size()));
+  fixture.WaitForCounter(client, "delivered", static_cast<long>(tried.size()));
   auto counters = client.Counters();
   INFO("tried " << tried.size() << " untried " << counters["recovered_untried"] << " recovered "
                 << counters["recovered"]);
@@ -95,31 +95,31 @@
   fixture.message_class()["repeat-window-s"] = 0.5;
   fixture.relay.Start();
   fixture.PutAll(1, 7);
-  fixture.world.NextCall();
+  fixture.stubs.NextCall();
   const auto sent = Clock::now();
   fixture.Kill();
-  fixture.Pass(sent + 520ms - Clock::now());
+  fixture.WaitFor(sent + 520ms - Clock::now());
   fixture.relay.Start();
-  CHECK(fixture.world.NoticeOf("m-7-0").at("status") == "undeliverable");
+  CHECK(fixture.stubs.WaitForNotice("m-7-0").at("status") == "undeliverable");
   CHECK(fixture.Count("legs") == 0);
 }
 
 TEST_CASE("a repeat window that ends while a repeat is still connecting stops the repeat") {
   RestartFixture fixture;
-  Narrow narrow(fixture.world, "narrow", 8);
+  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
   fixture.message_class()["repeat-window-s"] = 0.9;
   fixture.settings()["limits"]["connect-timeout-s"] = 5;
   fixture.relay.Start();
   fixture.PutAll(1, 8);
   Socket first = narrow.listener.Accept(5s);
   REQUIRE(first.Receive(5s).find("m-8-0") != std::string::npos);
-  narrow.Fill();
+  narrow.FillBacklog();
   first.Reset();  // the call may have run
   // On a machine too slow for the window there is no repeat, which is correct as well.
-  fixture.world.Until(
-      [&] { return fixture.Count("legs") == 2 || fixture.world.notices.count("m-8-0") == 1; });
-  const Socket late = narrow.AcceptLate();  // the kernel repeats the connection request after 1 s
-  CHECK(fixture.world.NoticeOf("m-8-0").at("status") == "undeliverable");
+  fixture.stubs.WaitUntil(
+      [&] { return fixture.Count("legs") == 2 || fixture.stubs.notices.count("m-8-0") == 1; });
+  const Socket late = narrow.AcceptRelayConnection();  // the kernel repeats the connection request after 1 s
+  CHECK(fixture.stubs.WaitForNotice("m-8-0").at("status") == "undeliverable");
   CHECK((late.fd() < 0 || late.Receive(0ms).empty()));
 }
 
@@ -137,22 +137,22 @@
     fixture.message_class()["semantics"] = semantics.name;
     fixture.relay.Start();
     fixture.PutAll(2, 7);
-    const HttpRequest served = fixture.world.NextCall(), unanswered = fixture.world.NextCall();
-    fixture.world.Answer(served, "200 OK");
-    fixture.UntilCount(fixture.clients.back(), "delivered", 1);
+    const HttpRequest served = fixture.stubs.NextCall(), unanswered = fixture.stubs.NextCall();
+    fixture.stubs.Answer(served, "200 OK");
+    fixture.WaitForCounter(fixture.clients.back(), "delivered", 1);
     fixture.Kill();
     fixture.relay.Start();
     CHECK(fixture.Count("recovered") == 1);
     if (semantics.repeated) {
-      const HttpRequest call = fixture.world.NextCall();
+      const HttpRequest call = fixture.stubs.NextCall();
       CHECK(call.id() == unanswered.id());
-      fixture.world.Answer(call, "200 OK");
-      fixture.world.Until([&] { return fixture.Count("delivered") == 1; });
+      fixture.stubs.Answer(call, "200 OK");
+      fixture.stubs.WaitUntil([&] { return fixture.Count("delivered") == 1; });
     } else {
-      CHECK(fixture.world.NoticeOf(unanswered.id()).at("status") == "undeliverable");
+      CHECK(fixture.stubs.WaitForNotice(unanswered.id()).at("status") == "undeliverable");
     }
     CHECK(fixture.Count("legs") == (semantics.repeated ? 1 : 0));
-    CHECK(fixture.world.notices.count(served.id()) == 0);
+    CHECK(fixture.stubs.notices.count(served.id()) == 0);
   }
 }
 
@@ -164,21 +164,21 @@
     fixture.settings()["limits"]["max-open"] =
         43;  // 39 messages fit: close to the limit new ones are refused
     fixture.settings()["family-info"]["calls-out"] = 4;
-    fixture.world.AddHost("b", 8);
+    fixture.stubs.AddHost("b", 8);
     fixture.relay.Start();
     fixture.PutAll(20, 7);
     fixture.PutAll(19, 8);
     // Four calls are open and stay unanswered.
-    for (int i = 0; i < 4; ++i) fixture.world.NextCall();
+    for (int i = 0; i < 4; ++i) fixture.stubs.NextCall();
     fixture.Kill();
     fixture.settings()["limits"]["max-open"] = new_max_open;
     fixture.relay.Start();
     std::set<std::string> tried;
-    fixture.world.Until([&] {
-      while (fixture.world.CallWithin(0ms)) {
-        const HttpRequest call = fixture.world.NextCall();
+    fixture.stubs.WaitUntil([&] {
+      while (fixture.stubs.CallArrivesWithin(0ms)) {
+        const HttpRequest call = fixture.stubs.NextCall();
         tried.insert(call.id());
-        fixture.world.Answer(call, "200 OK");
+        fixture.stubs.Answer(call, "200 OK");
       }
       return fixture.Count("held") == 0;
     });
@@ -191,7 +191,7 @@
   RestartFixture fixture;
   fixture.relay.Start();
   fixture.PutAll(5, 7);
-  for (int i = 0; i < 5; ++i) fixture.world.NextCall();
+  for (int i = 0; i < 5; ++i) fixture.stubs.NextCall();
   fixture.Kill();
   const auto size = std::filesystem::file_size(fixture.relay.state() + "/journal");
   fixture.relay.in_child = [size] {
@@ -201,14 +201,14 @@
   };
   fixture.relay.Start();
   Client client(fixture.relay);
-  CHECK(client.Ask(Client::PutText("more", std::string(60'000, 'x'), 8000, ",k=k,dest=7")).substr(0, 5) ==
+  CHECK(client.Ask(Client::PutCommand("more", std::string(60'000, 'x'), 8000, ",k=k,dest=7")).substr(0, 5) ==
         "-BUSY");
   CHECK(client.Counters()["recovered"] == 5);
   fixture.Kill();
   fixture.relay.in_child = nullptr;
   fixture.relay.Start();
   std::set<std::string> tried;
-  while (tried.size() < 5) tried.insert(fixture.world.NextCall().id());
+  while (tried.size() < 5) tried.insert(fixture.stubs.NextCall().id());
 }
 
 }  // namespace
