--- a/tests/relay/crossing_test.cpp
+++ b/tests/relay/crossing_test.cpp
@@ -234,7 +234,7 @@
   client.Put("id-1", "hello", 20000, ",k=key1,dest=8");
   REQUIRE(client.Line() == "+OK");
   fixture.relay.UntilLog("settling");
-  const Socket stranger = narrow.listener.Accept(0ms);
+  const Socket blocking_connection = narrow.listener.Accept(0ms);
   CHECK(fixture.relay.WaitForEnd() == 0);
   const Socket late = narrow.listener.Accept(0ms);
   CHECK((late.fd() < 0 || late.Receive(0ms).empty()));
--- a/tests/relay/list_lease_test.cpp
+++ b/tests/relay/list_lease_test.cpp
@@ -52,7 +52,7 @@
 
 // Ends the subscription in the middle of the change that contains the drain of host b. From then on discovery
 // refuses all calls. Returns the time at which discovery had the change.
-Clock::time_point BreakChange(Fleet& fleet) {
+Clock::time_point TruncateChange(Fleet& fleet) {
   fleet.world.refusing = true;
   fleet.world.SetStateUntold("b", "Terminating");
   const auto changed_at = Clock::now();
@@ -66,7 +66,7 @@
   fleet.Start();
   fleet.UntilEachHas("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
-  const auto changed_at = BreakChange(fleet);
+  const auto changed_at = TruncateChange(fleet);
   fleet.UntilEachHas("list_failures", 2);
   fleet.world.MoveDiscovery();
   fleet.ReloadAll();
@@ -83,7 +83,7 @@
   fleet.Start();
   fleet.UntilEachHas("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
-  const auto changed_at = BreakChange(fleet);
+  const auto changed_at = TruncateChange(fleet);
   KeepPinging(fleet, clients, changed_at + kKnownWithin);
   CHECK(CallsToDraining(clients) == 0);
   clients.front().Put("id-a", "hello", 8000, ",k=key2,dest=7");
@@ -106,8 +106,8 @@
   fleet.UntilEachHas("reloads", 1);
   fleet.world.SetStateUntold("b", "Terminating");
   fleet.world.TellLeft({{"version", 2}, {"full", false}, {"servers", {fleet.world.Entry("b")}}});
-  const auto told_at = Clock::now();
-  KeepPinging(fleet, clients, told_at + 250ms);  // the grace period
+  const auto sent_at = Clock::now();
+  KeepPinging(fleet, clients, sent_at + 250ms);  // the grace period
   CHECK(CallsToDraining(clients) == 0);
   clients.front().Put("id-a", "hello", 8000, ",k=key2,dest=7");
   CHECK(clients.front().Line() == "+OK");
