--- a/tests/relay/crossing_test.cpp
+++ b/tests/relay/crossing_test.cpp
@@ -234,7 +234,7 @@
   client.Put("id-1", "hello", 20000, ",k=key1,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
   fixture.relay.WaitForLog("settling");
-  const Socket stranger = narrow.listener.Accept(0ms);
+  const Socket blocking_connection = narrow.listener.Accept(0ms);
   CHECK(fixture.relay.WaitForExit() == 0);
   const Socket late = narrow.listener.Accept(0ms);
   CHECK((late.fd() < 0 || late.Receive(0ms).empty()));
