--- a/src/apps/oxbowfloor.cpp
+++ b/src/apps/oxbowfloor.cpp
@@ -81,7 +81,7 @@
   }
 
   void Put(std::vector<std::string> command, Client& from) {
-    const journal::Message a = client::ReadPut(std::move(command), net::Loop::UnixNow());
+    const journal::Message a = client::ParsePut(std::move(command), net::Loop::UnixNow());
     Write(a.body.size() + 100);
     from.Say("+OK\r\n");
     Write(kRecord);
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -34,14 +34,14 @@
 using namespace oxbowspread;
 using relay::Phase;
 
-using relay::kDoorOpen;
-using relay::kLookEach;
-using relay::kSettleAt;
-using relay::kStopAt;
+using relay::kExitAfter;
+using relay::kKeepAccepting;
+using relay::kPollInterval;
+using relay::kStopSendingAfter;
 constexpr net::Time kPausedLookEach = 100ms;
 // A new process is wanted ready 6 s after its start; the old one may be a moment from being able to give
 // over.
-constexpr handover::Limit kTakeWithin = 5s;
+constexpr handover::Timeout kTakeWithin = 5s;
 
 static_assert(config::Config::kDoorDescriptors == door::Door::kDescriptors,
               "set apart as many as the door takes");
@@ -59,7 +59,7 @@
 
 class WallClock final : public relay::Clock {
  public:
-  explicit WallClock(net::Loop& loop) : timer_(loop, [this] { relay_->Turn(); }) {}
+  explicit WallClock(net::Loop& loop) : timer_(loop, [this] { relay_->ProcessEvents(); }) {}
   void Attach(relay::Relay& relay) { relay_ = &relay; }
   relay::Time Now() const override { return net::Loop::Now(); }
   relay::Time UnixNow() const override { return net::Loop::UnixNow(); }
@@ -76,15 +76,15 @@
   return *address;
 }
 
-class Program final : public handover::Giver::Owner {
+class Program final : public handover::HandoverSender::Owner {
  public:
-  Program(const config::Config& c, Options options, handover::Start start)
+  Program(const config::Config& c, Options options, handover::StartupState start)
       : config_(c),
         options_(std::move(options)),
         start_(std::move(start)),
         phases_([this](Phase phase) { Entered(phase); }),
         discovery_address_(AddressOf("discovery", c.discovery)),
-        journal_(c.state, c.disk_bytes, start_.StillOut()),
+        journal_(c.state, c.disk_bytes, start_.InFlightIds()),
         clock_(loop_),
         endpoints_(loop_, LimitsOf(c), counters_),
         attempts_(
@@ -106,7 +106,7 @@
     attempts_.Attach(relay_);
     discovery_.Attach(relay_);
     notices_.Attach(relay_);
-    counters_.journal_cut_bytes = journal_.cut_bytes();
+    counters_.journal_cut_bytes = journal_.truncated_bytes();
     if (!config_.mgmt.empty()) {
       door_.emplace(loop_, AddressOf("mgmt", config_.mgmt),
                     [this](const door::Call& call) { return Operate(call); });
@@ -156,30 +156,31 @@
             routing::ReadList(config_.known, NamesOf(config_)).value_or(routing::List()).change;
         known.scope = wheathub::ListScope::kRemembered;
         const bool taken = start_.channel.has_value();
-        discovery_.Known(taken ? start_.estate.table.revision : known.revision);
-        if (taken) attempts_.TakeOver(std::move(*start_.channel), start_.estate.out);
-        relay_.Recover(known, taken ? &start_.estate : nullptr);
-        endpoints_.TakeWaits(start_.estate);
+        discovery_.Known(taken ? start_.state.routing_table.revision : known.revision);
+        if (taken) attempts_.TakeOver(std::move(*start_.channel), start_.state.in_flight);
+        relay_.Recover(known, taken ? &start_.state : nullptr);
+        endpoints_.TakeWaits(start_.state);
         std::optional<wheathub::ListLease::Inherited> lease;
-        if (taken) lease = {start_.estate.list_valid_until};
+        if (taken) lease = {start_.state.list_valid_until};
         discovery_.Start(ListOptionsOf(config_), ~config_.seed, lease);
         if (taken) {
           std::cout << config_.name << ": took over " << start_.clients.size() << " clients and "
-                    << start_.estate.out.size() << " attempts that go on in the old process" << std::endl;
+                    << start_.state.in_flight.size() << " attempts that go on in the old process"
+                    << std::endl;
         }
         std::cout << config_.name << ": " << counters_.recovered << " messages and "
-                  << counters_.recovered_notices << " notices owed, " << journal_.cut_bytes()
+                  << counters_.recovered_notices << " notices owed, " << journal_.truncated_bytes()
                   << " torn bytes cut" << std::endl;
         break;
       }
       case Phase::kServing:
         // Not before: whoever can connect is answered, and a PING must mean that all is ready.
         if (clients_) {
-          clients_->OpenDoor();
+          clients_->StartListening();
         } else {
           clients_.emplace(loop_, AddressOf("listen", config_.listen), config_.listen_fd,
                            config_.most_clients(), relay_, counters_, [this] { return Text(); });
-          for (const client::Passed& client : start_.clients) clients_->TakeUp(client);
+          for (const client::ClientState& client : start_.clients) clients_->RestoreClient(client);
           start_.clients.clear();
           if (config_.listen_fd >= 0) OpenHandover();
         }
@@ -190,14 +191,14 @@
         [[fallthrough]];
       case Phase::kDraining:
         asked_at_ = net::Loop::Now();
-        step_.After(kDoorOpen);
+        step_.After(kKeepAccepting);
         break;
       case Phase::kSettling:
-        relay_.Settle();
-        if (clients_) clients_->SendAway();
+        relay_.StopSending();
+        if (clients_) clients_->CloseWhenIdle();
         break;
-      case Phase::kGiven:
-        step_.After(kLookEach);
+      case Phase::kHandedOver:
+        step_.After(kPollInterval);
         break;
       case Phase::kStopped:
         loop_.Stop();
@@ -208,19 +209,20 @@
   // After SIGTERM: the door, then the last sends, then the end; as soon as nothing is owed and nobody asks,
   // all but the door without waiting.
   void Look() {
-    if (phases_.now() == Phase::kServing) return;  // resumed
-    if (phases_.now() == Phase::kGiven) return LookGiven();
+    if (phases_.current() == Phase::kServing) return;  // resumed
+    if (phases_.current() == Phase::kHandedOver) return LookGiven();
     const net::Time since = net::Loop::Now() - asked_at_;
     drain_ms_ = since / 1ms;
-    if (!std::exchange(door_closed_, true)) clients_->CloseDoor();
-    if (phases_.now() == Phase::kPaused) return LookPaused(since);
-    const net::Time quiet = net::Loop::Now() - std::max(asked_at_, clients_->quiet_since());
-    const bool empty = relay_.done() && relay_.out() == 0 && quiet >= kDoorOpen;
-    if (empty || since >= kSettleAt) phases_.Enter(Phase::kSettling);
+    if (!std::exchange(door_closed_, true)) clients_->StopListening();
+    if (phases_.current() == Phase::kPaused) return LookPaused(since);
+    const net::Time quiet = net::Loop::Now() - std::max(asked_at_, clients_->idle_since());
+    const bool empty = relay_.done() && relay_.in_flight() == 0 && quiet >= kKeepAccepting;
+    if (empty || since >= kStopSendingAfter) phases_.Enter(Phase::kSettling);
     // What a client has begun is answered, and its answer reaches it: both take no longer than it does.
-    const bool settled = phases_.now() == Phase::kSettling && relay_.out() == 0 && clients_->clients() == 0;
-    if (settled || since >= kStopAt) return End();
-    step_.After(kLookEach);
+    const bool settled =
+        phases_.current() == Phase::kSettling && relay_.in_flight() == 0 && clients_->clients() == 0;
+    if (settled || since >= kExitAfter) return End();
+    step_.After(kPollInterval);
   }
 
   // An answer that has come by now is on record: after a stop of the process timers are called before reads.
@@ -231,17 +233,17 @@
 
   // An operator's drain: clients leave as at the end, but nothing hurries what is held.
   void LookPaused(net::Time since) {
-    const net::Time quiet = net::Loop::Now() - std::max(asked_at_, clients_->quiet_since());
-    if (since >= kSettleAt || quiet >= kDoorOpen) {
+    const net::Time quiet = net::Loop::Now() - std::max(asked_at_, clients_->idle_since());
+    if (since >= kStopSendingAfter || quiet >= kKeepAccepting) {
       sent_away_ = true;
-      clients_->SendAway();  // again and again: one that was asking may rest by now
+      clients_->CloseWhenIdle();  // again and again: one that was asking may rest by now
     }
     step_.After(kPausedLookEach);
   }
   // Nobody can hand anything in, and nothing is owed any more.
   bool settled() const {
-    return phases_.now() == Phase::kPaused && sent_away_ && clients_->clients() == 0 && relay_.done() &&
-           relay_.out() == 0;
+    return phases_.current() == Phase::kPaused && sent_away_ && clients_->clients() == 0 && relay_.done() &&
+           relay_.in_flight() == 0;
   }
 
   // ---- handover to the next process ----
@@ -254,32 +256,33 @@
       std::cerr << config_.name << ": no handover can be asked for: " << e.what() << std::endl;
     }
   }
-  std::optional<std::string> Unable() const override {
-    if (phases_.now() == Phase::kServing) return std::nullopt;
-    return "the process that has it is " + std::string(relay::NameOf(phases_.now()));
+  std::optional<std::string> RefusalReason() const override {
+    if (phases_.current() == Phase::kServing) return std::nullopt;
+    return "the process that has it is " + std::string(relay::NameOf(phases_.current()));
   }
-  relay::Estate Freeze() override {
-    relay::Estate estate = relay_.Freeze();
-    estate.waits = endpoints_.Waits();
+  relay::HandoverState PrepareHandover() override {
+    relay::HandoverState estate = relay_.PrepareHandover();
+    estate.host_waits = endpoints_.Waits();
     estate.address_waits = endpoints_.AddressWaits();
     estate.list_valid_until = discovery_.list_valid_until();
     return estate;
   }
-  std::vector<client::Passed> Clients() const override { return clients_->passed(); }
+  std::vector<client::ClientState> Clients() const override { return clients_->ExportState(); }
   int LockFd() const override { return start_.lock->fd(); }
-  void Given() override {
-    relay_.Given([this](const std::string& id, const relay::AttemptEnd& end) { old_->Tell(id, end); });
+  void CompleteHandover() override {
+    relay_.CompleteHandover(
+        [this](const std::string& id, const relay::AttemptResult& end) { old_->SendAttemptEnded(id, end); });
     clients_.reset();
     discovery_.Stop();
     notices_.Stop();
     endpoints_.CloseAllIdle();
     control_.reset();
     start_.lock->Release();
-    phases_.Enter(Phase::kGiven);
+    phases_.Enter(Phase::kHandedOver);
   }
-  void CutAttempt(const std::string& id) override { relay_.CutGiven(id); }
+  void CancelAttempt(const std::string& id) override { relay_.CancelHandedOver(id); }
   // Nobody serves any more, unless the platform wanted this process to end: it begins anew, from the journal.
-  void Orphaned() override {
+  void OnReceiverLost() override {
     if (end_by_ > net::Time(0)) return;
     std::cerr << config_.name << ": the process that took over has gone: starting anew" << std::endl;
     execv("/proc/self/exe", options_.argv);
@@ -287,13 +290,14 @@
     phases_.Enter(Phase::kStopped);
   }
   void AskedToEnd() {
-    if (phases_.now() == Phase::kGiven && end_by_ == net::Time(0)) end_by_ = net::Loop::Now() + kStopAt;
+    if (phases_.current() == Phase::kHandedOver && end_by_ == net::Time(0))
+      end_by_ = net::Loop::Now() + kExitAfter;
     phases_.Enter(Phase::kDraining);
   }
   void LookGiven() {
     const bool late = end_by_ > net::Time(0) && net::Loop::Now() >= end_by_;
-    if (late || relay_.out() == 0) return End();
-    step_.After(kLookEach);
+    if (late || relay_.in_flight() == 0) return End();
+    step_.After(kPollInterval);
   }
 
   // ---- the operators' door ----
@@ -305,12 +309,12 @@
     if (takes_host == call.argument.empty())
       return call.word + (takes_host ? " takes a host's id" : " takes nothing");
     if (!takes_host) {
-      if (phases_.now() == Phase::kServing) return std::nullopt;
-      return std::string(relay::NameOf(phases_.now()));
+      if (phases_.current() == Phase::kServing) return std::nullopt;
+      return std::string(relay::NameOf(phases_.current()));
     }
-    if (phases_.now() == Phase::kGiven) return old_->Operate(call.word, call.argument);
+    if (phases_.current() == Phase::kHandedOver) return old_->ForwardCommand(call.word, call.argument);
     const bool out = call.word == "exclude";
-    const auto why = out ? relay_.TakeOut(call.argument) : relay_.PutBack(call.argument);
+    const auto why = out ? relay_.ExcludeHost(call.argument) : relay_.IncludeHost(call.argument);
     std::cout << config_.name << ": " << call.word << " " << call.argument << ": " << why.value_or("done")
               << std::endl;
     return why;
@@ -325,11 +329,11 @@
       if (const auto why = Reload()) return control::Fault(*why);
       if (request.contains("stamp")) options_.stamp = control::TextOf(request, "stamp");
     } else if (op == "drain") {
-      if (phases_.now() > Phase::kPaused) return control::Fault("is ending already");
-      if (phases_.now() < Phase::kServing) return control::Fault("is not serving yet");
+      if (phases_.current() > Phase::kPaused) return control::Fault("is ending already");
+      if (phases_.current() < Phase::kServing) return control::Fault("is not serving yet");
       phases_.Enter(Phase::kPaused);
     } else if (op == "resume") {
-      if (phases_.now() > Phase::kPaused) return control::Fault("is ending already");
+      if (phases_.current() > Phase::kPaused) return control::Fault("is ending already");
       try {
         phases_.Resume();
       } catch (const std::exception& e) {
@@ -348,18 +352,18 @@
     control::Json status = {{"ok", true},
                             {"name", config_.name},
                             {"pid", getpid()},
-                            {"phase", relay::NameOf(phases_.now())},
+                            {"phase", relay::NameOf(phases_.current())},
                             {"settled", settled()},
                             {"stamp", options_.stamp},
                             {"state", config_.state},
                             {"listen", config_.listen},
                             {"clients", clients_ ? clients_->clients() : 0},
                             {"held", relay_.held()},
-                            {"out", relay_.out()}};
+                            {"out", relay_.in_flight()}};
     const relay::Counters& c = counters_;
     status["counters"] = {{"authorisations", c.messages},
-                          {"taken_on", c.taken_on},
-                          {"busy", c.busy_by_module + c.busy_full + c.busy_journal},
+                          {"taken_on", c.accepted},
+                          {"busy", c.rejected_by_decider + c.rejected_at_limit + c.rejected_by_journal},
                           {"delivered", c.delivered},
                           {"undeliverable", c.undeliverable},
                           {"deferred", c.deferred},
@@ -370,11 +374,11 @@
 
   // A file that can't be used must not end what runs: the running configuration stays, and the log tells why.
   std::optional<std::string> Reload() {
-    if (phases_.now() == Phase::kGiven) return "is given over";
+    if (phases_.current() == Phase::kHandedOver) return "is given over";
     try {
       config::Config next = config::Reread(config_);
       const net::Address discovery = AddressOf("discovery", next.discovery);
-      relay_.Renew(next.settings);  // throws before anything has changed
+      relay_.UpdateSettings(next.settings);  // throws before anything has changed
       for (const std::string& key : config::NeedingRestart(config_, next)) {
         std::cout << config_.name << ": reload: " << key << " stays as it is until a restart" << std::endl;
       }
@@ -388,7 +392,7 @@
       counters_.reloads += 1;
       std::cout << config_.name << ": reloaded, discovery at " << config_.discovery << std::endl;
       endpoints_.SetLimits(LimitsOf(config_));
-      if (clients_) clients_->SetMost(config_.most_clients());
+      if (clients_) clients_->SetMaxClients(config_.most_clients());
       if (old == config_.discovery) return std::nullopt;
       discovery_.MoveTo({discovery, config_.discovery});
       notices_.MoveTo(discovery, config_.discovery);
@@ -401,8 +405,8 @@
   }
 
   std::string Text() const {
-    return "phase=" + std::string(relay::NameOf(phases_.now())) + "\nheld=" + std::to_string(relay_.held()) +
-           "\nout=" + std::to_string(relay_.out()) +
+    return "phase=" + std::string(relay::NameOf(phases_.current())) +
+           "\nheld=" + std::to_string(relay_.held()) + "\nout=" + std::to_string(relay_.in_flight()) +
            "\njournal_bytes=" + std::to_string(journal_.file_bytes()) +
            "\ndrain_ms=" + std::to_string(drain_ms_) +
            "\nlist_age_ms=" + std::to_string(discovery_.age() / 1ms) + "\n" + counters_.Text();
@@ -411,19 +415,19 @@
 
   config::Config config_;
   Options options_;
-  handover::Start start_;  // the lock, and what was taken over until it is taken up
+  handover::StartupState start_;  // the lock, and what was taken over until it is taken up
   relay::Counters counters_;
   net::Loop loop_;
-  relay::Phases phases_;
+  relay::PhaseMachine phases_;
   net::Address discovery_address_;
   journal::Journal journal_;
   WallClock clock_;
   endpoint::Pool endpoints_;
-  handover::Attempts attempts_;
+  handover::TakeoverTransport attempts_;
   routing::Discovery discovery_;
   notice::Poster notices_;
   relay::Relay relay_;
-  std::optional<client::Clients> clients_;
+  std::optional<client::ClientServer> clients_;
   net::Signal end_, interrupt_, report_, reload_;
   net::Timer step_;
   net::Time asked_at_{0};
@@ -433,13 +437,13 @@
   bool sent_away_ = false;
   std::optional<control::Server> control_;
   std::optional<door::Door> door_;
-  std::optional<handover::OldProcess> old_;
+  std::optional<handover::HandoverServer> old_;
 };
 
 // The folder, and all that the process which has it gives over. What this one could fail by is tried before.
-handover::Start TakeStart(const config::Config& c) {
+handover::StartupState TakeStart(const config::Config& c) {
   if (c.listen_fd < 0) {
-    handover::Start start;
+    handover::StartupState start;
     start.lock = std::make_unique<journal::FolderLock>(c.state);
     return start;
   }
@@ -453,7 +457,7 @@
     net::Loop loop;
     net::Listener(loop, AddressOf("mgmt", c.mgmt), [](int fd) { close(fd); });
   }
-  return handover::Take(c.state, kTakeWithin);
+  return handover::AcquireState(c.state, kTakeWithin);
 }
 
 // What the file says, without starting anything: 0, or 2 and one line.
--- a/src/client/clients.cpp
+++ b/src/client/clients.cpp
@@ -15,289 +15,303 @@
 
 using namespace std::chrono_literals;
 
-// Of a connection's first command from the connect, of any other from its first byte: whoever sends nothing,
-// or never all of it, holds a descriptor that others need. The platform lets 3 s pass; some write for 2 s.
-constexpr net::Time kCommandWithin = 2700ms;
-constexpr net::Time kIdle = 10s;  // a client that has asked and kept its connection
-// One whose connection is ended here is waited for: closed at once over bytes that it was just sending, the
-// connection would be reset, and what it was answered lost on the way.
+// Time for a complete command: the first one counted from the connect, any other from its first byte. A
+// client that sends nothing or only part of a command holds a descriptor that others need. The platform
+// allows 3 s, and some clients take 2 s to write a command.
+constexpr net::Time kCommandTimeout = 2700ms;
+constexpr net::Time kIdleTimeout = 10s;  // connections that have sent a command and are kept open
+// After the last answer the connection stays open for this long. If it were closed while the client is
+// sending, it would be reset and the answer could be lost.
 constexpr net::Time kLinger = 300ms;
-constexpr int kMostWaiting = 1024;  // connections taken when the door closes
-// A client asks right after it has connected: one that hasn't begun by then, or whose command has not come on
-// for so long, is the first to give way.
-constexpr net::Time kAsksWithin = 300ms;
-constexpr net::Time kComesOnWithin = 700ms;
-// A command is taken out of the ring as it comes: hundreds of clients share the memory limit.
-constexpr std::size_t kRing = 32 * 1024;
+constexpr int kMaxPendingAccepts = 1024;  // connections accepted when listening stops
+// Clients send a command right after connecting. A connection that has not begun one within the first limit,
+// or whose incomplete command has not progressed within the second, is the first to be evicted.
+constexpr net::Time kFirstCommandTimeout = 300ms;
+constexpr net::Time kReceiveProgressTimeout = 700ms;
+// Commands are consumed from the buffer as they arrive, so the buffer can be small: hundreds of clients share
+// the memory limit.
+constexpr std::size_t kReceiveBufferBytes = 32 * 1024;
 
-bool Is(const std::string& word, const char* name) { return strcasecmp(word.c_str(), name) == 0; }
+bool IsCommand(const std::string& word, const char* name) { return strcasecmp(word.c_str(), name) == 0; }
 
 }  // namespace
 
 // ---- one client ----
 
-Client::Client(net::Loop& loop, int fd, Clients& all)
+Client::Client(net::Loop& loop, int fd, ClientServer& server)
     : loop_(loop),
-      all_(all),
-      connection_(loop, fd, *this, kRing),
-      timer_(loop, [this] { OnDue(); }),
-      next_(loop, [this] { GoOn(); }),
-      quiet_since_(net::Loop::Now()) {
-  timer_.After(kCommandWithin);
+      server_(server),
+      connection_(loop, fd, *this, kReceiveBufferBytes),
+      timer_(loop, [this] { OnTimeout(); }),
+      resume_timer_(loop, [this] { ResumeReading(); }),
+      idle_since_(net::Loop::Now()) {
+  timer_.After(kCommandTimeout);
 }
 
-void Client::OnBytes(proto::RingBuffer& in) {
-  came_at_ = net::Loop::Now();
-  if (!left_over_) arrived_since_ = loop_.earliest_arrival();
-  while (!waiting_ && !leaving_ && !in.empty() && connection_.connected()) {
-    in.Consume(parser_.Feed(in.Front()));
+void Client::OnBytes(proto::RingBuffer& input) {
+  last_received_at_ = net::Loop::Now();
+  if (!has_unread_) earliest_arrival_ = loop_.earliest_arrival();
+  while (!awaiting_answer_ && !disconnecting_ && !input.empty() && connection_.connected()) {
+    input.Consume(parser_.Feed(input.Front()));
     if (parser_.state() == proto::RespParser::State::kBad) {
-      all_.counters_.malformed += 1;
-      Say(proto::RespError(std::string("ERR Protocol error: ") + parser_.error()));
-      return Leave();
+      server_.counters_.malformed += 1;
+      Reply(proto::RespError(std::string("ERR Protocol error: ") + parser_.error()));
+      return Disconnect();
     }
-    if (parser_.state() == proto::RespParser::State::kCommand) Answer(parser_.Take());
+    if (parser_.state() == proto::RespParser::State::kCommand) HandleCommand(parser_.Take());
   }
-  left_over_ = !in.empty();
-  if (!connection_.connected() || waiting_ || leaving_) return;
-  Watch();
-  if (all_.closing_ && idle()) next_.After(net::Time(0));
+  has_unread_ = !input.empty();
+  if (!connection_.connected() || awaiting_answer_ || disconnecting_) return;
+  ArmTimer();
+  if (server_.closing_ && idle()) resume_timer_.After(net::Time(0));
 }
 
-// Over a command that doesn't get whole, and over a client that has asked and rests.
-void Client::Watch() {
-  const bool rests = idle() && asked_;
-  if (rests == resting_ && timer_.active()) return;
-  resting_ = rests;
-  timer_.After(rests ? kIdle : kCommandWithin);
+// Runs the timer with the limit for an incomplete command or for an idle connection.
+void Client::ArmTimer() {
+  const bool is_idle = idle() && has_requested_;
+  if (is_idle == idle_timer_running_ && timer_.active()) return;
+  idle_timer_running_ = is_idle;
+  timer_.After(is_idle ? kIdleTimeout : kCommandTimeout);
 }
 
-void Client::Answer(const std::vector<std::string>& command) {
-  asked_ = true;
-  resting_ = false;
+void Client::HandleCommand(const std::vector<std::string>& command) {
+  has_requested_ = true;
+  idle_timer_running_ = false;
   timer_.Stop();
-  quiet_since_ = net::Loop::Now();
-  if (Is(command[0], "MSG.PUT")) return Put(command);
-  if (Is(command[0], "PING")) {
-    Say(command.size() > 1 ? proto::RespBulk(command[1]) : "+PONG\r\n");
-  } else if (Is(command[0], "INFO")) {
-    Say(proto::RespBulk(all_.report_()));
-  } else if (Is(command[0], "QUIT")) {
-    Say("+OK\r\n");
-    Leave();
+  idle_since_ = net::Loop::Now();
+  if (IsCommand(command[0], "MSG.PUT")) return HandlePut(command);
+  if (IsCommand(command[0], "PING")) {
+    Reply(command.size() > 1 ? proto::RespBulk(command[1]) : "+PONG\r\n");
+  } else if (IsCommand(command[0], "INFO")) {
+    Reply(proto::RespBulk(server_.report_()));
+  } else if (IsCommand(command[0], "QUIT")) {
+    Reply("+OK\r\n");
+    Disconnect();
   } else {
-    all_.counters_.malformed += 1;
-    Say(proto::RespError("ERR unknown command"));
+    server_.counters_.malformed += 1;
+    Reply(proto::RespError("ERR unknown command"));
   }
 }
 
-// Its client counts a message's time from when it sent it: a command may have lain there while this process
-// stood still, or behind others. Whoever has waited longer than kClientWaits has left.
-net::Time Client::LainUnread() const {
-  return std::min<net::Time>(net::Loop::Now() - arrived_since_, relay::kClientWaits);
+// Time that the command may have waited unread, because this process was stopped or busy with others. A
+// client counts the deadline from when it sent the message. A client that has waited longer than
+// kClientTimeout has left.
+net::Time Client::TimeUnread() const {
+  return std::min<net::Time>(net::Loop::Now() - earliest_arrival_, relay::kClientTimeout);
 }
 
-void Client::Put(std::vector<std::string> command) {
+void Client::HandlePut(std::vector<std::string> command) {
   try {
-    journal::Message a = ReadPut(std::move(command), net::Loop::UnixNow() - LainUnread());
-    if (!all_.relay_.KnowsClass(a.class_name)) throw BadCommand("c names no class of the settings");
-    if (a.key.empty() && all_.relay_.NeedsKey(a.class_name)) throw BadCommand("k is missing");
-    if (!all_.relay_.KnowsDestination(a.destination)) throw BadCommand("dest names no partner of the list");
-    waiting_ = true;
-    all_.relay_.Submit(std::move(a), *this);
-  } catch (const BadCommand& e) {
-    all_.counters_.malformed += 1;
-    Say(proto::RespError(std::string("ERR ") + e.what()));
-    Leave();
+    journal::Message message = ParsePut(std::move(command), net::Loop::UnixNow() - TimeUnread());
+    if (!server_.relay_.KnowsClass(message.class_name))
+      throw InvalidCommand("c names no class of the settings");
+    if (message.key.empty() && server_.relay_.NeedsKey(message.class_name))
+      throw InvalidCommand("k is missing");
+    if (!server_.relay_.KnowsDestination(message.destination))
+      throw InvalidCommand("dest names no partner of the list");
+    awaiting_answer_ = true;
+    server_.relay_.Submit(std::move(message), *this);
+  } catch (const InvalidCommand& e) {
+    server_.counters_.malformed += 1;
+    Reply(proto::RespError(std::string("ERR ") + e.what()));
+    Disconnect();
   }
 }
 
-bool Client::TakenOn() {
-  // One that has closed since it asked must not be taken on: it hands the message in elsewhere.
-  const bool heard = !connection_.Ended() && Say("+OK\r\n");
-  Answered();
-  return heard;
+bool Client::OnAccepted() {
+  // If the client has closed the connection since, the message must not be accepted: the client submits it to
+  // another relay.
+  const bool client_connected = !connection_.Ended() && Reply("+OK\r\n");
+  OnAnswered();
+  return client_connected;
 }
 
-void Client::Refused(relay::Time come_again) {
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(come_again).count();
-  Say(ms > 0 ? "-BUSY " + std::to_string(ms) + "\r\n" : "-BUSY\r\n");
-  Answered();
+void Client::OnRejected(relay::Time retry_after) {
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(retry_after).count();
+  Reply(ms > 0 ? "-BUSY " + std::to_string(ms) + "\r\n" : "-BUSY\r\n");
+  OnAnswered();
 }
 
-void Client::Answered() {
-  waiting_ = false;
-  quiet_since_ = all_.quiet_since_ = net::Loop::Now();
-  next_.After(net::Time(0));
-  Watch();
+void Client::OnAnswered() {
+  awaiting_answer_ = false;
+  idle_since_ = server_.idle_since_ = net::Loop::Now();
+  resume_timer_.After(net::Time(0));
+  ArmTimer();
 }
 
-// What came behind a command that is answered now; it is answered as well before its client is sent away.
-void Client::GoOn() {
+// Processes commands that arrived behind the one just answered. They are answered even if the connection is
+// to be closed afterwards.
+void Client::ResumeReading() {
   connection_.Resume();
-  if (all_.closing_) SendAway();
+  if (server_.closing_) CloseWhenIdle();
 }
 
-void Client::SendAway() {
-  if (!leaving_ && idle() && !next_.active() && connection_.Quiet()) Leave();
+void Client::CloseWhenIdle() {
+  if (!disconnecting_ && idle() && !resume_timer_.active() && connection_.Quiet()) Disconnect();
 }
 
-bool Client::Say(const std::string& text) {
+bool Client::Reply(const std::string& text) {
   if (connection_.Send(text)) return true;
-  timer_.After(net::Time(0));  // gone, or it reads nothing of what it asks for
+  timer_.After(net::Time(0));  // the client has gone, or does not read its answers
   return false;
 }
 
-void Client::OnDue() {
-  // A request that crosses the end of its rest is served: closed over it, the connection would be reset.
-  if (resting_ && !leaving_ && connection_.connected() && !connection_.Quiet()) {
-    resting_ = false;
-    return timer_.After(kCommandWithin);
+void Client::OnTimeout() {
+  // A command that arrives just as the idle timeout ends is served: if the connection were closed now, it
+  // would be reset.
+  if (idle_timer_running_ && !disconnecting_ && connection_.connected() && !connection_.Quiet()) {
+    idle_timer_running_ = false;
+    return timer_.After(kCommandTimeout);
   }
-  if (!resting_ && !leaving_ && connection_.connected() && connection_.flushed()) {
-    all_.counters_.clients_too_slow += 1;
-    Say(proto::RespError("ERR no whole command in time"));
+  if (!idle_timer_running_ && !disconnecting_ && connection_.connected() && connection_.flushed()) {
+    server_.counters_.clients_timed_out += 1;
+    Reply(proto::RespError("ERR no whole command in time"));
   }
-  Leave();
+  Disconnect();
 }
 
-Client::Claim Client::claim(net::Time now) const {
-  if (leaving_) return Claim::kNone;
-  const bool comes = came_at_ > net::Time(0) && now - came_at_ <= kComesOnWithin;
-  if (!asked_ && !comes && now - quiet_since_ > kAsksWithin) return Claim::kNone;
-  if (idle()) return asked_ ? Claim::kIdle : Claim::kNew;
-  return waiting_ ? Claim::kServed : Claim::kBegun;
+Client::RetentionPriority Client::retention_priority(net::Time now) const {
+  if (disconnecting_) return RetentionPriority::kNone;
+  const bool is_receiving =
+      last_received_at_ > net::Time(0) && now - last_received_at_ <= kReceiveProgressTimeout;
+  if (!has_requested_ && !is_receiving && now - idle_since_ > kFirstCommandTimeout)
+    return RetentionPriority::kNone;
+  if (idle()) return has_requested_ ? RetentionPriority::kIdle : RetentionPriority::kNew;
+  return awaiting_answer_ ? RetentionPriority::kAwaitingAnswer : RetentionPriority::kReceiving;
 }
 
-Passed Client::passed() const {
+ClientState Client::ExportState() const {
   net::Connection::Rest rest = connection_.rest();
-  return {rest.fd, parser_.Unfinished(), std::move(rest.in), std::move(rest.out), asked_};
+  return {rest.fd, parser_.Unfinished(), std::move(rest.in), std::move(rest.out), has_requested_};
 }
 
-void Client::TakeUp(const Passed& passed) {
-  asked_ = passed.asked;
-  left_over_ = !passed.in.empty();
-  parser_.Feed(passed.unfinished);
-  connection_.TakeUp(passed.in, passed.out);
-  next_.After(net::Time(0));
-  Watch();
+void Client::RestoreState(const ClientState& state) {
+  has_requested_ = state.has_requested;
+  has_unread_ = !state.unread.empty();
+  parser_.Feed(state.partial_command);
+  connection_.TakeUp(state.unread, state.unsent);
+  resume_timer_.After(net::Time(0));
+  ArmTimer();
 }
 
-void Client::OnClosed() { Leave(); }
+void Client::OnClosed() { Disconnect(); }
 
-void Client::Leave() {
-  if (std::exchange(waiting_, false)) all_.relay_.Withdraw(*this);
+void Client::Disconnect() {
+  if (std::exchange(awaiting_answer_, false)) server_.relay_.Withdraw(*this);
   timer_.Stop();
-  next_.Stop();
-  if (!leaving_ && connection_.EndSending()) {
-    leaving_ = true;
+  resume_timer_.Stop();
+  if (!disconnecting_ && connection_.EndSending()) {
+    disconnecting_ = true;
     return timer_.After(kLinger);
   }
   connection_.Close();
-  all_.Leave(*this);
+  server_.Remove(*this);
 }
 
 // ---- all clients ----
 
-Clients::Clients(net::Loop& loop, const net::Address& address, int inherited, std::size_t most,
-                 relay::Relay& relay, relay::Counters& counters, Report report)
+ClientServer::ClientServer(net::Loop& loop, const net::Address& address, int inherited_fd,
+                           std::size_t max_clients, relay::Relay& relay, relay::Counters& counters,
+                           Report report)
     : loop_(loop),
       address_(address),
-      inherited_(inherited),
-      most_(most),
+      inherited_fd_(inherited_fd),
+      max_clients_(max_clients),
       relay_(relay),
       counters_(counters),
       report_(std::move(report)) {
-  OpenDoor();
+  StartListening();
 }
 
-std::vector<Passed> Clients::passed() const {
-  std::vector<Passed> all;
+std::vector<ClientState> ClientServer::ExportState() const {
+  std::vector<ClientState> all;
   for (const auto& [client, owned] : clients_) {
-    if (client->open()) all.push_back(client->passed());
+    if (client->open()) all.push_back(client->ExportState());
   }
   return all;
 }
 
-void Clients::TakeUp(const Passed& passed) {
+void ClientServer::RestoreClient(const ClientState& state) {
   counters_.clients += 1;
-  auto client = std::make_unique<Client>(loop_, passed.fd, *this);
-  client->TakeUp(passed);
+  auto client = std::make_unique<Client>(loop_, state.fd, *this);
+  client->RestoreState(state);
   clients_.emplace(client.get(), std::move(client));
 }
 
-void Clients::Accept(int fd) {
-  // Descriptors are shared with the endpoint side: clients may not take them all.
-  // Room is kept before it runs out: the platform's clients open no more than their share, so one who stays
-  // and asks nothing keeps another from asking long before this side's own limit is reached.
-  if (clients_.size() >= most_ / 2) MakeRoom(Client::Claim::kIdle);
-  if (clients_.size() >= most_ && !MakeRoom(Client::Claim::kBegun)) {
-    counters_.clients_turned_away += 1;
+void ClientServer::Accept(int fd) {
+  // Clients share the descriptors with the endpoint connections and must not use all of them. Idle clients
+  // are evicted at half the limit, before descriptors run out: the clients of the platform open no more than
+  // their share, so a connection that stays open without commands keeps others from being served long before
+  // the limit of this relay is reached.
+  if (clients_.size() >= max_clients_ / 2) EvictClient(Client::RetentionPriority::kIdle);
+  if (clients_.size() >= max_clients_ && !EvictClient(Client::RetentionPriority::kReceiving)) {
+    counters_.clients_rejected += 1;
     close(fd);
     return;
   }
   counters_.clients += 1;
-  quiet_since_ = net::Loop::Now();
+  idle_since_ = net::Loop::Now();
   auto client = std::make_unique<Client>(loop_, fd, *this);
   clients_.emplace(client.get(), std::move(client));
 }
 
-// A flood must not crowd out those who ask: first go connections that have not asked for long, then idle
-// ones, whose clients come again when they need to; of commands on their way the one that has not come on for
-// longest; never one that waits for its answer.
-bool Clients::MakeRoom(Client::Claim most) {
+// A flood of connections must not displace active clients. Connections that have sent no command for long are
+// closed first, then idle ones, whose clients reconnect when necessary; of the incomplete commands the one
+// that has not progressed for longest. A connection that waits for its answer is never closed.
+bool ClientServer::EvictClient(Client::RetentionPriority highest) {
   const net::Time now = net::Loop::Now();
-  std::vector<std::tuple<Client::Claim, net::Time, Client*>> all;
+  std::vector<std::tuple<Client::RetentionPriority, net::Time, Client*>> candidates;
   for (const auto& [client, owned] : clients_) {
-    const Client::Claim claim = client->claim(now);
-    if (claim <= most) all.emplace_back(claim, client->claim_since(), client);
+    const Client::RetentionPriority priority = client->retention_priority(now);
+    if (priority <= highest) candidates.emplace_back(priority, client->priority_since(), client);
   }
-  // One whose next command has just come, unread so far, is no longer idle.
-  const auto stays = [](const auto& c) {
-    return std::get<0>(c) != Client::Claim::kNone && !std::get<2>(c)->quiet();
+  // A connection with unread bytes is no longer idle.
+  const auto is_retained = [](const auto& candidate) {
+    return std::get<0>(candidate) != Client::RetentionPriority::kNone && !std::get<2>(candidate)->all_read();
   };
-  std::sort(all.begin(), all.end());
-  const auto first = std::find_if_not(all.begin(), all.end(), stays);
-  if (first == all.end()) return false;
-  Client* const least = std::get<2>(*first);
+  std::sort(candidates.begin(), candidates.end());
+  const auto first = std::find_if_not(candidates.begin(), candidates.end(), is_retained);
+  if (first == candidates.end()) return false;
+  Client* const evicted = std::get<2>(*first);
   counters_.clients_evicted += 1;
-  counters_.clients_evicted_unasked += least->claim(now) != Client::Claim::kIdle;
-  least->Close();
-  Leave(*least);
+  counters_.clients_evicted_without_command +=
+      evicted->retention_priority(now) != Client::RetentionPriority::kIdle;
+  evicted->Close();
+  Remove(*evicted);
   return true;
 }
 
-void Clients::Leave(Client& client) {
+void ClientServer::Remove(Client& client) {
   const auto it = clients_.find(&client);
   if (it == clients_.end()) return;
   loop_.Dispose(std::move(it->second));
   clients_.erase(it);
 }
 
-// Clients use the connections that they have for as long as these stay open: one that is closed early sends
-// its share of the load to the other relays, which have slots for their own.
-// Those that have connected and wait to be taken would be reset with the listener; where somebody else holds
-// it they are left for whoever comes next.
-void Clients::CloseDoor() {
-  if (listener_ && inherited_ < 0) listener_->AcceptWaiting(kMostWaiting);
+// Only the listener is closed. Clients keep using open connections; closing these early would move their
+// share of the load to the other relays, whose slots are sized for their own. Connections waiting to be
+// accepted would be reset with the listener, so they are accepted first; if another process holds the
+// listening socket, they are left for its next user.
+void ClientServer::StopListening() {
+  if (listener_ && inherited_fd_ < 0) listener_->AcceptWaiting(kMaxPendingAccepts);
   listener_.reset();
 }
 
-void Clients::OpenDoor() {
+void ClientServer::StartListening() {
   const auto accepted = [this](int fd) { Accept(fd); };
-  if (!listener_ && inherited_ >= 0) {
-    listener_.emplace(loop_, inherited_, accepted);
+  if (!listener_ && inherited_fd_ >= 0) {
+    listener_.emplace(loop_, inherited_fd_, accepted);
   } else if (!listener_) {
     listener_.emplace(loop_, address_, accepted);
   }
   closing_ = false;
 }
 
-void Clients::SendAway() {
+void ClientServer::CloseWhenIdle() {
   closing_ = true;
   std::vector<Client*> all;
   for (const auto& [client, owned] : clients_) all.push_back(client);
-  for (Client* client : all) client->SendAway();
+  for (Client* client : all) client->CloseWhenIdle();
 }
 
 }  // namespace oxbowspread::client
--- a/src/client/clients.hpp
+++ b/src/client/clients.hpp
@@ -1,4 +1,4 @@
-// The clients: clients that hand in messages over RESP2, and what they are answered.
+// Server for clients that submit messages over RESP2.
 #pragma once
 
 #include <functional>
@@ -16,105 +16,113 @@
 
 namespace oxbowspread::client {
 
-class Clients;
+class ClientServer;
 
-// A client as another process goes on with it. Its descriptor stays this one's.
-struct Passed {
+// State of a client connection for transfer to another process. The descriptor stays owned by the sending
+// process.
+struct ClientState {
   int fd = -1;
-  std::string unfinished;  // the bytes of a command that is not whole
-  std::string in, out;     // come and not looked at, and not yet taken by the system
-  bool asked = false;
+  std::string partial_command;  // bytes of an incomplete command
+  std::string unread, unsent;   // received but not parsed; answers not yet accepted by the system
+  bool has_requested = false;
 };
 
+// The connection of one client.
 class Client final : public net::Connection::User, public relay::Client {
  public:
-  Client(net::Loop& loop, int fd, Clients& all);
+  Client(net::Loop& loop, int fd, ClientServer& server);
 
-  bool TakenOn() override;
-  void Refused(relay::Time come_again) override;
-  bool idle() const { return !waiting_ && parser_.idle(); }
-  // To its descriptor when others need one, the least first. kBegun: a command that is on its way.
-  enum class Claim { kNone, kIdle, kNew, kBegun, kServed };
-  Claim claim(net::Time now) const;
-  // Since when it has had that claim, so that of two alike the earlier one goes.
-  net::Time claim_since() const { return idle() ? quiet_since_ : came_at_; }
-  // Nothing has come that is not looked at.
-  bool quiet() const { return connection_.Quiet(); }
+  bool OnAccepted() override;
+  void OnRejected(relay::Time retry_after) override;
+  bool idle() const { return !awaiting_answer_ && parser_.idle(); }
+  // How important it is to keep the connection when descriptors run out; the lowest value is closed first.
+  // kNone: closing, or without a command for too long. kNew: connected recently, no command yet. kReceiving:
+  // part of a command has arrived.
+  enum class RetentionPriority { kNone, kIdle, kNew, kReceiving, kAwaitingAnswer };
+  RetentionPriority retention_priority(net::Time now) const;
+  // Since when the connection has had that priority; among equals the earliest is closed.
+  net::Time priority_since() const { return idle() ? idle_since_ : last_received_at_; }
+  // Returns whether everything that has arrived was read.
+  bool all_read() const { return connection_.Quiet(); }
   void Close() { connection_.Close(); }
-  // Leaves now, if it rests and nothing more has come of it; else once that is answered.
-  void SendAway();
-  bool open() const { return connection_.connected() && !leaving_; }
-  Passed passed() const;
-  void TakeUp(const Passed& passed);
+  // Closes the connection now if it is idle and nothing has arrived, otherwise once that is answered.
+  void CloseWhenIdle();
+  bool open() const { return connection_.connected() && !disconnecting_; }
+  ClientState ExportState() const;
+  void RestoreState(const ClientState& state);
 
  private:
-  void OnBytes(proto::RingBuffer& in) override;
+  void OnBytes(proto::RingBuffer& input) override;
   void OnClosed() override;
-  net::Time LainUnread() const;
-  void Answer(const std::vector<std::string>& command);
-  void Put(std::vector<std::string> command);
-  bool Say(const std::string& text);
-  void Leave();
-  void OnDue();
-  void Answered();
-  void GoOn();
-  void Watch();
+  net::Time TimeUnread() const;
+  void HandleCommand(const std::vector<std::string>& command);
+  void HandlePut(std::vector<std::string> command);
+  bool Reply(const std::string& text);
+  void Disconnect();
+  void OnTimeout();
+  void OnAnswered();
+  void ResumeReading();
+  void ArmTimer();
 
   net::Loop& loop_;
-  Clients& all_;
+  ClientServer& server_;
   net::Connection connection_;
   proto::RespParser parser_;
-  net::Timer timer_;      // of a command that doesn't get whole, answers that aren't read, or rest
-  net::Timer next_;       // takes up the commands behind one that has been answered
-  bool waiting_ = false;  // for the module's word
-  bool asked_ = false;    // a whole command, at any time
-  bool resting_ = false;  // the timer is that of an idle client
-  bool leaving_ = false;  // has been sent all it gets; nothing more of it is looked at
-  net::Time quiet_since_{0};
-  net::Time came_at_{0};  // the last bytes; 0: none
-  // What has been read and not answered came no earlier; 0: as another process had it, which can't tell.
-  net::Time arrived_since_{0};
-  bool left_over_ = false;  // something of that is still in the ring
+  net::Timer timer_;                 // limits an incomplete command, unread answers or an idle connection
+  net::Timer resume_timer_;          // continues with the commands behind one that was answered
+  bool awaiting_answer_ = false;     // for the answer of the decision module
+  bool has_requested_ = false;       // a complete command has arrived at some time
+  bool idle_timer_running_ = false;  // timer_ runs with the idle timeout
+  bool disconnecting_ = false;       // has been sent its last bytes; what it sends is ignored
+  net::Time idle_since_{0};
+  net::Time last_received_at_{0};  // when the last bytes arrived; 0 if none have
+  // Nothing that is read but unanswered arrived before this; 0 after a handover, which does not transfer it.
+  net::Time earliest_arrival_{0};
+  bool has_unread_ = false;  // bytes of an earlier read are still in the buffer
 };
 
-class Clients {
+// Accepts client connections and owns them.
+class ClientServer {
  public:
+  // Produces the answer to INFO.
   using Report = std::function<std::string()>;
 
-  // Listens at once, at `inherited` if that is a descriptor: a socket that somebody else has bound and keeps.
-  // Throws std::system_error.
-  Clients(net::Loop& loop, const net::Address& address, int inherited, std::size_t most, relay::Relay& relay,
-          relay::Counters& counters, Report report);
-  // All clients, for another process; Relay::Freeze comes before, so that none waits for an answer.
-  std::vector<Passed> passed() const;
-  // One that another process had. The descriptor is this one's now.
-  void TakeUp(const Passed& passed);
-  // No new clients; those that are here are served on.
-  void CloseDoor();
-  // New clients again, at the same address. Throws std::system_error where somebody else has taken it.
-  void OpenDoor();
-  // They leave now, those that wait for an answer once they have it.
-  void SendAway();
-  // Since when nobody has come or asked for anything.
-  net::Time quiet_since() const { return quiet_since_; }
-  void SetMost(std::size_t most) { most_ = most; }
+  // Starts listening. If `inherited_fd` is a descriptor, it is used as the listening socket: somebody else
+  // has bound it and keeps it. `max_clients` limits the connections. Throws std::system_error.
+  ClientServer(net::Loop& loop, const net::Address& address, int inherited_fd, std::size_t max_clients,
+               relay::Relay& relay, relay::Counters& counters, Report report);
+  // Returns the state of all clients for transfer to another process. Relay::PrepareHandover must be called
+  // first, so that no client waits for an answer.
+  std::vector<ClientState> ExportState() const;
+  // Adds a client transferred from another process. Takes ownership of its descriptor.
+  void RestoreClient(const ClientState& state);
+  // Accepts no new clients; connected clients are still served.
+  void StopListening();
+  // Accepts new clients again at the same address. Throws std::system_error if somebody else has bound it.
+  void StartListening();
+  // Closes all connections, those with an unanswered command after the answer.
+  void CloseWhenIdle();
+  // When a client last connected or had a message answered.
+  net::Time idle_since() const { return idle_since_; }
+  void SetMaxClients(std::size_t max_clients) { max_clients_ = max_clients; }
   std::size_t clients() const { return clients_.size(); }
 
  private:
   friend class Client;
   void Accept(int fd);
-  void Leave(Client& client);
-  bool MakeRoom(Client::Claim most);  // closes one with that claim or less
+  void Remove(Client& client);
+  // Closes one client of that priority or lower. Returns false if there is none.
+  bool EvictClient(Client::RetentionPriority highest);
 
   net::Loop& loop_;
   net::Address address_;
-  int inherited_;
-  std::size_t most_;
+  int inherited_fd_;
+  std::size_t max_clients_;
   relay::Relay& relay_;
   relay::Counters& counters_;
   Report report_;
   bool closing_ = false;
-  net::Time quiet_since_{0};
+  net::Time idle_since_{0};
   std::map<Client*, std::unique_ptr<Client>> clients_;
   std::optional<net::Listener> listener_;
 };
--- a/src/client/command.hpp
+++ b/src/client/command.hpp
@@ -1,4 +1,4 @@
-// What a client's command says: MSG.PUT with its list of names and values. Knows no socket.
+// Parser for the client command MSG.PUT. Independent of sockets.
 #pragma once
 
 #include <stdexcept>
@@ -9,12 +9,14 @@
 
 namespace oxbowspread::client {
 
-class BadCommand : public std::runtime_error {
+// The command is malformed. The text is sent to the client.
+class InvalidCommand : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// MSG.PUT zeros id names-and-values body. `now` is Unix time. Throws BadCommand.
-journal::Message ReadPut(std::vector<std::string> command, journal::Time now);
+// Parses "MSG.PUT zeros id names-and-values body". The first argument is not used. The names and values are a
+// comma-separated list of name=value. `now` is Unix time. Throws InvalidCommand.
+journal::Message ParsePut(std::vector<std::string> command, journal::Time now);
 
 }  // namespace oxbowspread::client
--- a/src/endpoint/line.cpp
+++ b/src/endpoint/line.cpp
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-relay::AttemptEnd MeaningOf(const proto::HttpHead& head) {
-  relay::AttemptEnd end;
+relay::AttemptResult MeaningOf(const proto::HttpHead& head) {
+  relay::AttemptResult end;
   switch (head.status) {
     case 200:
       return end;
     case 410:
       end.outcome = Outcome::kNotSent;
-      end.over = true;
+      end.closes_message = true;
       return end;
     case 429:
     case 503: {
@@ -36,7 +36,7 @@
       double seconds = 0;
       if (after != nullptr) std::from_chars(after->data(), after->data() + after->size(), seconds);
       if (std::isfinite(seconds) && seconds > 0) {
-        end.told_wait = net::Time(std::llround(std::min(seconds, kLongestWaitS) * 1e6));
+        end.retry_after = net::Time(std::llround(std::min(seconds, kLongestWaitS) * 1e6));
       }
       return end;
     }
@@ -49,7 +49,7 @@
   }
 }
 
-std::string CallText(const relay::AttemptOrder& order, net::Time left) {
+std::string CallText(const relay::AttemptRequest& order, net::Time left) {
   const auto ms =
       std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(left).count());
   std::string text =
@@ -72,11 +72,11 @@
   return connection_ != nullptr;
 }
 
-void Line::Carry(relay::AttemptOrder order) {
+void Line::Carry(relay::AttemptRequest order) {
   order_ = std::move(order);
   wrote_ = false;
   answering_ = false;
-  timer_.At(order_->give_up_at);
+  timer_.At(order_->timeout_at);
   if (connected()) Write();
 }
 
@@ -98,12 +98,12 @@
       // An answer before the call was whole: the rest of the call would be read as the next one.
       keep_ = written();
       const net::Time until = net::Loop::Now() + kAnswerWithin;
-      timer_.At(order_->give_up_at < until ? order_->give_up_at : until);
+      timer_.At(order_->timeout_at < until ? order_->timeout_at : until);
     }
     in.Consume(reader_.Feed(in.Front()));
     if (order_ && reader_.at_start()) AwaitAnswer();
     // A first line with 200 is a delivery, whatever is wrong with the rest.
-    if (order_ && reader_.first_line_status() == 200) EndAttempt(relay::AttemptEnd());
+    if (order_ && reader_.first_line_status() == 200) EndAttempt(relay::AttemptResult());
     if (reader_.state() == proto::HttpReader::State::kBad) return Spoilt();
   }
 }
@@ -111,7 +111,7 @@
 // An interim answer is over, and nothing of the next one has come: that may take its time.
 void Line::AwaitAnswer() {
   answering_ = false;
-  timer_.At(order_->give_up_at);
+  timer_.At(order_->timeout_at);
 }
 
 // Only a whole answer is believed when it says that nothing ran: the call of a spoilt one has run.
@@ -125,7 +125,7 @@
   owner_.OnFree(*this);
 }
 
-void Line::EndAttempt(const relay::AttemptEnd& end) {
+void Line::EndAttempt(const relay::AttemptResult& end) {
   const relay::AttemptId attempt = std::move(order_->attempt);
   order_.reset();
   owner_.OnEnd(*this, attempt, end);
@@ -137,7 +137,7 @@
   Lose();
 }
 
-void Line::End(const relay::AttemptEnd& end) {
+void Line::End(const relay::AttemptResult& end) {
   EndAttempt(end);
   // Connected, and not a byte written: as good as new.
   if (connected() && !wrote_) {
--- a/src/endpoint/line.hpp
+++ b/src/endpoint/line.hpp
@@ -28,7 +28,7 @@
     // Connected: the call's bytes, or nothing if it may not be written any more.
     virtual std::optional<std::string> OnWritable(Line& line) = 0;
     // Of the call that was that attempt; the line lives on.
-    virtual void OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptEnd& end) = 0;
+    virtual void OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptResult& end) = 0;
     virtual void OnFree(Line& line) = 0;  // ready for the next call
     virtual void OnLost(Line& line) = 0;  // no use any more
     virtual void OnSpoilt() = 0;          // an answer that can't be read
@@ -40,11 +40,11 @@
   // Connects; false when no socket could be had.
   bool Open();
   // The next call on a line that stands ready.
-  void Carry(relay::AttemptOrder order);
+  void Carry(relay::AttemptRequest order);
   bool busy() const { return order_.has_value(); }
   bool ready() const { return connection_ != nullptr && connection_->Quiet() && !answering_; }
   bool connected() const { return connection_ != nullptr && connection_->connected(); }
-  const relay::AttemptOrder& order() const { return *order_; }
+  const relay::AttemptRequest& order() const { return *order_; }
   const std::string& host() const { return host_; }
   const net::Address& address() const { return address_; }
   net::Time free_since() const { return free_since_; }
@@ -66,8 +66,8 @@
   void OnBody(std::string_view) override {}
   void OnWhole(bool keep_alive) override;
   void Write();
-  void End(const relay::AttemptEnd& end);
-  void EndAttempt(const relay::AttemptEnd& end);
+  void End(const relay::AttemptResult& end);
+  void EndAttempt(const relay::AttemptResult& end);
   void AwaitAnswer();
   void Spoilt();
   void Lose();
@@ -81,7 +81,7 @@
   proto::HttpHead head_;
   std::unique_ptr<net::Connection> connection_;
   net::Timer timer_;
-  std::optional<relay::AttemptOrder> order_;
+  std::optional<relay::AttemptRequest> order_;
   bool wrote_ = false;      // the call's first byte
   bool answering_ = false;  // an answer has begun and is not whole yet
   bool keep_ = false;       // the last answer lets the line live on
@@ -91,7 +91,7 @@
 };
 
 // What an answer means for its call.
-relay::AttemptEnd MeaningOf(const proto::HttpHead& head);
-std::string CallText(const relay::AttemptOrder& order, net::Time left);
+relay::AttemptResult MeaningOf(const proto::HttpHead& head);
+std::string CallText(const relay::AttemptRequest& order, net::Time left);
 
 }  // namespace oxbowspread::endpoint
--- a/src/endpoint/pool.cpp
+++ b/src/endpoint/pool.cpp
@@ -38,7 +38,7 @@
 
 // ---- hosts ----
 
-void Pool::Adopt(const relay::RoutingChange& change) {
+void Pool::ApplyRoutingChange(const relay::RoutingChange& change) {
   for (const std::string& id : hosts_.Adopt(change, net::Loop::Now())) CloseIdle(id);
   std::vector<std::string> named;
   for (const relay::Host& host : change.hosts) named.push_back(host.info.id);
@@ -50,7 +50,7 @@
   const net::Time now = net::Loop::Now();
   for (const std::string& id : hosts) {
     const net::Time until = hosts_.WaitUntil(id);
-    if (until > now) relay_->HostToldWait(id, until);
+    if (until > now) relay_->DelayHost(id, until);
   }
 }
 
@@ -72,8 +72,8 @@
 
 std::vector<relay::AddressWait> Pool::AddressWaits() const { return hosts_.AddressWaits(net::Loop::Now()); }
 
-void Pool::TakeWaits(const relay::Estate& estate) {
-  for (const relay::HostWait& wait : estate.waits) hosts_.TakeWait(wait);
+void Pool::TakeWaits(const relay::HandoverState& estate) {
+  for (const relay::HostWait& wait : estate.host_waits) hosts_.TakeWait(wait);
   for (const relay::AddressWait& wait : estate.address_waits) hosts_.TakeWait(wait);
 }
 
@@ -92,12 +92,12 @@
 
 // ---- calls ----
 
-void Pool::Fail(const relay::AttemptOrder& order, Outcome outcome) {
+void Pool::Fail(const relay::AttemptRequest& order, Outcome outcome) {
   failed_.emplace_back(order.attempt, outcome);
   failed_timer_.After(net::Time(0));
 }
 
-void Pool::Begin(relay::AttemptOrder order) {
+void Pool::StartAttempt(relay::AttemptRequest order) {
   const Host* const host = hosts_.Find(order.host);
   if (host == nullptr || !host->known) return Fail(order, Outcome::kNoConnection);
   const auto pool = pools_.find(order.host);
@@ -139,10 +139,10 @@
   if (lines_ >= limits_.most_lines && !CloseLongestIdle()) return nullptr;
   auto line = std::make_unique<Line>(loop_, static_cast<Line::Owner&>(*this), id, host.to);
   if (!line->Open()) {
-    counters_.line_failures += 1;
+    counters_.connection_failures += 1;
     return nullptr;
   }
-  counters_.lines_opened += 1;
+  counters_.connections_opened += 1;
   lines_ += 1;
   Lines& lines = pools_[id];
   lines.push_back(std::move(line));
@@ -151,33 +151,33 @@
 
 bool Pool::CloseLongestIdle() {
   if (idle_.empty()) return false;
-  counters_.lines_evicted += 1;
+  counters_.connections_evicted += 1;
   Remove(*idle_.begin()->second);
   return true;
 }
 
 std::optional<std::string> Pool::OnWritable(Line& line) {
   Unlist(line);
-  const relay::AttemptOrder& order = line.order();
+  const relay::AttemptRequest& order = line.order();
   const Host* const host = hosts_.Find(line.host());
   const net::Time now = net::Loop::Now();
   // The host may have moved while the line was on its way to where it stood.
-  if (host == nullptr || !StandsAt(line, *host) || !hosts_.MayWrite(line.host(), order.write_before, now) ||
-      !relay_->AttemptWriting(order.attempt, line.host(), host->zone)) {
-    counters_.attempts_held_back += 1;
+  if (host == nullptr || !StandsAt(line, *host) || !hosts_.MayWrite(line.host(), order.write_deadline, now) ||
+      !relay_->RecordAttemptStart(order.attempt, line.host(), host->zone)) {
+    counters_.attempts_withheld += 1;
     return std::nullopt;
   }
-  return CallText(order, order.give_up_at - now);
+  return CallText(order, order.timeout_at - now);
 }
 
-void Pool::OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptEnd& end) {
+void Pool::OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptResult& end) {
   const auto it = out_.find(attempt);
   if (it == out_.end() || it->second != &line) return;
   out_.erase(it);
-  if (end.told_wait > 0s) {
-    TellWaits(hosts_.ToldWait(line.host(), line.address(), end.told_wait, net::Loop::Now()));
+  if (end.retry_after > 0s) {
+    TellWaits(hosts_.ToldWait(line.host(), line.address(), end.retry_after, net::Loop::Now()));
   }
-  if (end.outcome == Outcome::kNoConnection) counters_.line_failures += 1;
+  if (end.outcome == Outcome::kNoConnection) counters_.connection_failures += 1;
   relay_->AttemptEnded(attempt, end);
 }
 
@@ -189,7 +189,7 @@
 
 void Pool::OnLost(Line& line) { Remove(line); }
 
-bool Pool::Cut(const relay::AttemptId& attempt) {
+bool Pool::CancelAttempt(const relay::AttemptId& attempt) {
   std::erase_if(failed_, [&](const auto& f) { return f.first == attempt; });
   const auto it = out_.find(attempt);
   if (it == out_.end()) return true;
@@ -242,7 +242,7 @@
   const auto keep =
       net::Time(static_cast<net::Time::rep>(static_cast<double>(limits_.keepalive.count()) * kKeepShare));
   while (!idle_.empty() && now - idle_.begin()->first > keep) {
-    counters_.lines_idled += 1;
+    counters_.idle_connections_closed += 1;
     Remove(*idle_.begin()->second);
   }
 }
--- a/src/endpoint/pool.hpp
+++ b/src/endpoint/pool.hpp
@@ -17,7 +17,7 @@
 
 namespace oxbowspread::endpoint {
 
-class Pool final : public relay::EndpointSide, private Line::Owner {
+class Pool final : public relay::EndpointTransport, private Line::Owner {
  public:
   struct Limits {
     std::size_t most_lines = 256;
@@ -33,7 +33,7 @@
 
   // What hosts told this process, for the next one, and what they told the last one.
   std::vector<relay::HostWait> Waits() const;
-  void TakeWaits(const relay::Estate& estate);
+  void TakeWaits(const relay::HandoverState& estate);
   std::vector<relay::AddressWait> AddressWaits() const;
   // Another process's call to that host was answered with a wait.
   void ToldWait(const std::string& host, net::Time wait);
@@ -42,20 +42,20 @@
   // No line rests here any more; those with calls go on.
   void CloseAllIdle();
 
-  void Adopt(const relay::RoutingChange& change) override;
-  void Begin(relay::AttemptOrder order) override;
-  bool Cut(const relay::AttemptId& attempt) override;
+  void ApplyRoutingChange(const relay::RoutingChange& change) override;
+  void StartAttempt(relay::AttemptRequest order) override;
+  bool CancelAttempt(const relay::AttemptId& attempt) override;
   void CloseIdle(const std::string& host) override;
-  void ListValidUntil(net::Time moment) override { hosts_.ListValidUntil(moment); }
+  void SetListValidUntil(net::Time moment) override { hosts_.ListValidUntil(moment); }
 
  private:
   using Lines = std::vector<std::unique_ptr<Line>>;
 
   std::optional<std::string> OnWritable(Line& line) override;
-  void OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptEnd& end) override;
+  void OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptResult& end) override;
   void OnFree(Line& line) override;
   void OnLost(Line& line) override;
-  void OnSpoilt() override { counters_.answers_spoilt += 1; }
+  void OnSpoilt() override { counters_.invalid_responses += 1; }
 
   void TellWaits(const std::vector<std::string>& hosts);
   Line* FreeLine(const Lines& lines) const;
@@ -64,7 +64,7 @@
   void Remove(Line& line);
   // Neither connecting nor idle any more, as far as the two lists know.
   void Unlist(Line& line);
-  void Fail(const relay::AttemptOrder& order, wheathub::Outcome outcome);
+  void Fail(const relay::AttemptRequest& order, wheathub::Outcome outcome);
   void Sweep();
 
   net::Loop& loop_;
--- a/src/handover/channel.cpp
+++ b/src/handover/channel.cpp
@@ -15,25 +15,26 @@
 namespace oxbowspread::handover {
 namespace {
 
-constexpr int kBuffer = 512 * 1024;          // a packet must fit
-constexpr std::size_t kPacket = 256 * 1024;  // of a client: rings and a command
-constexpr timeval kSendWithin{0, 150'000};
-
-std::string PathIn(const std::string& folder) { return folder + "/handover"; }
-
-bool AddressOf(const std::string& path, sockaddr_un* a) {
-  *a = {};
-  a->sun_family = AF_UNIX;
-  if (path.size() >= sizeof a->sun_path) return false;
-  std::memcpy(a->sun_path, path.data(), path.size());
+constexpr int kSendBufferBytes = 512 * 1024;  // must hold the largest packet
+// The largest packet is that of a client: its buffers and an incomplete command.
+constexpr std::size_t kMaxPacketBytes = 256 * 1024;
+constexpr timeval kSendTimeout{0, 150'000};
+
+std::string SocketPath(const std::string& folder) { return folder + "/handover"; }
+
+bool MakeAddress(const std::string& path, sockaddr_un* address) {
+  *address = {};
+  address->sun_family = AF_UNIX;
+  if (path.size() >= sizeof address->sun_path) return false;
+  std::memcpy(address->sun_path, path.data(), path.size());
   return true;
 }
 
 int ConnectTo(const std::string& path) {
-  sockaddr_un to{};
-  if (!AddressOf(path, &to)) return -1;
+  sockaddr_un address{};
+  if (!MakeAddress(path, &address)) return -1;
   const int fd = socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0);
-  if (fd >= 0 && connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) return fd;
+  if (fd >= 0 && connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) return fd;
   if (fd >= 0) close(fd);
   return -1;
 }
@@ -41,12 +42,12 @@
 }  // namespace
 
 Channel::Channel(int fd) : fd_(fd) {
-  setsockopt(fd_, SOL_SOCKET, SO_SNDBUF, &kBuffer, sizeof kBuffer);
-  setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &kSendWithin, sizeof kSendWithin);
+  setsockopt(fd_, SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes, sizeof kSendBufferBytes);
+  setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &kSendTimeout, sizeof kSendTimeout);
 }
 
 std::optional<Channel> Channel::Connect(const std::string& folder) {
-  const int fd = ConnectTo(PathIn(folder));
+  const int fd = ConnectTo(SocketPath(folder));
   if (fd < 0) return std::nullopt;
   return Channel(fd);
 }
@@ -61,19 +62,19 @@
 bool Channel::Send(const Packet& packet, int fd) {
   if (fd_ < 0) return false;
   std::string bytes = ToBytes(packet);
-  iovec part{bytes.data(), bytes.size()};
+  iovec buffer{bytes.data(), bytes.size()};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &buffer;
   message.msg_iovlen = 1;
-  alignas(cmsghdr) char beside[CMSG_SPACE(sizeof fd)] = {};
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof fd)] = {};
   if (fd >= 0) {
-    message.msg_control = beside;
-    message.msg_controllen = sizeof beside;
-    cmsghdr* const c = CMSG_FIRSTHDR(&message);
-    c->cmsg_level = SOL_SOCKET;
-    c->cmsg_type = SCM_RIGHTS;
-    c->cmsg_len = CMSG_LEN(sizeof fd);
-    std::memcpy(CMSG_DATA(c), &fd, sizeof fd);
+    message.msg_control = control;
+    message.msg_controllen = sizeof control;
+    cmsghdr* const header = CMSG_FIRSTHDR(&message);
+    header->cmsg_level = SOL_SOCKET;
+    header->cmsg_type = SCM_RIGHTS;
+    header->cmsg_len = CMSG_LEN(sizeof fd);
+    std::memcpy(CMSG_DATA(header), &fd, sizeof fd);
   }
   ssize_t count = 0;
   do {
@@ -83,23 +84,24 @@
   return count >= 0;
 }
 
-std::optional<Received> Channel::Receive(Limit limit) {
+std::optional<Received> Channel::Receive(Timeout timeout) {
   if (fd_ < 0) return std::nullopt;
-  pollfd p{fd_, POLLIN, 0};
-  if (poll(&p, 1, static_cast<int>(limit.count())) <= 0) return std::nullopt;
-  std::string bytes(kPacket, '\0');
-  iovec part{bytes.data(), bytes.size()};
-  alignas(cmsghdr) char beside[CMSG_SPACE(sizeof(int))] = {};
+  pollfd poll_entry{fd_, POLLIN, 0};
+  if (poll(&poll_entry, 1, static_cast<int>(timeout.count())) <= 0) return std::nullopt;
+  std::string bytes(kMaxPacketBytes, '\0');
+  iovec buffer{bytes.data(), bytes.size()};
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &buffer;
   message.msg_iovlen = 1;
-  message.msg_control = beside;
-  message.msg_controllen = sizeof beside;
+  message.msg_control = control;
+  message.msg_controllen = sizeof control;
   const ssize_t count = recvmsg(fd_, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
   if (count < 0 && (errno == EAGAIN || errno == EINTR)) return std::nullopt;
   int fd = -1;
-  for (cmsghdr* c = CMSG_FIRSTHDR(&message); count > 0 && c != nullptr; c = CMSG_NXTHDR(&message, c)) {
-    if (c->cmsg_type == SCM_RIGHTS) std::memcpy(&fd, CMSG_DATA(c), sizeof fd);
+  for (cmsghdr* header = CMSG_FIRSTHDR(&message); count > 0 && header != nullptr;
+       header = CMSG_NXTHDR(&message, header)) {
+    if (header->cmsg_type == SCM_RIGHTS) std::memcpy(&fd, CMSG_DATA(header), sizeof fd);
   }
   try {
     if (count > 0)
@@ -107,39 +109,40 @@
   } catch (const std::invalid_argument&) {
     if (fd >= 0) close(fd);
   }
-  ended_ = true;  // or nothing that can be understood comes
+  ended_ = true;  // the peer has closed, or sent an invalid packet
   return std::nullopt;
 }
 
-Port::Port(net::Loop& loop, const std::string& folder, Asked asked)
-    : path_(PathIn(folder)), asked_(std::move(asked)), io_(loop.ref()) {
-  sockaddr_un at{};
-  if (!AddressOf(path_, &at)) throw std::system_error(ENAMETOOLONG, std::generic_category(), "handover");
-  // Whoever holds the folder's lock is the only one who may stand here.
+ChannelListener::ChannelListener(net::Loop& loop, const std::string& folder, ConnectHandler on_connect)
+    : path_(SocketPath(folder)), on_connect_(std::move(on_connect)), io_(loop.ref()) {
+  sockaddr_un address{};
+  if (!MakeAddress(path_, &address))
+    throw std::system_error(ENAMETOOLONG, std::generic_category(), "handover");
+  // Only the process that holds the lock of the folder may listen here.
   unlink(path_.c_str());
   fd_ = socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  const mode_t before = umask(0177);
-  const bool bound = fd_ >= 0 && bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0;
+  const mode_t previous_umask = umask(0177);
+  const bool bound = fd_ >= 0 && bind(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
   const int error = errno;
-  umask(before);
+  umask(previous_umask);
   if (!bound || listen(fd_, 4) != 0) {
     if (fd_ >= 0) close(fd_);
     throw std::system_error(bound ? errno : error, std::generic_category(), "handover");
   }
-  io_.set<Port, &Port::OnIo>(this);
+  io_.set<ChannelListener, &ChannelListener::OnIo>(this);
   io_.start(fd_, ev::READ);
 }
 
-void Port::Close() {
+void ChannelListener::Close() {
   io_.stop();
   if (fd_ < 0) return;
   close(std::exchange(fd_, -1));
   unlink(path_.c_str());
 }
 
-void Port::OnIo(ev::io&, int) {
+void ChannelListener::OnIo(ev::io&, int) {
   const int fd = accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC);
-  if (fd >= 0) asked_(Channel(fd));
+  if (fd >= 0) on_connect_(Channel(fd));
 }
 
 }  // namespace oxbowspread::handover
--- a/src/handover/channel.hpp
+++ b/src/handover/channel.hpp
@@ -1,4 +1,5 @@
-// Packets and descriptors over a Unix-domain socket in the lasting folder: the thin driver under record.hpp.
+// Transport for handover packets and descriptors: a Unix-domain socket in the state folder. The packets
+// themselves are defined in record.hpp.
 #pragma once
 
 #include <chrono>
@@ -11,26 +12,29 @@
 
 namespace oxbowspread::handover {
 
-using Limit = std::chrono::milliseconds;
+using Timeout = std::chrono::milliseconds;
 
 struct Received {
   Packet packet;
-  int fd = -1;  // the receiver's to close
+  int fd = -1;  // owned by the receiver; -1 if none
 };
 
+// One end of a connection between two relay processes. Owns its descriptor.
 class Channel {
  public:
   explicit Channel(int fd);
-  // To the process that serves from that folder; nothing if nobody listens there.
+  // Connects to the process that serves from that folder; returns nothing if none listens there.
   static std::optional<Channel> Connect(const std::string& folder);
   ~Channel() { Close(); }
   Channel(Channel&& other) noexcept;
   Channel& operator=(Channel&&) = delete;
 
-  // Waits until the system takes it, 150 ms at most; false if the other has gone or takes nothing.
+  // Sends a packet, with a descriptor unless `fd` is -1; the descriptor stays owned by the caller. Blocks for
+  // up to 150 ms. Returns false if the peer has gone or does not read.
   bool Send(const Packet& packet, int fd = -1);
-  // The next packet within the limit. Nothing: none came, and `ended` tells whether none will.
-  std::optional<Received> Receive(Limit limit);
+  // Receives the next packet within the timeout. Returns nothing if none arrived; ended() then tells whether
+  // more can follow.
+  std::optional<Received> Receive(Timeout timeout);
   bool ended() const { return ended_; }
   int fd() const { return fd_; }
   void Close();
@@ -40,15 +44,16 @@
   bool ended_ = false;
 };
 
-// Where the next process asks. A socket that a dead one left there is replaced.
-class Port {
+// Accepts connections from a process that wants to take over. A socket file left by a dead process is
+// replaced.
+class ChannelListener {
  public:
-  using Asked = std::function<void(Channel channel)>;
+  using ConnectHandler = std::function<void(Channel channel)>;
   // Throws std::system_error.
-  Port(net::Loop& loop, const std::string& folder, Asked asked);
-  ~Port() { Close(); }
-  Port(const Port&) = delete;
-  Port& operator=(const Port&) = delete;
+  ChannelListener(net::Loop& loop, const std::string& folder, ConnectHandler on_connect);
+  ~ChannelListener() { Close(); }
+  ChannelListener(const ChannelListener&) = delete;
+  ChannelListener& operator=(const ChannelListener&) = delete;
   void Close();
 
  private:
@@ -56,7 +61,7 @@
 
   int fd_ = -1;
   std::string path_;
-  Asked asked_;
+  ConnectHandler on_connect_;
   ev::io io_;
 };
 
--- a/src/handover/giver.cpp
+++ b/src/handover/giver.cpp
@@ -4,43 +4,45 @@
 
 namespace oxbowspread::handover {
 
-std::vector<Outgoing> Giver::Feed(const Packet& packet) {
-  if (const auto* ask = std::get_if<Ask>(&packet); ask != nullptr && phase_ == Phase::kResting) {
-    if (ask->version != kVersion) {
-      return {{No{"it speaks version " + std::to_string(kVersion) + " of the handover, not " +
-                  std::to_string(ask->version)},
+std::vector<Outgoing> HandoverSender::Feed(const Packet& packet) {
+  if (const auto* request = std::get_if<HandoverRequest>(&packet);
+      request != nullptr && phase_ == Phase::kIdle) {
+    if (request->version != kProtocolVersion) {
+      return {{Refusal{"the serving process uses handover protocol version " +
+                       std::to_string(kProtocolVersion) + ", not " + std::to_string(request->version)},
                -1}};
     }
-    if (const auto why = owner_.Unable()) return {{No{*why}, -1}};
+    if (const auto reason = owner_.RefusalReason()) return {{Refusal{*reason}, -1}};
     return Offer();
   }
-  if (std::holds_alternative<Taken>(packet) && phase_ == Phase::kOffered) {
-    phase_ = Phase::kGiven;
-    // Before the word: at no moment do two own it.
-    owner_.Given();
-    return {{Yours(), -1}};
+  if (std::holds_alternative<OfferAccepted>(packet) && phase_ == Phase::kOffered) {
+    phase_ = Phase::kCompleted;
+    // Ownership ends here before the packet is sent, so that two processes never own the state together.
+    owner_.CompleteHandover();
+    return {{OwnershipTransferred(), -1}};
   }
-  if (const auto* cut = std::get_if<Cut>(&packet); cut != nullptr && phase_ == Phase::kGiven) {
-    owner_.CutAttempt(cut->id);
-    return {{IsCut{cut->id}, -1}};
+  if (const auto* cancel = std::get_if<CancelRequest>(&packet);
+      cancel != nullptr && phase_ == Phase::kCompleted) {
+    owner_.CancelAttempt(cancel->id);
+    return {{CancelConfirmed{cancel->id}, -1}};
   }
   return {};
 }
 
-std::vector<Outgoing> Giver::Offer() {
+std::vector<Outgoing> HandoverSender::Offer() {
   phase_ = Phase::kOffered;
-  const relay::Estate estate = owner_.Freeze();
-  std::vector<Outgoing> all;
-  for (EstatePiece& piece : Pieces(estate)) all.push_back({std::move(piece), -1});
-  const std::vector<client::Passed> clients = owner_.Clients();
-  for (const client::Passed& client : clients) all.push_back({ClientPassed{client}, client.fd});
-  all.push_back({Offered{clients.size()}, owner_.LockFd()});
-  return all;
+  const relay::HandoverState state = owner_.PrepareHandover();
+  std::vector<Outgoing> outgoing;
+  for (StateChunk& chunk : ToChunks(state)) outgoing.push_back({std::move(chunk), -1});
+  const std::vector<client::ClientState> clients = owner_.Clients();
+  for (const client::ClientState& client : clients) outgoing.push_back({ClientTransfer{client}, client.fd});
+  outgoing.push_back({OfferComplete{clients.size()}, owner_.LockFd()});
+  return outgoing;
 }
 
-void Giver::Lost() {
-  if (phase_ == Phase::kOffered) phase_ = Phase::kResting;
-  if (phase_ == Phase::kGiven) owner_.Orphaned();
+void HandoverSender::OnChannelClosed() {
+  if (phase_ == Phase::kOffered) phase_ = Phase::kIdle;
+  if (phase_ == Phase::kCompleted) owner_.OnReceiverLost();
 }
 
 }  // namespace oxbowspread::handover
--- a/src/handover/giver.hpp
+++ b/src/handover/giver.hpp
@@ -1,4 +1,5 @@
-// The giving side: fed packets, says what to send, and tells its owner when it has to let go. No I/O.
+// Sending side of a handover as a state machine without I/O: it is fed packets, returns the packets to send,
+// and tells its owner when to give up ownership.
 #pragma once
 
 #include <optional>
@@ -11,48 +12,52 @@
 
 struct Outgoing {
   Packet packet;
-  int fd = -1;  // beside it; stays the sender's
+  int fd = -1;  // sent with the packet; stays owned by the sender; -1 if none
 };
 
-class Giver {
+// State machine of the process that hands over.
+class HandoverSender {
  public:
-  // The process round it.
+  // The process that hands over.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Why it can't give over now; nothing if it can.
-    virtual std::optional<std::string> Unable() const = 0;
-    // Everybody who waits has been answered; until Given it goes on as if nothing had been.
-    virtual relay::Estate Freeze() = 0;
-    virtual std::vector<client::Passed> Clients() const = 0;
+    // Returns why no handover is possible now; nothing if one is.
+    virtual std::optional<std::string> RefusalReason() const = 0;
+    // Answers all waiting clients and returns the state. Until CompleteHandover the process must go on as if
+    // nothing had happened.
+    virtual relay::HandoverState PrepareHandover() = 0;
+    virtual std::vector<client::ClientState> Clients() const = 0;
+    // Descriptor of the lock of the state folder; stays owned by the process.
     virtual int LockFd() const = 0;
-    // It owns nothing any more but the attempts that are out.
-    virtual void Given() = 0;
-    virtual void CutAttempt(const std::string& id) = 0;
-    // The process that all was given to has gone.
-    virtual void Orphaned() = 0;
+    // The receiver owns everything except the attempts in flight.
+    virtual void CompleteHandover() = 0;
+    // Cancels an attempt in flight without reporting its result.
+    virtual void CancelAttempt(const std::string& id) = 0;
+    // The process that took over has gone.
+    virtual void OnReceiverLost() = 0;
   };
 
   enum class Phase {
-    kResting,  // nobody has asked
-    kOffered,  // all is told, nothing given: whatever happens now, it stays the owner
-    kGiven
+    kIdle,     // no request received
+    kOffered,  // everything is sent, but this process remains the owner whatever happens
+    kCompleted
   };
 
-  // `owner` must outlast it.
-  explicit Giver(Owner& owner) : owner_(owner) {}
+  // `owner` must outlast this object.
+  explicit HandoverSender(Owner& owner) : owner_(owner) {}
 
-  // What to send now, in order. Packets that don't belong here are passed over.
+  // Processes a packet and returns the packets to send, in order. Unexpected packets are ignored.
   std::vector<Outgoing> Feed(const Packet& packet);
-  // The channel has ended, or took too long.
-  void Lost();
+  // The channel has ended or timed out.
+  void OnChannelClosed();
   Phase phase() const { return phase_; }
 
  private:
   std::vector<Outgoing> Offer();
 
   Owner& owner_;
-  Phase phase_ = Phase::kResting;
+  Phase phase_ = Phase::kIdle;
 };
 
 }  // namespace oxbowspread::handover
--- a/src/handover/new_process.cpp
+++ b/src/handover/new_process.cpp
@@ -12,48 +12,52 @@
 
 using namespace std::chrono_literals;
 
-constexpr Limit kEachWithin = 1s;             // the old process's next packet
-constexpr auto kLookEach = 20ms;              // whether the folder is free by now
-constexpr net::Time kOldProcessFirst = 30ms;  // past a message's time: the old process's word tells more
-
-void CloseAll(const Taker& taker) {
-  for (const client::Passed& client : taker.clients()) close(client.fd);
-  if (taker.lock_fd() >= 0) close(taker.lock_fd());
+constexpr Timeout kPacketTimeout = 1s;  // for the next packet of the old process
+constexpr auto kPollInterval = 20ms;    // interval between attempts to lock the folder
+// After the deadline of a message, the result from the old process is awaited for this long, because it is
+// more precise than a timeout.
+constexpr net::Time kOldProcessGrace = 30ms;
+
+void CloseAll(const HandoverReceiver& receiver) {
+  for (const client::ClientState& client : receiver.clients()) close(client.fd);
+  if (receiver.lock_fd() >= 0) close(receiver.lock_fd());
 }
 
-// Nothing: the other ended or was too slow, and owns it all still, or has died.
-std::optional<Start> AskFor(Channel& channel) {
-  Taker taker;
-  if (!channel.Send(Ask{kVersion, getpid()})) return std::nullopt;
-  while (taker.phase() < Taker::Phase::kOwner) {
-    auto received = channel.Receive(kEachWithin);
+// Requests the state of the old process. Returns nothing if that process has died, or has ended the exchange
+// or was too slow, and then still owns everything.
+std::optional<StartupState> RequestHandover(Channel& channel) {
+  HandoverReceiver receiver;
+  if (!channel.Send(HandoverRequest{kProtocolVersion, getpid()})) return std::nullopt;
+  while (receiver.phase() < HandoverReceiver::Phase::kOwner) {
+    auto received = channel.Receive(kPacketTimeout);
     if (!received) break;
-    const auto answer = taker.Feed(std::move(received->packet), received->fd);
+    const auto answer = receiver.Feed(std::move(received->packet), received->fd);
     if (answer && !channel.Send(*answer)) break;
   }
-  if (taker.phase() != Taker::Phase::kOwner) {
-    CloseAll(taker);
-    if (taker.phase() == Taker::Phase::kRefused) throw Refused(taker.why());
+  if (receiver.phase() != HandoverReceiver::Phase::kOwner) {
+    CloseAll(receiver);
+    if (receiver.phase() == HandoverReceiver::Phase::kRefused)
+      throw HandoverRefused(receiver.refusal_reason());
     return std::nullopt;
   }
-  return Start{std::make_unique<journal::FolderLock>(taker.lock_fd()), std::move(channel), taker.estate(),
-               taker.clients()};
+  return StartupState{std::make_unique<journal::FolderLock>(receiver.lock_fd()), std::move(channel),
+                      receiver.state(), receiver.clients()};
 }
 
 }  // namespace
 
-std::set<std::string> Start::StillOut() const {
+std::set<std::string> StartupState::InFlightIds() const {
   std::set<std::string> ids;
-  for (const relay::AttemptOut& attempt : estate.out) ids.insert(attempt.id);
+  for (const relay::InFlightAttempt& attempt : state.in_flight) ids.insert(attempt.id);
   return ids;
 }
 
-Start Take(const std::string& folder, Limit limit) {
-  const net::Time until = net::Loop::Now() + limit;
-  std::optional<Refused> refused;  // it may end, or serve again, within the limit
+StartupState AcquireState(const std::string& folder, Timeout timeout) {
+  const net::Time until = net::Loop::Now() + timeout;
+  std::optional<HandoverRefused> refused;  // the old process may end or serve again before the timeout
   while (true) {
     try {
-      Start start;
+      StartupState start;
       start.lock = std::make_unique<journal::FolderLock>(folder);
       return start;
     } catch (const journal::FolderLocked&) {
@@ -62,94 +66,97 @@
     }
     if (auto channel = Channel::Connect(folder)) {
       try {
-        if (auto start = AskFor(*channel)) return std::move(*start);
-      } catch (const Refused& e) {
+        if (auto start = RequestHandover(*channel)) return std::move(*start);
+      } catch (const HandoverRefused& e) {
         refused = e;
       }
     }
-    std::this_thread::sleep_for(kLookEach);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
-Attempts::Attempts(net::Loop& loop, relay::EndpointSide& own, ToldWait told_wait, Operated operate)
-    : own_(own),
-      told_wait_(std::move(told_wait)),
-      operate_(std::move(operate)),
+TakeoverTransport::TakeoverTransport(net::Loop& loop, relay::EndpointTransport& local,
+                                     RetryAfterHandler on_retry_after, CommandHandler on_command)
+    : local_(local),
+      on_retry_after_(std::move(on_retry_after)),
+      on_command_(std::move(on_command)),
       io_(loop.ref()),
-      overdue_(loop, [this] { EndOverdue(); }) {
-  io_.set<Attempts, &Attempts::OnIo>(this);
+      overdue_timer_(loop, [this] { EndOverdue(); }) {
+  io_.set<TakeoverTransport, &TakeoverTransport::OnIo>(this);
 }
 
-void Attempts::TakeOver(Channel channel, const std::vector<relay::AttemptOut>& out) {
+void TakeoverTransport::TakeOver(Channel channel, const std::vector<relay::InFlightAttempt>& in_flight) {
   channel_.emplace(std::move(channel));
-  for (const relay::AttemptOut& attempt : out) elsewhere_[attempt.id] = {attempt.host, attempt.ends_at};
+  for (const relay::InFlightAttempt& attempt : in_flight)
+    remote_attempts_[attempt.id] = {attempt.host, attempt.message_deadline};
   io_.start(channel_->fd(), ev::READ);
-  WatchEnds();
+  ScheduleOverdueCheck();
 }
 
-void Attempts::OnIo(ev::io&, int) {
+void TakeoverTransport::OnIo(ev::io&, int) {
   if (!channel_) return;
-  if (auto received = channel_->Receive(Limit(0))) {
+  if (auto received = channel_->Receive(Timeout(0))) {
     if (received->fd >= 0) close(received->fd);
     Feed(received->packet);
   }
-  if (channel_ && channel_->ended()) Lost();
+  if (channel_ && channel_->ended()) OnChannelClosed();
 }
 
-void Attempts::Feed(const Packet& packet) {
-  if (const auto* ended = std::get_if<AttemptEnded>(&packet)) return End(ended->id, ended->end);
-  if (const auto* cut = std::get_if<IsCut>(&packet)) {
-    return End(cut->id, {wheathub::Outcome::kCancelled, false, relay::Time(0)});
+void TakeoverTransport::Feed(const Packet& packet) {
+  if (const auto* ended = std::get_if<AttemptEnded>(&packet)) return End(ended->id, ended->result);
+  if (const auto* cancelled = std::get_if<CancelConfirmed>(&packet)) {
+    return End(cancelled->id, {wheathub::Outcome::kCancelled, false, relay::Time(0)});
   }
-  if (const auto* call = std::get_if<Operate>(&packet)) {
-    if (channel_) channel_->Send(handover::Operated{operate_(call->word, call->argument)});
+  if (const auto* command = std::get_if<OperatorCommand>(&packet)) {
+    if (channel_) channel_->Send(handover::CommandResult{on_command_(command->command, command->argument)});
   }
 }
 
-void Attempts::End(const std::string& id, const relay::AttemptEnd& end) {
-  const auto it = elsewhere_.find(id);
-  if (it == elsewhere_.end()) return;
+void TakeoverTransport::End(const std::string& id, const relay::AttemptResult& result) {
+  const auto it = remote_attempts_.find(id);
+  if (it == remote_attempts_.end()) return;
   const std::string host = it->second.host;
-  elsewhere_.erase(it);
-  if (end.told_wait > relay::Time(0)) told_wait_(host, end.told_wait);
-  relay_->AttemptEnded(relay_->AttemptOf(id), end);
+  remote_attempts_.erase(it);
+  if (result.retry_after > relay::Time(0)) on_retry_after_(host, result.retry_after);
+  relay_->AttemptEnded(relay_->FindAttempt(id), result);
 }
 
-// The old process ends its attempts by their messages' time. Where it stands still and does not, the end is
-// owed all the same: the message is over then, and nothing more is tried for it.
-void Attempts::EndOverdue() {
+// The old process ends its attempts at the deadlines of their messages. If it is stopped and does not, the
+// attempts are ended here: the message is over then and is not tried again.
+void TakeoverTransport::EndOverdue() {
   const net::Time now = net::Loop::Now();
   std::vector<std::string> overdue;
-  for (const auto& [id, attempt] : elsewhere_) {
-    if (attempt.ends_at > net::Time(0) && attempt.ends_at + kOldProcessFirst <= now) overdue.push_back(id);
+  for (const auto& [id, attempt] : remote_attempts_) {
+    if (attempt.message_deadline > net::Time(0) && attempt.message_deadline + kOldProcessGrace <= now)
+      overdue.push_back(id);
   }
   for (const std::string& id : overdue) End(id, {wheathub::Outcome::kTimedOut, false, relay::Time(0)});
-  WatchEnds();
+  ScheduleOverdueCheck();
 }
 
-void Attempts::WatchEnds() {
+void TakeoverTransport::ScheduleOverdueCheck() {
   net::Time next = net::Time::max();
-  for (const auto& [id, attempt] : elsewhere_) {
-    if (attempt.ends_at > net::Time(0)) next = std::min(next, attempt.ends_at);
+  for (const auto& [id, attempt] : remote_attempts_) {
+    if (attempt.message_deadline > net::Time(0)) next = std::min(next, attempt.message_deadline);
   }
-  if (next < net::Time::max()) overdue_.At(next + kOldProcessFirst);
+  if (next < net::Time::max()) overdue_timer_.At(next + kOldProcessGrace);
 }
 
-// The old process has ended without a word of these: they may have run.
-void Attempts::Lost() {
+// The old process has gone without reporting these attempts: they may have run.
+void TakeoverTransport::OnChannelClosed() {
   io_.stop();
   channel_.reset();
-  while (!elsewhere_.empty()) {
-    End(std::string(elsewhere_.begin()->first), {wheathub::Outcome::kReset, false, relay::Time(0)});
+  while (!remote_attempts_.empty()) {
+    End(std::string(remote_attempts_.begin()->first), {wheathub::Outcome::kReset, false, relay::Time(0)});
   }
 }
 
-// Only the old process's word, or its end, says that the connection is closed. However long that takes (it
-// may stand still, and its connections stay open meanwhile), the attempt is out: its message's next one must
-// not begin, nor another take its slot.
-bool Attempts::Cut(const relay::AttemptId& attempt) {
-  if (elsewhere_.count(attempt.id) == 0) return own_.Cut(attempt);
-  if (channel_) channel_->Send(handover::Cut{attempt.id});
+// Only a confirmation from the old process, or its end, shows that the connection is closed. Until then the
+// attempt stays in flight however long that takes, since a stopped process keeps its connections open: the
+// next attempt of the message must not start, and no other attempt may use its slot.
+bool TakeoverTransport::CancelAttempt(const relay::AttemptId& attempt) {
+  if (remote_attempts_.count(attempt.id) == 0) return local_.CancelAttempt(attempt);
+  if (channel_) channel_->Send(handover::CancelRequest{attempt.id});
   return false;
 }
 
--- a/src/handover/new_process.hpp
+++ b/src/handover/new_process.hpp
@@ -1,5 +1,5 @@
-// The process that takes over: it asks for all that the old one has, and from then on ends the old one's
-// attempts like its own.
+// The process that takes over: acquires the state folder or the state of the old process, and afterwards
+// handles the attempts that continue there like its own.
 #pragma once
 
 #include <functional>
@@ -19,67 +19,72 @@
 
 namespace oxbowspread::handover {
 
-// What a start finds: the folder is free, or a process gives over.
-struct Start {
+// What a process acquires at its start: either only the lock of a free folder, or also the state of the
+// process that hands over.
+struct StartupState {
   std::unique_ptr<journal::FolderLock> lock;
-  std::optional<Channel> channel;  // nothing: the folder was free, and the rest is empty
-  relay::Estate estate;
-  std::vector<client::Passed> clients;
+  // Connection to the old process. Empty if the folder was free; the other members are empty then too.
+  std::optional<Channel> channel;
+  relay::HandoverState state;
+  std::vector<client::ClientState> clients;
 
-  std::set<std::string> StillOut() const;
+  // Ids of the messages whose attempts continue in the old process.
+  std::set<std::string> InFlightIds() const;
 };
 
-// The other process answers, and won't give over to this one.
-class Refused : public std::runtime_error {
+// The old process answered and refused to hand over.
+class HandoverRefused : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Takes the folder when it is free, or all of it from the process that has it, within the limit. Throws
-// journal::FolderLocked when neither could be, Refused, std::system_error.
-Start Take(const std::string& folder, Limit limit);
+// Locks the folder if it is free, or takes over from the process that holds it, within the timeout. Throws
+// journal::FolderLocked if neither was possible, HandoverRefused, or std::system_error.
+StartupState AcquireState(const std::string& folder, Timeout timeout);
 
-// The endpoint side as the new process's core sees it: attempts of its own, and those that go on in the old
-// process.
-class Attempts final : public relay::EndpointSide {
+// Endpoint transport of the process that took over. Runs new attempts locally and represents the attempts
+// that continue in the old process.
+class TakeoverTransport final : public relay::EndpointTransport {
  public:
-  using Operated = std::function<std::string(const std::string& word, const std::string& argument)>;
-  using ToldWait = std::function<void(const std::string& host, relay::Time wait)>;
+  using CommandHandler = std::function<std::string(const std::string& command, const std::string& argument)>;
+  using RetryAfterHandler = std::function<void(const std::string& host, relay::Time wait)>;
 
-  // `own` and `relay` must outlast it. `operate` answers calls of operators who came to the old process's
-  // door: empty is done.
-  Attempts(net::Loop& loop, relay::EndpointSide& own, ToldWait told_wait, Operated operate);
+  // `local` and the attached relay must outlast this object. `on_command` executes operator commands that
+  // arrived at the old process, and returns an error text or an empty string.
+  TakeoverTransport(net::Loop& loop, relay::EndpointTransport& local, RetryAfterHandler on_retry_after,
+                    CommandHandler on_command);
   void Attach(relay::Relay& relay) { relay_ = &relay; }
-  // Before Relay::Recover, which is told of the same attempts.
-  void TakeOver(Channel channel, const std::vector<relay::AttemptOut>& out);
+  // Must be called before Relay::Recover, which is given the same attempts.
+  void TakeOver(Channel channel, const std::vector<relay::InFlightAttempt>& in_flight);
 
-  void Adopt(const relay::RoutingChange& change) override { own_.Adopt(change); }
-  void Begin(relay::AttemptOrder order) override { own_.Begin(std::move(order)); }
-  bool Cut(const relay::AttemptId& attempt) override;
-  void CloseIdle(const std::string& host) override { own_.CloseIdle(host); }
-  void ListValidUntil(relay::Time moment) override { own_.ListValidUntil(moment); }
+  void ApplyRoutingChange(const relay::RoutingChange& change) override { local_.ApplyRoutingChange(change); }
+  void StartAttempt(relay::AttemptRequest request) override { local_.StartAttempt(std::move(request)); }
+  bool CancelAttempt(const relay::AttemptId& attempt) override;
+  void CloseIdle(const std::string& host) override { local_.CloseIdle(host); }
+  void SetListValidUntil(relay::Time moment) override { local_.SetListValidUntil(moment); }
 
  private:
-  struct Elsewhere {
+  // An attempt in flight in the old process.
+  struct RemoteAttempt {
     std::string host;
-    relay::Time ends_at{0};  // of its message; 0: not told
+    relay::Time message_deadline{0};  // 0 if the old process did not transfer it
   };
 
   void OnIo(ev::io&, int);
   void Feed(const Packet& packet);
-  void End(const std::string& id, const relay::AttemptEnd& end);
+  void End(const std::string& id, const relay::AttemptResult& result);
   void EndOverdue();
-  void WatchEnds();
-  void Lost();
+  void ScheduleOverdueCheck();
+  void OnChannelClosed();
 
-  relay::EndpointSide& own_;
-  ToldWait told_wait_;
-  Operated operate_;
+  relay::EndpointTransport& local_;
+  RetryAfterHandler on_retry_after_;
+  CommandHandler on_command_;
   relay::Relay* relay_ = nullptr;
   std::optional<Channel> channel_;
-  std::map<std::string, Elsewhere> elsewhere_;  // by the message's id
+  std::map<std::string, RemoteAttempt> remote_attempts_;  // by message id
   ev::io io_;
-  net::Timer overdue_;
+  net::Timer overdue_timer_;
 };
 
 }  // namespace oxbowspread::handover
--- a/src/handover/old_process.cpp
+++ b/src/handover/old_process.cpp
@@ -6,70 +6,72 @@
 
 namespace oxbowspread::handover {
 
-OldProcess::OldProcess(net::Loop& loop, const std::string& folder, Giver::Owner& owner)
-    : loop_(loop), giver_(owner), io_(loop.ref()), late_(loop, [this] { Drop(); }) {
-  io_.set<OldProcess, &OldProcess::OnIo>(this);
-  port_.emplace(loop, folder, [this](Channel channel) { Asked(std::move(channel)); });
+HandoverServer::HandoverServer(net::Loop& loop, const std::string& folder, HandoverSender::Owner& owner)
+    : loop_(loop), sender_(owner), io_(loop.ref()), timeout_timer_(loop, [this] { CloseChannel(); }) {
+  io_.set<HandoverServer, &HandoverServer::OnIo>(this);
+  listener_.emplace(loop, folder, [this](Channel channel) { OnConnect(std::move(channel)); });
 }
 
-void OldProcess::Asked(Channel channel) {
-  if (channel_) return;  // one at a time; who comes meanwhile is closed and asks again
+void HandoverServer::OnConnect(Channel channel) {
+  if (channel_) return;  // one handover at a time; another process is disconnected and tries again
   channel_.emplace(std::move(channel));
   io_.start(channel_->fd(), ev::READ);
-  late_.After(kAsksWithin);
+  timeout_timer_.After(kRequestTimeout);
 }
 
-void OldProcess::OnIo(ev::io&, int) {
+void HandoverServer::OnIo(ev::io&, int) {
   if (!channel_) return;
-  if (const auto received = channel_->Receive(Limit(0))) {
+  if (const auto received = channel_->Receive(Timeout(0))) {
     if (received->fd >= 0) close(received->fd);
     Feed(received->packet);
   }
-  if (channel_ && channel_->ended()) Drop();
+  if (channel_ && channel_->ended()) CloseChannel();
 }
 
-void OldProcess::Feed(const Packet& packet) {
-  if (const auto* operated = std::get_if<Operated>(&packet)) operated_ = *operated;
-  const std::vector<Outgoing> all = giver_.Feed(packet);
-  if (given()) {
-    // Before the word goes out: the other listens there itself from then on.
-    late_.Stop();
-    port_.reset();
+void HandoverServer::Feed(const Packet& packet) {
+  if (const auto* result = std::get_if<CommandResult>(&packet)) command_result_ = *result;
+  const std::vector<Outgoing> outgoing = sender_.Feed(packet);
+  if (completed()) {
+    // Must stop listening before the packet is sent, because the receiver listens there itself as soon as it
+    // gets it.
+    timeout_timer_.Stop();
+    listener_.reset();
   }
-  for (const Outgoing& out : all) {
-    if (!channel_->Send(out.packet, out.fd)) return Drop();
+  for (const Outgoing& item : outgoing) {
+    if (!channel_->Send(item.packet, item.fd)) return CloseChannel();
   }
-  if (giver_.phase() == Giver::Phase::kOffered) {
-    // Nothing else may happen here until the other has it or has not.
-    const auto answer = channel_->Receive(kTakenWithin);
-    if (!answer || !std::holds_alternative<Taken>(answer->packet)) return Drop();
+  if (sender_.phase() == HandoverSender::Phase::kOffered) {
+    // Nothing else may be processed here until the receiver has accepted the offer or failed to.
+    const auto answer = channel_->Receive(kOfferTimeout);
+    if (!answer || !std::holds_alternative<OfferAccepted>(answer->packet)) return CloseChannel();
     Feed(answer->packet);
   }
 }
 
-void OldProcess::Drop() {
+void HandoverServer::CloseChannel() {
   io_.stop();
-  late_.Stop();
+  timeout_timer_.Stop();
   channel_.reset();
-  giver_.Lost();
+  sender_.OnChannelClosed();
 }
 
-void OldProcess::Tell(const std::string& id, const relay::AttemptEnd& end) {
-  if (channel_ && !channel_->Send(AttemptEnded{id, end})) Drop();
+void HandoverServer::SendAttemptEnded(const std::string& id, const relay::AttemptResult& result) {
+  if (channel_ && !channel_->Send(AttemptEnded{id, result})) CloseChannel();
 }
 
-std::optional<std::string> OldProcess::Operate(const std::string& word, const std::string& argument) {
-  const std::string gone = "another process has taken over, and doesn't answer";
-  operated_.reset();
-  if (!channel_ || !channel_->Send(handover::Operate{word, argument})) return gone;
-  const net::Time until = net::Loop::Now() + kOperatedWithin;
-  while (!operated_ && channel_ && net::Loop::Now() < until) {
-    const auto received = channel_->Receive(Limit(20));
+std::optional<std::string> HandoverServer::ForwardCommand(const std::string& command,
+                                                          const std::string& argument) {
+  const std::string no_answer = "another process has taken over, and doesn't answer";
+  command_result_.reset();
+  if (!channel_ || !channel_->Send(handover::OperatorCommand{command, argument})) return no_answer;
+  const net::Time until = net::Loop::Now() + kCommandTimeout;
+  while (!command_result_ && channel_ && net::Loop::Now() < until) {
+    const auto received = channel_->Receive(Timeout(20));
     if (received) Feed(received->packet);
-    if (channel_ && channel_->ended()) Drop();
+    if (channel_ && channel_->ended()) CloseChannel();
   }
-  if (!operated_) return gone;
-  return operated_->error.empty() ? std::nullopt : std::optional(operated_->error);
+  if (!command_result_) return no_answer;
+  return command_result_->error.empty() ? std::nullopt : std::optional(command_result_->error);
 }
 
 }  // namespace oxbowspread::handover
--- a/src/handover/old_process.hpp
+++ b/src/handover/old_process.hpp
@@ -1,4 +1,5 @@
-// The process that serves, as the next one meets it: where that asks, and what goes between them after.
+// The process that serves: listens for a process that wants to take over, hands over to it, and exchanges
+// packets with it afterwards.
 #pragma once
 
 #include <optional>
@@ -10,35 +11,39 @@
 
 namespace oxbowspread::handover {
 
-class OldProcess {
+// Runs HandoverSender over a Channel.
+class HandoverServer {
  public:
-  // Listens in the folder. `owner` must outlast it. Throws std::system_error; nothing else here throws.
-  OldProcess(net::Loop& loop, const std::string& folder, Giver::Owner& owner);
+  // Listens in the folder. `owner` must outlast this object. Throws std::system_error; no other function of
+  // this class throws.
+  HandoverServer(net::Loop& loop, const std::string& folder, HandoverSender::Owner& owner);
 
-  bool given() const { return giver_.phase() == Giver::Phase::kGiven; }
-  // Once given: an attempt has ended here.
-  void Tell(const std::string& id, const relay::AttemptEnd& end);
-  // Once given: an operator's call that came here. Why not, or nothing; waits for the other's word.
-  std::optional<std::string> Operate(const std::string& word, const std::string& argument);
+  bool completed() const { return sender_.phase() == HandoverSender::Phase::kCompleted; }
+  // Reports the result of an attempt that ended here. Only valid after the handover.
+  void SendAttemptEnded(const std::string& id, const relay::AttemptResult& result);
+  // Forwards an operator command that arrived here to the process that took over, and waits for its answer.
+  // Returns nothing on success, otherwise the error. Only valid after the handover.
+  std::optional<std::string> ForwardCommand(const std::string& command, const std::string& argument);
 
  private:
-  // While it is offered nothing is served here, and clients wait 400 ms for an answer.
-  static constexpr Limit kTakenWithin{350};
-  static constexpr Limit kOperatedWithin{500};
-  static constexpr net::Time kAsksWithin = std::chrono::seconds(2);
+  // Limit for the receiver to accept the offer. Nothing is served here meanwhile, and clients wait 400 ms for
+  // an answer.
+  static constexpr Timeout kOfferTimeout{350};
+  static constexpr Timeout kCommandTimeout{500};
+  static constexpr net::Time kRequestTimeout = std::chrono::seconds(2);
 
-  void Asked(Channel channel);
+  void OnConnect(Channel channel);
   void OnIo(ev::io&, int);
   void Feed(const Packet& packet);
-  void Drop();
+  void CloseChannel();
 
   net::Loop& loop_;
-  Giver giver_;
+  HandoverSender sender_;
   std::optional<Channel> channel_;
-  std::optional<Operated> operated_;
+  std::optional<CommandResult> command_result_;
   ev::io io_;
-  net::Timer late_;
-  std::optional<Port> port_;
+  net::Timer timeout_timer_;
+  std::optional<ChannelListener> listener_;
 };
 
 }  // namespace oxbowspread::handover
--- a/src/handover/record.cpp
+++ b/src/handover/record.cpp
@@ -10,139 +10,150 @@
 using Json = nlohmann::json;
 using relay::Time;
 
-constexpr std::size_t kPiece = 48 * 1024;
+constexpr std::size_t kChunkBytes = 48 * 1024;
 
-Json Bytes(const std::string& text) { return Json::binary({text.begin(), text.end()}); }
-std::string Text(const Json& j) {
+Json BinaryJson(const std::string& text) { return Json::binary({text.begin(), text.end()}); }
+std::string TextFromJson(const Json& j) {
   const auto& bytes = j.get_binary();
   return std::string(bytes.begin(), bytes.end());
 }
-Time TimeOf(const Json& j) { return Time(j.get<Time::rep>()); }
+Time TimeFromJson(const Json& j) { return Time(j.get<Time::rep>()); }
 
-Json Of(const relay::Host& h) {
-  const wheathub::EndpointInfo& i = h.info;
-  return {i.id, i.destination, i.kind, i.zone, i.weight, static_cast<int>(i.lifecycle), h.address};
+Json ToJson(const relay::Host& host) {
+  const wheathub::EndpointInfo& info = host.info;
+  return {info.id,     info.destination, info.kind, info.zone, info.weight, static_cast<int>(info.lifecycle),
+          host.address};
 }
-relay::Host HostOf(const Json& j) {
-  relay::Host h;
-  h.info = {j.at(0), j.at(1), j.at(2),
-            j.at(3), j.at(4), static_cast<wheathub::Lifecycle>(j.at(5).get<int>())};
-  h.address = j.at(6);
-  return h;
+relay::Host HostFromJson(const Json& j) {
+  relay::Host host;
+  host.info = {j.at(0), j.at(1), j.at(2),
+               j.at(3), j.at(4), static_cast<wheathub::Lifecycle>(j.at(5).get<int>())};
+  host.address = j.at(6);
+  return host;
 }
 
-Json Of(const wheathub::Belief& b) {
-  const auto& r = b.route;
-  const auto& h = b.health;
-  return {b.endpoint,
-          r.tokens,
-          r.gap.count(),
-          r.next_send.count(),
-          r.wait_until.count(),
-          r.told_turn.count(),
-          r.turn.count(),
-          r.next_turn.count(),
-          r.widened_at.count(),
-          r.told_limit,
-          r.down_since.count(),
-          r.backoff.count(),
-          r.cold_until.count(),
-          r.next_in_trouble.count(),
-          h.latency_s,
-          h.last_served.count(),
-          h.unconnected_at.count(),
-          h.served_sent.count(),
-          static_cast<int>(h.state),
-          h.strikes,
-          h.failing,
-          h.eats,
-          h.second_look,
-          h.cold_since.count(),
-          h.failed_at.count(),
-          h.warm_by.count()};
+Json ToJson(const wheathub::Belief& belief) {
+  const auto& route = belief.route;
+  const auto& health = belief.health;
+  return {belief.endpoint,
+          route.tokens,
+          route.gap.count(),
+          route.next_send.count(),
+          route.wait_until.count(),
+          route.told_turn.count(),
+          route.turn.count(),
+          route.next_turn.count(),
+          route.widened_at.count(),
+          route.told_limit,
+          route.down_since.count(),
+          route.backoff.count(),
+          route.cold_until.count(),
+          route.next_in_trouble.count(),
+          health.latency_s,
+          health.last_served.count(),
+          health.unconnected_at.count(),
+          health.served_sent.count(),
+          static_cast<int>(health.state),
+          health.strikes,
+          health.failing,
+          health.eats,
+          health.second_look,
+          health.cold_since.count(),
+          health.failed_at.count(),
+          health.warm_by.count()};
 }
-wheathub::Belief BeliefOf(const Json& j) {
-  wheathub::Belief b;
-  auto& r = b.route;
-  auto& h = b.health;
-  std::size_t at = 0;
-  const auto next = [&]() -> const Json& { return j.at(at++); };
-  b.endpoint = next();
-  r.tokens = next();
-  for (Time* t : {&r.gap, &r.next_send, &r.wait_until, &r.told_turn, &r.turn, &r.next_turn, &r.widened_at}) {
-    *t = TimeOf(next());
+wheathub::Belief BeliefFromJson(const Json& j) {
+  wheathub::Belief belief;
+  auto& route = belief.route;
+  auto& health = belief.health;
+  std::size_t index = 0;
+  const auto next = [&]() -> const Json& { return j.at(index++); };
+  belief.endpoint = next();
+  route.tokens = next();
+  for (Time* time : {&route.gap, &route.next_send, &route.wait_until, &route.told_turn, &route.turn,
+                     &route.next_turn, &route.widened_at}) {
+    *time = TimeFromJson(next());
   }
-  r.told_limit = next();
-  for (Time* t : {&r.down_since, &r.backoff, &r.cold_until, &r.next_in_trouble}) *t = TimeOf(next());
-  h.latency_s = next();
-  for (Time* t : {&h.last_served, &h.unconnected_at, &h.served_sent}) *t = TimeOf(next());
-  h.state = static_cast<wheathub::State>(next().get<int>());
-  h.strikes = next();
-  h.failing = next();
-  h.eats = next();
-  h.second_look = next();
-  for (Time* t : {&h.cold_since, &h.failed_at}) *t = TimeOf(next());
-  if (at < j.size()) h.warm_by = TimeOf(next());  // an older process lacks it
-  return b;
+  route.told_limit = next();
+  for (Time* time : {&route.down_since, &route.backoff, &route.cold_until, &route.next_in_trouble})
+    *time = TimeFromJson(next());
+  health.latency_s = next();
+  for (Time* time : {&health.last_served, &health.unconnected_at, &health.served_sent})
+    *time = TimeFromJson(next());
+  health.state = static_cast<wheathub::State>(next().get<int>());
+  health.strikes = next();
+  health.failing = next();
+  health.eats = next();
+  health.second_look = next();
+  for (Time* time : {&health.cold_since, &health.failed_at}) *time = TimeFromJson(next());
+  if (index < j.size())
+    health.warm_by = TimeFromJson(next());  // missing if the sender is of an older version
+  return belief;
 }
 
-// A packet is an array: what it is, by its place in Packet, and its fields.
-struct ToArray {
-  Json operator()(const Ask& p) const { return {p.version, p.pid}; }
-  Json operator()(const No& p) const { return Json::array({p.why}); }
-  Json operator()(const EstatePiece& p) const { return Json::array({Bytes(p.bytes)}); }
-  Json operator()(const ClientPassed& p) const {
-    const client::Passed& c = p.client;
-    return Json::array({Bytes(c.unfinished), Bytes(c.in), Bytes(c.out), c.asked});
+// A packet is encoded as an array of its index in Packet and an array of its fields.
+struct PacketToArray {
+  Json operator()(const HandoverRequest& packet) const { return {packet.version, packet.pid}; }
+  Json operator()(const Refusal& packet) const { return Json::array({packet.reason}); }
+  Json operator()(const StateChunk& packet) const { return Json::array({BinaryJson(packet.bytes)}); }
+  Json operator()(const ClientTransfer& packet) const {
+    const client::ClientState& client = packet.client;
+    return Json::array({BinaryJson(client.partial_command), BinaryJson(client.unread),
+                        BinaryJson(client.unsent), client.has_requested});
   }
-  Json operator()(const Offered& p) const { return Json::array({p.clients}); }
-  Json operator()(const Taken&) const { return Json::array(); }
-  Json operator()(const Yours&) const { return Json::array(); }
-  Json operator()(const AttemptEnded& p) const {
-    return Json::array({p.id, static_cast<int>(p.end.outcome), p.end.over, p.end.told_wait.count()});
+  Json operator()(const OfferComplete& packet) const { return Json::array({packet.clients}); }
+  Json operator()(const OfferAccepted&) const { return Json::array(); }
+  Json operator()(const OwnershipTransferred&) const { return Json::array(); }
+  Json operator()(const AttemptEnded& packet) const {
+    return Json::array({packet.id, static_cast<int>(packet.result.outcome), packet.result.closes_message,
+                        packet.result.retry_after.count()});
   }
-  Json operator()(const Cut& p) const { return Json::array({p.id}); }
-  Json operator()(const IsCut& p) const { return Json::array({p.id}); }
-  Json operator()(const Operate& p) const { return Json::array({p.word, p.argument}); }
-  Json operator()(const Operated& p) const { return Json::array({p.error}); }
+  Json operator()(const CancelRequest& packet) const { return Json::array({packet.id}); }
+  Json operator()(const CancelConfirmed& packet) const { return Json::array({packet.id}); }
+  Json operator()(const OperatorCommand& packet) const {
+    return Json::array({packet.command, packet.argument});
+  }
+  Json operator()(const CommandResult& packet) const { return Json::array({packet.error}); }
 };
 
-Packet FromArray(int kind, const Json& f) {
+Packet PacketFromArray(int kind, const Json& fields) {
   switch (kind) {
     case 0:
-      return Ask{f.at(0), f.at(1)};
+      return HandoverRequest{fields.at(0), fields.at(1)};
     case 1:
-      return No{f.at(0)};
+      return Refusal{fields.at(0)};
     case 2:
-      return EstatePiece{Text(f.at(0))};
+      return StateChunk{TextFromJson(fields.at(0))};
     case 3:
-      return ClientPassed{{-1, Text(f.at(0)), Text(f.at(1)), Text(f.at(2)), f.at(3)}};
+      return ClientTransfer{{-1, TextFromJson(fields.at(0)), TextFromJson(fields.at(1)),
+                             TextFromJson(fields.at(2)), fields.at(3)}};
     case 4:
-      return Offered{f.at(0)};
+      return OfferComplete{fields.at(0)};
     case 5:
-      return Taken{};
+      return OfferAccepted{};
     case 6:
-      return Yours{};
+      return OwnershipTransferred{};
     case 7: {
-      const int outcome = f.at(1);
+      const int outcome = fields.at(1);
       if (outcome < 0 || outcome > static_cast<int>(wheathub::Outcome::kNotSent)) break;
-      return AttemptEnded{f.at(0), {static_cast<wheathub::Outcome>(outcome), f.at(2), TimeOf(f.at(3))}};
+      return AttemptEnded{
+          fields.at(0), {static_cast<wheathub::Outcome>(outcome), fields.at(2), TimeFromJson(fields.at(3))}};
     }
     case 8:
-      return Cut{f.at(0)};
+      return CancelRequest{fields.at(0)};
     case 9:
-      return IsCut{f.at(0)};
+      return CancelConfirmed{fields.at(0)};
     case 10:
-      return Operate{f.at(0), f.at(1)};
+      return OperatorCommand{fields.at(0), fields.at(1)};
     case 11:
-      return Operated{f.at(0)};
+      return CommandResult{fields.at(0)};
     default:
       break;
   }
-  throw std::invalid_argument("no packet of this version");
+  throw std::invalid_argument("not a valid handover packet of this version");
 }
 
-std::string Cbor(const Json& j) {
+std::string ToCbor(const Json& j) {
   const std::vector<std::uint8_t> bytes = Json::to_cbor(j);
   return std::string(bytes.begin(), bytes.end());
 }
@@ -150,58 +161,64 @@
 }  // namespace
 
 std::string ToBytes(const Packet& packet) {
-  return Cbor(Json::array({packet.index(), std::visit(ToArray(), packet)}));
+  return ToCbor(Json::array({packet.index(), std::visit(PacketToArray(), packet)}));
 }
 
 Packet FromBytes(std::string_view bytes) {
   try {
     const Json j = Json::from_cbor(bytes.begin(), bytes.end());
-    return FromArray(j.at(0), j.at(1));
+    return PacketFromArray(j.at(0), j.at(1));
   } catch (const Json::exception& e) {
     throw std::invalid_argument(e.what());
   }
 }
 
-std::vector<EstatePiece> Pieces(const relay::Estate& estate) {
-  Json hosts = Json::array(), beliefs = Json::array(), out = Json::array(), waits = Json::array(),
+std::vector<StateChunk> ToChunks(const relay::HandoverState& state) {
+  Json hosts = Json::array(), beliefs = Json::array(), in_flight = Json::array(), host_waits = Json::array(),
        address_waits = Json::array();
-  for (const auto& h : estate.table.hosts) hosts.push_back(Of(h));
-  for (const auto& b : estate.beliefs) beliefs.push_back(Of(b));
-  for (const auto& l : estate.out) {
-    out.push_back({l.id, l.host, l.begun.count(), l.ends_at.count()});
+  for (const auto& host : state.routing_table.hosts) hosts.push_back(ToJson(host));
+  for (const auto& belief : state.beliefs) beliefs.push_back(ToJson(belief));
+  for (const auto& attempt : state.in_flight) {
+    in_flight.push_back(
+        {attempt.id, attempt.host, attempt.started_at.count(), attempt.message_deadline.count()});
   }
-  for (const auto& w : estate.waits) waits.push_back({w.host, w.told_at.count(), w.until.count()});
-  for (const auto& w : estate.address_waits) address_waits.push_back({w.address, w.until.count()});
-  const std::string all = Cbor({{"revision", estate.table.revision},
-                                {"hosts", std::move(hosts)},
-                                {"beliefs", std::move(beliefs)},
-                                {"out", std::move(out)},
-                                {"waits", std::move(waits)},
-                                {"address_waits", std::move(address_waits)},
-                                {"list_valid_until", estate.list_valid_until.count()}});
-  std::vector<EstatePiece> pieces;
-  for (std::size_t at = 0; at < all.size(); at += kPiece) pieces.push_back({all.substr(at, kPiece)});
-  return pieces;
+  for (const auto& wait : state.host_waits)
+    host_waits.push_back({wait.host, wait.received_at.count(), wait.until.count()});
+  for (const auto& wait : state.address_waits) address_waits.push_back({wait.address, wait.until.count()});
+  const std::string bytes = ToCbor({{"revision", state.routing_table.revision},
+                                    {"hosts", std::move(hosts)},
+                                    {"beliefs", std::move(beliefs)},
+                                    {"out", std::move(in_flight)},
+                                    {"waits", std::move(host_waits)},
+                                    {"address_waits", std::move(address_waits)},
+                                    {"list_valid_until", state.list_valid_until.count()}});
+  std::vector<StateChunk> chunks;
+  for (std::size_t offset = 0; offset < bytes.size(); offset += kChunkBytes)
+    chunks.push_back({bytes.substr(offset, kChunkBytes)});
+  return chunks;
 }
 
-relay::Estate FromPieces(const std::string& all) {
+relay::HandoverState FromChunks(const std::string& bytes) {
   try {
-    const Json j = Json::from_cbor(all);
-    relay::Estate estate;
-    estate.table.scope = wheathub::ListScope::kRemembered;
-    estate.table.revision = j.at("revision");
-    estate.list_valid_until = Time(j.value("list_valid_until", Time::rep{0}));  // an older process lacks it
-    for (const Json& h : j.at("hosts")) estate.table.hosts.push_back(HostOf(h));
-    for (const Json& b : j.at("beliefs")) estate.beliefs.push_back(BeliefOf(b));
-    for (const Json& l : j.at("out")) {
-      const Time ends_at = l.size() > 3 ? TimeOf(l.at(3)) : Time(0);
-      estate.out.push_back({l.at(0), l.at(1), TimeOf(l.at(2)), ends_at});
+    const Json j = Json::from_cbor(bytes);
+    relay::HandoverState state;
+    state.routing_table.scope = wheathub::ListScope::kRemembered;
+    state.routing_table.revision = j.at("revision");
+    state.list_valid_until =
+        Time(j.value("list_valid_until", Time::rep{0}));  // missing if the sender is of an older version
+    for (const Json& host : j.at("hosts")) state.routing_table.hosts.push_back(HostFromJson(host));
+    for (const Json& belief : j.at("beliefs")) state.beliefs.push_back(BeliefFromJson(belief));
+    for (const Json& attempt : j.at("out")) {
+      const Time message_deadline = attempt.size() > 3 ? TimeFromJson(attempt.at(3)) : Time(0);
+      state.in_flight.push_back(
+          {attempt.at(0), attempt.at(1), TimeFromJson(attempt.at(2)), message_deadline});
     }
-    for (const Json& w : j.at("waits")) estate.waits.push_back({w.at(0), TimeOf(w.at(1)), TimeOf(w.at(2))});
-    for (const Json& w : j.value("address_waits", Json::array())) {
-      estate.address_waits.push_back({w.at(0), TimeOf(w.at(1))});
+    for (const Json& wait : j.at("waits"))
+      state.host_waits.push_back({wait.at(0), TimeFromJson(wait.at(1)), TimeFromJson(wait.at(2))});
+    for (const Json& wait : j.value("address_waits", Json::array())) {
+      state.address_waits.push_back({wait.at(0), TimeFromJson(wait.at(1))});
     }
-    return estate;
+    return state;
   } catch (const Json::exception& e) {
     throw std::invalid_argument(e.what());
   }
--- a/src/handover/record.hpp
+++ b/src/handover/record.hpp
@@ -1,18 +1,18 @@
-// What goes between the process that gives over and the one that takes, as packets. Knows no socket; a packet
-// may carry one descriptor beside its bytes.
+// Packets of the handover protocol between the sender (the process that hands over) and the receiver (the one
+// that takes over). Independent of sockets. A packet may carry one descriptor.
 //
-//   taker  kAsk      version, pid
-//   giver  kNo       why: it goes on as if nothing had been
-//   giver  kEstate   a piece of the estate
-//   giver  kClient   one client, with its descriptor
-//   giver  kOffered  all is told; how many clients; with the descriptor of the folder's lock
-//   taker  kTaken    it has read all of that
-//   giver  kYours    from here on the taker owns everything; before it, nothing
-//   giver  kEnded    an attempt that went on at the giver has ended
-//   taker  kCut      end that attempt; answered by kIsCut
-//   giver  kOperate  an operator's call, which came to the giver's door; answered by kOperated
+//   receiver  HandoverRequest       protocol version, pid
+//   sender    Refusal               the reason; the sender goes on serving
+//   sender    StateChunk            a part of the serialized HandoverState
+//   sender    ClientTransfer        one client, with its descriptor
+//   sender    OfferComplete         everything is sent; number of clients, descriptor of the folder lock
+//   receiver  OfferAccepted         everything has been read
+//   sender    OwnershipTransferred  the receiver owns everything from here on, and nothing before
+//   sender    AttemptEnded          an attempt that continued in the sender has ended
+//   receiver  CancelRequest         cancel that attempt; answered by CancelConfirmed
+//   sender    OperatorCommand       a command that arrived at the sender; answered by CommandResult
 //
-// Both run on one machine: numbers are in its byte order.
+// Both processes run on one machine: numbers are in its byte order.
 #pragma once
 
 #include <string>
@@ -26,53 +26,57 @@
 
 namespace oxbowspread::handover {
 
-// Of the packets and of what they hold: a process of another version is refused.
-inline constexpr int kVersion = 1;
+// Version of the packets and their contents. A process of another version is refused.
+inline constexpr int kProtocolVersion = 1;
 
-struct Ask {
-  int version = kVersion;
+struct HandoverRequest {
+  int version = kProtocolVersion;
   int pid = 0;
 };
-struct No {
-  std::string why;
+struct Refusal {
+  std::string reason;
 };
-struct EstatePiece {
+struct StateChunk {
   std::string bytes;
 };
-struct ClientPassed {
-  client::Passed client;  // its descriptor goes beside the packet
+struct ClientTransfer {
+  client::ClientState client;  // its descriptor is sent with the packet
 };
-struct Offered {
+struct OfferComplete {
   std::size_t clients = 0;
 };
-struct Taken {};
-struct Yours {};
+struct OfferAccepted {};
+struct OwnershipTransferred {};
 struct AttemptEnded {
   std::string id;
-  relay::AttemptEnd end;
+  relay::AttemptResult result;
 };
-struct Cut {
+struct CancelRequest {
   std::string id;
 };
-struct IsCut {
+struct CancelConfirmed {
   std::string id;
 };
-struct Operate {
-  std::string word, argument;
+struct OperatorCommand {
+  std::string command, argument;
 };
-struct Operated {
-  std::string error;  // empty: done
+struct CommandResult {
+  std::string error;  // empty on success
 };
 
-using Packet = std::variant<Ask, No, EstatePiece, ClientPassed, Offered, Taken, Yours, AttemptEnded, Cut,
-                            IsCut, Operate, Operated>;
+// A packet is encoded with its index in this list, so the order must not change.
+using Packet = std::variant<HandoverRequest, Refusal, StateChunk, ClientTransfer, OfferComplete,
+                            OfferAccepted, OwnershipTransferred, AttemptEnded, CancelRequest, CancelConfirmed,
+                            OperatorCommand, CommandResult>;
 
+// Serializes a packet.
 std::string ToBytes(const Packet& packet);
-// Throws std::invalid_argument where the bytes are no packet.
+// Parses a packet. Throws std::invalid_argument if the bytes are not a valid packet.
 Packet FromBytes(std::string_view bytes);
 
-std::vector<EstatePiece> Pieces(const relay::Estate& estate);
-// Throws std::invalid_argument where they are no estate.
-relay::Estate FromPieces(const std::string& all);
+// Serializes the state and splits it into packets.
+std::vector<StateChunk> ToChunks(const relay::HandoverState& state);
+// Parses the concatenated chunks. Throws std::invalid_argument if they are not a valid state.
+relay::HandoverState FromChunks(const std::string& bytes);
 
 }  // namespace oxbowspread::handover
--- a/src/handover/taker.hpp
+++ b/src/handover/taker.hpp
@@ -1,4 +1,5 @@
-// The taking side up to the moment at which all is its own: fed packets, says what to answer. No I/O.
+// Receiving side of a handover, up to the transfer of ownership, as a state machine without I/O: it is fed
+// packets and returns what to answer.
 #pragma once
 
 #include <optional>
@@ -9,34 +10,36 @@
 
 namespace oxbowspread::handover {
 
-class Taker {
+// State machine of the process that takes over.
+class HandoverReceiver {
  public:
   enum class Phase {
-    kAsked,      // no word yet
-    kReceiving,  // pieces and clients come
-    kReady,      // all is here and read, nothing of it is owned
+    kRequested,  // request sent, nothing received
+    kReceiving,  // receiving state chunks and clients
+    kReady,      // everything has been received and parsed, but nothing is owned yet
     kOwner,
-    kRefused  // the other goes on; `why` says so
+    kRefused  // the sender goes on serving; see refusal_reason()
   };
 
-  // A packet with the descriptor beside it, or -1; what to answer, if anything. What doesn't belong here ends
-  // in kRefused.
+  // Processes a packet with its descriptor, or -1; returns the answer to send, if any. An unexpected packet
+  // leads to kRefused.
   std::optional<Packet> Feed(Packet packet, int fd);
 
   Phase phase() const { return phase_; }
-  const std::string& why() const { return why_; }
-  // Once owner. Descriptors are the caller's to close from the first Feed on, whatever the phase ends in.
-  const relay::Estate& estate() const { return estate_; }
-  const std::vector<client::Passed>& clients() const { return clients_; }
+  const std::string& refusal_reason() const { return refusal_reason_; }
+  // The state is complete in phase kOwner. Descriptors are owned by the caller from the first Feed on,
+  // whatever the final phase.
+  const relay::HandoverState& state() const { return state_; }
+  const std::vector<client::ClientState>& clients() const { return clients_; }
   int lock_fd() const { return lock_fd_; }
 
  private:
-  std::optional<Packet> Refuse(const std::string& why);
+  std::optional<Packet> Refuse(const std::string& refusal_reason);
 
-  Phase phase_ = Phase::kAsked;
-  std::string why_, bytes_;
-  relay::Estate estate_;
-  std::vector<client::Passed> clients_;
+  Phase phase_ = Phase::kRequested;
+  std::string refusal_reason_, state_bytes_;
+  relay::HandoverState state_;
+  std::vector<client::ClientState> clients_;
   int lock_fd_ = -1;
 };
 
--- a/src/journal/entry.hpp
+++ b/src/journal/entry.hpp
@@ -1,4 +1,4 @@
-// What the journal knows of one message that the relay has taken on.
+// The journal entry of an accepted message. Times are in microseconds of Unix time.
 #pragma once
 
 #include <chrono>
@@ -12,46 +12,49 @@
 
 using Time = std::chrono::microseconds;
 
+// A message as a client submitted it.
 struct Message {
   std::string id;
-  std::string key;         // idempotency key; empty: none
-  std::string class_name;  // as in the settings
-  // The class as it was when this was taken on; nothing in a journal of an early version.
-  std::optional<wheathub::MessageClass> rules;
+  std::string key;         // idempotency key; empty if there is none
+  std::string class_name;  // name of the class in the settings
+  // The class as it was when the message was accepted; empty if the record was written by an early version.
+  std::optional<wheathub::MessageClass> class_settings;
   std::int64_t destination = 0;
-  Time ends_at{0};  // Unix time
-  bool again = false;
+  Time deadline{0};          // Unix time
+  bool resubmitted = false;  // the client may have submitted it before
   std::string body;
 };
 
-// How a message that was not delivered has ended; owed to the platform until it says 204.
+// How an undelivered message has ended. The platform is notified until it answers with status 204.
 struct Ending {
-  bool deferred = false;  // else undeliverable
-  std::int64_t again_ms = 0;
+  bool deferred = false;  // otherwise undeliverable
+  std::int64_t retry_after_ms = 0;
 };
 
+// One attempt of a message.
 struct Attempt {
   std::string host;
   int zone = 0;
-  Time at{0};  // Unix time
+  Time started_at{0};  // Unix time
 };
 
+// An open message with the history of its attempts.
 struct Entry {
   Message message;
-  int attempts = 0;  // begun, those that are out included
-  std::optional<Attempt> open;
-  std::optional<Attempt> first_risk;  // the first attempt that may have run
+  int attempts = 0;  // number of attempts started, including one in flight
+  std::optional<Attempt> open_attempt;
+  std::optional<Attempt> first_uncertain;  // the first attempt that may have run the message at the endpoint
   std::string last_host;
   std::optional<Ending> ending;
 
   void BeginAttempt(const Attempt& attempt) {
     ++attempts;
-    open = attempt;
+    open_attempt = attempt;
     last_host = attempt.host;
   }
   void EndAttempt(bool may_have_run) {
-    if (may_have_run && !first_risk) first_risk = open;
-    open.reset();
+    if (may_have_run && !first_uncertain) first_uncertain = open_attempt;
+    open_attempt.reset();
   }
 };
 
--- a/src/journal/folder_lock.cpp
+++ b/src/journal/folder_lock.cpp
@@ -18,13 +18,13 @@
   if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "can't open the folder " + folder);
   if (flock(fd_, LOCK_EX | LOCK_NB) == 0 || errno != EWOULDBLOCK) return;
   close(fd_);
-  std::string who = "another process";
+  std::string holder = "another process";
   if (const auto pid = HolderOf(folder)) {
     std::string name;
     std::getline(std::ifstream("/proc/" + std::to_string(*pid) + "/comm"), name);
-    who = "process " + std::to_string(*pid) + (name.empty() ? "" : " (" + name + ")");
+    holder = "process " + std::to_string(*pid) + (name.empty() ? "" : " (" + name + ")");
   }
-  throw FolderLocked("state: " + folder + " is held by " + who);
+  throw FolderLocked("state: " + folder + " is held by " + holder);
 }
 
 FolderLock::~FolderLock() { Release(); }
@@ -33,20 +33,20 @@
   if (fd_ >= 0) close(std::exchange(fd_, -1));
 }
 
-// A line of it (proc(5)): "1: FLOCK  ADVISORY  WRITE 708 08:02:131090 0 EOF", device in hex, inode in
-// decimal.
+// A line of /proc/locks (see proc(5)) looks like "1: FLOCK  ADVISORY  WRITE 708 08:02:131090 0 EOF", with the
+// device in hexadecimal and the inode in decimal.
 std::optional<pid_t> FolderLock::HolderOf(const std::string& folder) {
-  struct stat there {};
-  if (stat(folder.c_str(), &there) != 0) return std::nullopt;
+  struct stat folder_stat {};
+  if (stat(folder.c_str(), &folder_stat) != 0) return std::nullopt;
   std::ifstream locks("/proc/locks");
   for (std::string line; std::getline(locks, line);) {
     std::istringstream fields(line);
-    std::string number, kind, advisory, mode, place;
+    std::string lock_number, kind, advisory, mode, device_and_inode;
     pid_t pid = 0;
-    if (!(fields >> number >> kind >> advisory >> mode >> pid >> place)) continue;
-    const std::size_t colon = place.rfind(':');
-    if (kind != "FLOCK" || colon == place.npos || pid <= 0) continue;
-    if (place.substr(colon + 1) == std::to_string(there.st_ino)) return pid;
+    if (!(fields >> lock_number >> kind >> advisory >> mode >> pid >> device_and_inode)) continue;
+    const std::size_t colon = device_and_inode.rfind(':');
+    if (kind != "FLOCK" || colon == device_and_inode.npos || pid <= 0) continue;
+    if (device_and_inode.substr(colon + 1) == std::to_string(folder_stat.st_ino)) return pid;
   }
   return std::nullopt;
 }
--- a/src/journal/folder_lock.hpp
+++ b/src/journal/folder_lock.hpp
@@ -1,4 +1,4 @@
-// Who may write in a folder that lasts: one process at a time.
+// Lock that lets only one process at a time use a state folder.
 #pragma once
 
 #include <sys/types.h>
@@ -9,30 +9,31 @@
 
 namespace oxbowspread::journal {
 
-// Another process holds the folder; the text names the folder and, where the system tells it, the process.
+// Another process holds the folder. The text names the folder and, where the system reports it, the process.
 class FolderLocked : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// An exclusive lock (flock(2)) on the folder itself: it takes no room in it, and ends with its process
-// however that ends. Where the file system knows no such locks the folder is used without one.
+// An exclusive lock (flock(2)) on the folder itself. It creates no file, and the system releases it when its
+// process ends in any way. On a file system without such locks the folder is used without one.
 class FolderLock {
  public:
-  // Throws FolderLocked, or std::system_error if there is no such folder.
+  // Takes the lock. Throws FolderLocked, or std::system_error if the folder does not exist.
   explicit FolderLock(const std::string& folder);
-  // Takes over a lock that another process has taken and passed on as a descriptor.
+  // Takes ownership of a lock that another process has taken and passed on as a descriptor.
   explicit FolderLock(int fd) : fd_(fd) {}
   ~FolderLock();
   FolderLock(const FolderLock&) = delete;
   FolderLock& operator=(const FolderLock&) = delete;
 
-  // To be passed on: it stays locked while any process has it open.
+  // Descriptor to pass to another process. The folder stays locked while any process has it open.
   int fd() const { return fd_; }
-  // This process holds it no more.
+  // Gives up this process's hold on the lock.
   void Release();
 
-  // The process that holds the folder, read from /proc/locks; nothing if nobody does or it isn't told.
+  // Returns the process that holds the folder, as listed in /proc/locks; empty if none does or it is not
+  // listed.
   static std::optional<pid_t> HolderOf(const std::string& folder);
 
  private:
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -14,44 +14,51 @@
 namespace oxbowspread::journal {
 namespace {
 
-enum class Type : std::uint8_t {
+enum class RecordType : std::uint8_t {
   kAccepted = 1,
   kAttemptBegun,
   kAttemptEnded,
   kEnded,
   kClosed,
-  kHostOut,
-  kHostBack
+  kHostExcluded,
+  kHostIncluded
 };
 
-constexpr std::size_t kFrame = 8;
-constexpr std::size_t kLongest = 256 * 1024;  // of a payload: more is no record
-constexpr std::size_t kRecordsOfOne = 560;    // what an entry takes beside its body, at most
-// Old and new file stand side by side while one is rewritten, and both count: .45 + .45 of the budget.
-constexpr double kFileShare = 0.45;
-constexpr double kLiveShare = 0.38;  // less, else a full journal would be rewritten at each append
-
-class Writer {
+constexpr std::size_t kFrameBytes = 8;
+constexpr std::size_t kMaxPayloadBytes = 256 * 1024;  // a greater length means a corrupt record
+// Upper bound of the records of one message, without its body.
+constexpr std::size_t kMaxEntryOverheadBytes = 560;
+// While the file is rewritten, the old and the new one exist together and both count against the budget: 0.45
+// + 0.45 of it.
+constexpr double kMaxFileShare = 0.45;
+// Less than kMaxFileShare, otherwise a full journal would be rewritten at every append.
+constexpr double kMaxLiveShare = 0.38;
+
+// Serializes the payload of a record.
+class RecordWriter {
  public:
-  explicit Writer(Type type) { Put(type); }
+  explicit RecordWriter(RecordType type) { Put(type); }
   template <typename T>
-  Writer& Put(T value) {
+  RecordWriter& Put(T value) {
     static_assert(std::is_trivially_copyable_v<T>);
     bytes_.append(reinterpret_cast<const char*>(&value), sizeof value);
     return *this;
   }
-  Writer& Put(const std::string& text) {
+  RecordWriter& Put(const std::string& text) {
     Put(static_cast<std::uint32_t>(text.size()));
     bytes_ += text;
     return *this;
   }
-  Writer& Put(const wheathub::MessageClass& c) {
-    Put(static_cast<std::uint8_t>(c.semantics)).Put(std::uint8_t{c.repeats_bound_to_zone});
-    Put(std::uint8_t{c.ordered}).Put(c.aim.count()).Put(c.deadline.count());
-    return Put(c.repeat_window.count()).Put(c.worth).Put(c.late_value);
+  RecordWriter& Put(const wheathub::MessageClass& message_class) {
+    Put(static_cast<std::uint8_t>(message_class.semantics))
+        .Put(std::uint8_t{message_class.repeats_bound_to_zone});
+    Put(std::uint8_t{message_class.ordered})
+        .Put(message_class.aim.count())
+        .Put(message_class.deadline.count());
+    return Put(message_class.repeat_window.count()).Put(message_class.worth).Put(message_class.late_value);
   }
-  Writer& Put(const Attempt& attempt) {
-    return Put(attempt.host).Put(std::int32_t{attempt.zone}).Put(attempt.at.count());
+  RecordWriter& Put(const Attempt& attempt) {
+    return Put(attempt.host).Put(std::int32_t{attempt.zone}).Put(attempt.started_at.count());
   }
   const std::string& bytes() const { return bytes_; }
 
@@ -59,55 +66,57 @@
   std::string bytes_;
 };
 
-class Parser {
+// Parses the payload of a record. Once a read goes past the end, valid() is false and the values are
+// meaningless.
+class RecordReader {
  public:
-  explicit Parser(std::string_view bytes) : rest_(bytes) {}
+  explicit RecordReader(std::string_view bytes) : remaining_(bytes) {}
   template <typename T>
   T Get() {
     T value{};
-    if (rest_.size() < sizeof value) {
-      good_ = false;
-      rest_ = {};
+    if (remaining_.size() < sizeof value) {
+      valid_ = false;
+      remaining_ = {};
       return value;
     }
-    std::memcpy(&value, rest_.data(), sizeof value);
-    rest_.remove_prefix(sizeof value);
+    std::memcpy(&value, remaining_.data(), sizeof value);
+    remaining_.remove_prefix(sizeof value);
     return value;
   }
-  std::string Text() {
+  std::string GetText() {
     const auto size = Get<std::uint32_t>();
-    good_ = good_ && size <= rest_.size();
-    if (!good_) return {};
-    std::string text(rest_.substr(0, size));
-    rest_.remove_prefix(size);
+    valid_ = valid_ && size <= remaining_.size();
+    if (!valid_) return {};
+    std::string text(remaining_.substr(0, size));
+    remaining_.remove_prefix(size);
     return text;
   }
   Attempt GetAttempt() {
     Attempt attempt;
-    attempt.host = Text();
+    attempt.host = GetText();
     attempt.zone = Get<std::int32_t>();
-    attempt.at = Time(Get<Time::rep>());
+    attempt.started_at = Time(Get<Time::rep>());
     return attempt;
   }
   wheathub::MessageClass GetClass(const std::string& name) {
-    wheathub::MessageClass c;
-    c.name = name;
-    c.semantics = static_cast<wheathub::Semantics>(Get<std::uint8_t>());
-    c.repeats_bound_to_zone = Get<std::uint8_t>() != 0;
-    c.ordered = Get<std::uint8_t>() != 0;
-    c.aim = Time(Get<Time::rep>());
-    c.deadline = Time(Get<Time::rep>());
-    c.repeat_window = Time(Get<Time::rep>());
-    c.worth = Get<double>();
-    c.late_value = Get<double>();
-    return c;
+    wheathub::MessageClass message_class;
+    message_class.name = name;
+    message_class.semantics = static_cast<wheathub::Semantics>(Get<std::uint8_t>());
+    message_class.repeats_bound_to_zone = Get<std::uint8_t>() != 0;
+    message_class.ordered = Get<std::uint8_t>() != 0;
+    message_class.aim = Time(Get<Time::rep>());
+    message_class.deadline = Time(Get<Time::rep>());
+    message_class.repeat_window = Time(Get<Time::rep>());
+    message_class.worth = Get<double>();
+    message_class.late_value = Get<double>();
+    return message_class;
   }
-  bool good() const { return good_; }
-  bool empty() const { return rest_.empty(); }
+  bool valid() const { return valid_; }
+  bool empty() const { return remaining_.empty(); }
 
  private:
-  std::string_view rest_;
-  bool good_ = true;
+  std::string_view remaining_;
+  bool valid_ = true;
 };
 
 std::uint32_t Checksum(std::string_view bytes) {
@@ -115,33 +124,41 @@
       crc32(0, reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uInt>(bytes.size())));
 }
 
-std::string Accepted(const Entry& e) {
-  const Message& a = e.message;
-  Writer w(Type::kAccepted);
-  w.Put(a.id).Put(a.key).Put(a.class_name).Put(a.destination).Put(a.ends_at.count());
-  w.Put(static_cast<std::uint8_t>(a.again)).Put(a.body);
-  // The history that a rewritten file carries on; the open attempt follows as a record of its own.
-  w.Put(std::int32_t{e.attempts - (e.open ? 1 : 0)}).Put(e.last_host);
-  w.Put(static_cast<std::uint8_t>(e.first_risk.has_value())).Put(e.first_risk.value_or(Attempt()));
-  if (a.rules) w.Put(*a.rules);
-  return w.bytes();
+std::string EncodeAccepted(const Entry& entry) {
+  const Message& message = entry.message;
+  RecordWriter writer(RecordType::kAccepted);
+  writer.Put(message.id)
+      .Put(message.key)
+      .Put(message.class_name)
+      .Put(message.destination)
+      .Put(message.deadline.count());
+  writer.Put(static_cast<std::uint8_t>(message.resubmitted)).Put(message.body);
+  // A rewritten file carries the history of the message in this record; the open attempt follows as a
+  // separate record.
+  writer.Put(std::int32_t{entry.attempts - (entry.open_attempt ? 1 : 0)}).Put(entry.last_host);
+  writer.Put(static_cast<std::uint8_t>(entry.first_uncertain.has_value()))
+      .Put(entry.first_uncertain.value_or(Attempt()));
+  if (message.class_settings) writer.Put(*message.class_settings);
+  return writer.bytes();
 }
-std::string AttemptBegun(const std::string& id, const Attempt& attempt) {
-  return Writer(Type::kAttemptBegun).Put(id).Put(attempt).bytes();
+std::string EncodeAttemptBegun(const std::string& id, const Attempt& attempt) {
+  return RecordWriter(RecordType::kAttemptBegun).Put(id).Put(attempt).bytes();
 }
-std::string Ended(const std::string& id, const Ending& ending) {
-  return Writer(Type::kEnded)
+std::string EncodeEnded(const std::string& id, const Ending& ending) {
+  return RecordWriter(RecordType::kEnded)
       .Put(id)
       .Put(static_cast<std::uint8_t>(ending.deferred))
-      .Put(ending.again_ms)
+      .Put(ending.retry_after_ms)
       .bytes();
 }
 
-std::string HostRecord(Type type, const std::string& host) { return Writer(type).Put(host).bytes(); }
+std::string EncodeHostRecord(RecordType type, const std::string& host) {
+  return RecordWriter(type).Put(host).bytes();
+}
 
-std::size_t Size(const Entry& e) { return kRecordsOfOne + e.message.body.size(); }
+std::size_t MaxEncodedSize(const Entry& entry) { return kMaxEntryOverheadBytes + entry.message.body.size(); }
 
-[[noreturn]] void Throw(const std::string& what) {
+[[noreturn]] void ThrowSystemError(const std::string& what) {
   throw std::system_error(errno, std::generic_category(), what);
 }
 
@@ -157,12 +174,13 @@
 
 }  // namespace
 
-Journal::Journal(const std::string& folder, std::size_t budget, const std::set<std::string>& still_out)
-    : path_(folder + "/journal"), next_path_(folder + "/journal.next"), budget_(budget) {
-  unlink(next_path_.c_str());  // a rewrite that the last process did not finish
+Journal::Journal(const std::string& folder, std::size_t budget_bytes,
+                 const std::set<std::string>& still_in_flight)
+    : path_(folder + "/journal"), next_path_(folder + "/journal.next"), budget_bytes_(budget_bytes) {
+  unlink(next_path_.c_str());  // left by a rewrite that an earlier process did not finish
   fd_ = open(path_.c_str(), O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-  if (fd_ < 0) Throw("can't open " + path_);
-  Recover(still_out);
+  if (fd_ < 0) ThrowSystemError("can't open " + path_);
+  Recover(still_in_flight);
 }
 
 Journal::~Journal() {
@@ -173,92 +191,93 @@
   if (fd_ >= 0) close(std::exchange(fd_, -1));
 }
 
-void Journal::Recover(const std::set<std::string>& still_out) {
+void Journal::Recover(const std::set<std::string>& still_in_flight) {
   std::string bytes;
   char chunk[65536];
   while (true) {
     const ssize_t count = read(fd_, chunk, sizeof chunk);
     if (count < 0 && errno == EINTR) continue;
-    if (count < 0) Throw("can't read " + path_);
+    if (count < 0) ThrowSystemError("can't read " + path_);
     if (count == 0) break;
     bytes.append(chunk, static_cast<std::size_t>(count));
   }
-  std::size_t at = 0;
-  while (bytes.size() - at >= kFrame) {
-    std::uint32_t frame[2];
-    std::memcpy(frame, bytes.data() + at, sizeof frame);
-    if (frame[0] > kLongest || frame[0] > bytes.size() - at - kFrame) break;
-    const std::string_view payload(bytes.data() + at + kFrame, frame[0]);
-    if (Checksum(payload) != frame[1] || !Apply(payload)) break;
-    at += kFrame + frame[0];
+  std::size_t offset = 0;
+  while (bytes.size() - offset >= kFrameBytes) {
+    std::uint32_t header[2];
+    std::memcpy(header, bytes.data() + offset, sizeof header);
+    if (header[0] > kMaxPayloadBytes || header[0] > bytes.size() - offset - kFrameBytes) break;
+    const std::string_view payload(bytes.data() + offset + kFrameBytes, header[0]);
+    if (Checksum(payload) != header[1] || !Apply(payload)) break;
+    offset += kFrameBytes + header[0];
   }
-  // Killed in the middle of a write: what follows the last whole record was never relied on.
-  cut_bytes_ = bytes.size() - at;
-  if (cut_bytes_ > 0 && ftruncate(fd_, static_cast<off_t>(at)) != 0) Throw("can't cut " + path_);
-  file_bytes_ = at;
-  for (auto& [id, e] : entries_) {
-    if (e.open && still_out.count(id) == 0) e.EndAttempt(true);
+  // The process was killed during a write: nothing relied on what follows the last complete record.
+  truncated_bytes_ = bytes.size() - offset;
+  if (truncated_bytes_ > 0 && ftruncate(fd_, static_cast<off_t>(offset)) != 0)
+    ThrowSystemError("can't truncate " + path_);
+  file_bytes_ = offset;
+  for (auto& [id, entry] : entries_) {
+    if (entry.open_attempt && still_in_flight.count(id) == 0) entry.EndAttempt(true);
   }
   Compact();
 }
 
 bool Journal::Apply(std::string_view payload) {
-  Parser p(payload);
-  const auto type = static_cast<Type>(p.Get<std::uint8_t>());
-  const std::string id = p.Text();
-  if (type == Type::kAccepted) {
-    Entry e;
-    Message& a = e.message;
-    a.id = id;
-    a.key = p.Text();
-    a.class_name = p.Text();
-    a.destination = p.Get<std::int64_t>();
-    a.ends_at = Time(p.Get<Time::rep>());
-    a.again = p.Get<std::uint8_t>() != 0;
-    a.body = p.Text();
-    e.attempts = p.Get<std::int32_t>();
-    e.last_host = p.Text();
-    const bool risk = p.Get<std::uint8_t>() != 0;
-    const Attempt first = p.GetAttempt();
-    if (risk) e.first_risk = first;
-    if (!p.empty()) a.rules = p.GetClass(a.class_name);
-    if (p.good()) Keep(std::move(e));
-    return p.good();
+  RecordReader reader(payload);
+  const auto type = static_cast<RecordType>(reader.Get<std::uint8_t>());
+  const std::string id = reader.GetText();
+  if (type == RecordType::kAccepted) {
+    Entry entry;
+    Message& message = entry.message;
+    message.id = id;
+    message.key = reader.GetText();
+    message.class_name = reader.GetText();
+    message.destination = reader.Get<std::int64_t>();
+    message.deadline = Time(reader.Get<Time::rep>());
+    message.resubmitted = reader.Get<std::uint8_t>() != 0;
+    message.body = reader.GetText();
+    entry.attempts = reader.Get<std::int32_t>();
+    entry.last_host = reader.GetText();
+    const bool has_uncertain = reader.Get<std::uint8_t>() != 0;
+    const Attempt first_uncertain = reader.GetAttempt();
+    if (has_uncertain) entry.first_uncertain = first_uncertain;
+    if (!reader.empty()) message.class_settings = reader.GetClass(message.class_name);
+    if (reader.valid()) Insert(std::move(entry));
+    return reader.valid();
   }
-  if (type == Type::kHostOut || type == Type::kHostBack) {
-    if (p.good() && type == Type::kHostOut) out_.insert(id);
-    if (p.good() && type == Type::kHostBack) out_.erase(id);
-    return p.good();
+  if (type == RecordType::kHostExcluded || type == RecordType::kHostIncluded) {
+    if (reader.valid() && type == RecordType::kHostExcluded) excluded_hosts_.insert(id);
+    if (reader.valid() && type == RecordType::kHostIncluded) excluded_hosts_.erase(id);
+    return reader.valid();
   }
   const auto it = entries_.find(id);
-  if (it == entries_.end()) return p.good();
-  Entry& e = it->second;
+  if (it == entries_.end()) return reader.valid();
+  Entry& entry = it->second;
   switch (type) {
-    case Type::kAttemptBegun:
-      e.BeginAttempt(p.GetAttempt());
-      return p.good();
-    case Type::kAttemptEnded:
-      e.EndAttempt(p.Get<std::uint8_t>() != 0);
-      return p.good();
-    case Type::kEnded:
-      e.ending = Ending{p.Get<std::uint8_t>() != 0, p.Get<std::int64_t>()};
-      return p.good();
-    case Type::kClosed:
+    case RecordType::kAttemptBegun:
+      entry.BeginAttempt(reader.GetAttempt());
+      return reader.valid();
+    case RecordType::kAttemptEnded:
+      entry.EndAttempt(reader.Get<std::uint8_t>() != 0);
+      return reader.valid();
+    case RecordType::kEnded:
+      entry.ending = Ending{reader.Get<std::uint8_t>() != 0, reader.Get<std::int64_t>()};
+      return reader.valid();
+    case RecordType::kClosed:
       Erase(it);
-      return p.good();
+      return reader.valid();
     default:
       return false;
   }
 }
 
-Entry& Journal::Keep(Entry entry) {
+Entry& Journal::Insert(Entry entry) {
   const std::string id = entry.message.id;
-  live_bytes_ += Size(entry);
+  live_bytes_ += MaxEncodedSize(entry);
   return entries_[id] = std::move(entry);
 }
 
 void Journal::Erase(std::map<std::string, Entry>::iterator it) {
-  live_bytes_ -= Size(it->second);
+  live_bytes_ -= MaxEncodedSize(it->second);
   entries_.erase(it);
 }
 
@@ -267,13 +286,14 @@
   return it == entries_.end() ? nullptr : &it->second;
 }
 
-bool Journal::CanHold(std::size_t body) const {
-  return static_cast<double>(live_bytes_ + kRecordsOfOne + body) <= kLiveShare * static_cast<double>(budget_);
+bool Journal::CanHold(std::size_t body_bytes) const {
+  return static_cast<double>(live_bytes_ + kMaxEntryOverheadBytes + body_bytes) <=
+         kMaxLiveShare * static_cast<double>(budget_bytes_);
 }
 
-bool Journal::WriteFrame(int fd, const std::string& payload, std::size_t* written) {
-  const std::uint32_t frame[2] = {static_cast<std::uint32_t>(payload.size()), Checksum(payload)};
-  std::string bytes(reinterpret_cast<const char*>(frame), sizeof frame);
+bool Journal::WriteRecord(int fd, const std::string& payload, std::size_t* written) {
+  const std::uint32_t header[2] = {static_cast<std::uint32_t>(payload.size()), Checksum(payload)};
+  std::string bytes(reinterpret_cast<const char*>(header), sizeof header);
   bytes += payload;
   if (!WriteAll(fd, bytes)) return false;
   *written += bytes.size();
@@ -281,51 +301,53 @@
 }
 
 bool Journal::Append(const std::string& payload) {
-  if (fd_ < 0) return false;  // released
-  const std::size_t after = file_bytes_ + kFrame + payload.size();
-  if (static_cast<double>(after) > kFileShare * static_cast<double>(budget_)) Compact();
-  if (WriteFrame(fd_, payload, &file_bytes_)) return true;
-  // A full disk may have taken half a record: nothing may follow that.
+  if (fd_ < 0) return false;  // the journal was released
+  const std::size_t after = file_bytes_ + kFrameBytes + payload.size();
+  if (static_cast<double>(after) > kMaxFileShare * static_cast<double>(budget_bytes_)) Compact();
+  if (WriteRecord(fd_, payload, &file_bytes_)) return true;
+  // A full disk may have stored part of the record: nothing may be appended behind that.
   if (ftruncate(fd_, static_cast<off_t>(file_bytes_)) != 0) return false;
-  return Compact() && WriteFrame(fd_, payload, &file_bytes_);
+  return Compact() && WriteRecord(fd_, payload, &file_bytes_);
 }
 
-// Writes what is owed to a new file that takes the old one's place in one step.
+// Writes all open messages to a new file, which then replaces the old one atomically.
 bool Journal::Compact() {
-  const int next = open(next_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
-  std::size_t size = 0;
-  bool good = next >= 0;
-  for (const std::string& host : out_) {
-    good = good && WriteFrame(next, HostRecord(Type::kHostOut, host), &size);
+  const int next_fd = open(next_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
+  std::size_t file_bytes = 0;
+  bool written = next_fd >= 0;
+  for (const std::string& host : excluded_hosts_) {
+    written = written && WriteRecord(next_fd, EncodeHostRecord(RecordType::kHostExcluded, host), &file_bytes);
   }
-  for (auto it = entries_.begin(); good && it != entries_.end(); ++it) {
-    const Entry& e = it->second;
-    good = WriteFrame(next, Accepted(e), &size);
-    if (good && e.open) good = WriteFrame(next, AttemptBegun(it->first, *e.open), &size);
-    if (good && e.ending) good = WriteFrame(next, Ended(it->first, *e.ending), &size);
+  for (auto it = entries_.begin(); written && it != entries_.end(); ++it) {
+    const Entry& entry = it->second;
+    written = WriteRecord(next_fd, EncodeAccepted(entry), &file_bytes);
+    if (written && entry.open_attempt)
+      written = WriteRecord(next_fd, EncodeAttemptBegun(it->first, *entry.open_attempt), &file_bytes);
+    if (written && entry.ending)
+      written = WriteRecord(next_fd, EncodeEnded(it->first, *entry.ending), &file_bytes);
   }
-  good = good && rename(next_path_.c_str(), path_.c_str()) == 0;
-  if (!good) {
-    if (next >= 0) close(next);
+  written = written && rename(next_path_.c_str(), path_.c_str()) == 0;
+  if (!written) {
+    if (next_fd >= 0) close(next_fd);
     unlink(next_path_.c_str());
     return false;
   }
-  close(std::exchange(fd_, next));
-  file_bytes_ = size;
+  close(std::exchange(fd_, next_fd));
+  file_bytes_ = file_bytes;
   return true;
 }
 
 bool Journal::Accept(const Message& message) {
-  Entry e;
-  e.message = message;
-  if (!Append(Accepted(e))) return false;
-  Keep(std::move(e));
+  Entry entry;
+  entry.message = message;
+  if (!Append(EncodeAccepted(entry))) return false;
+  Insert(std::move(entry));
   return true;
 }
 
 bool Journal::BeginAttempt(const std::string& id, const Attempt& attempt) {
   const auto it = entries_.find(id);
-  if (it == entries_.end() || !Append(AttemptBegun(id, attempt))) return false;
+  if (it == entries_.end() || !Append(EncodeAttemptBegun(id, attempt))) return false;
   it->second.BeginAttempt(attempt);
   return true;
 }
@@ -334,27 +356,30 @@
   const auto it = entries_.find(id);
   if (it == entries_.end()) return false;
   it->second.EndAttempt(may_have_run);
-  return Append(Writer(Type::kAttemptEnded).Put(id).Put(static_cast<std::uint8_t>(may_have_run)).bytes());
+  return Append(
+      RecordWriter(RecordType::kAttemptEnded).Put(id).Put(static_cast<std::uint8_t>(may_have_run)).bytes());
 }
 
-bool Journal::End(const std::string& id, const Ending& ending) {
+bool Journal::RecordEnding(const std::string& id, const Ending& ending) {
   const auto it = entries_.find(id);
   if (it == entries_.end()) return false;
   it->second.ending = ending;
-  return Append(Ended(id, ending));
+  return Append(EncodeEnded(id, ending));
 }
 
-bool Journal::TakeOut(const std::string& host) {
-  if (out_.count(host) > 0) return true;
-  if (out_.size() >= kMostOut || !Append(HostRecord(Type::kHostOut, host))) return false;
-  out_.insert(host);
+bool Journal::ExcludeHost(const std::string& host) {
+  if (excluded_hosts_.count(host) > 0) return true;
+  if (excluded_hosts_.size() >= kMaxExcludedHosts ||
+      !Append(EncodeHostRecord(RecordType::kHostExcluded, host)))
+    return false;
+  excluded_hosts_.insert(host);
   return true;
 }
 
-bool Journal::PutBack(const std::string& host) {
-  if (out_.count(host) == 0) return true;
-  if (!Append(HostRecord(Type::kHostBack, host))) return false;
-  out_.erase(host);
+bool Journal::IncludeHost(const std::string& host) {
+  if (excluded_hosts_.count(host) == 0) return true;
+  if (!Append(EncodeHostRecord(RecordType::kHostIncluded, host))) return false;
+  excluded_hosts_.erase(host);
   return true;
 }
 
@@ -362,7 +387,7 @@
   const auto it = entries_.find(id);
   if (it == entries_.end()) return true;
   Erase(it);
-  return Append(Writer(Type::kClosed).Put(id).bytes());
+  return Append(RecordWriter(RecordType::kClosed).Put(id).bytes());
 }
 
 }  // namespace oxbowspread::journal
--- a/src/journal/journal.hpp
+++ b/src/journal/journal.hpp
@@ -1,8 +1,10 @@
-// The lasting record: framed and checksummed appends to one file, rewritten when what is over fills it.
+// Durable journal of accepted messages: checksummed records appended to one file, which is rewritten when
+// closed messages fill it.
 //
-// Plain writes outlast the process by what the deployment promises, so nothing is synced. A record is
+// Plain writes survive the end of the process, which is all that the deployment requires, so nothing is
+// synced. A record is
 //   u32 length | u32 crc32 of the payload | payload: u8 type, fields
-// in the machine's byte order: the file never leaves the machine.
+// in the byte order of the machine: the file never leaves it.
 #pragma once
 
 #include <cstddef>
@@ -15,58 +17,66 @@
 
 namespace oxbowspread::journal {
 
+// Owns the journal file of a state folder. The caller must hold the FolderLock.
 class Journal {
  public:
-  // Reads what is in the folder, cuts a torn tail and takes an attempt that was out as one that may have run.
-  // Attempts of the messages in `still_out` go on in another process, and stay open.
-  // `budget` is what all files may hold. Throws std::system_error if the folder can't be used at all.
-  Journal(const std::string& folder, std::size_t budget, const std::set<std::string>& still_out = {});
+  // Opens and reads the journal. A partly written last record is cut off, and an attempt without a recorded
+  // end counts as one that may have run; attempts of the messages in `still_in_flight` continue in another
+  // process and stay open. `budget_bytes` limits the total size of all files. Throws std::system_error if the
+  // folder cannot be used at all.
+  Journal(const std::string& folder, std::size_t budget_bytes,
+          const std::set<std::string>& still_in_flight = {});
   ~Journal();
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // All that is still owed, an end or its notice, by id.
+  // All open messages by id: those that have not ended, and those whose notice is not accepted yet.
   const std::map<std::string, Entry>& entries() const { return entries_; }
+  // Returns null if there is no such message. The pointer is valid until the message is closed.
   const Entry* Find(const std::string& id) const;
-  std::size_t cut_bytes() const { return cut_bytes_; }  // of a torn tail
+  // Size of the partly written record that was cut off when the journal was opened.
+  std::size_t truncated_bytes() const { return truncated_bytes_; }
   std::size_t file_bytes() const { return file_bytes_; }
 
-  // Whether a message with such a body would fit beside all that is owed.
-  bool CanHold(std::size_t body) const;
+  // Returns whether a message with a body of that size fits beside all open messages.
+  bool CanHold(std::size_t body_bytes) const;
 
-  // Each is on record when it returns true. When the disk doesn't take it the file stays as it was.
+  // Each call returns true once the change is recorded. If the disk rejects the record, the file stays as it
+  // was.
   bool Accept(const Message& message);
   bool BeginAttempt(const std::string& id, const Attempt& attempt);
   bool EndAttempt(const std::string& id, bool may_have_run);
-  bool End(const std::string& id, const Ending& ending);
-  bool Close(const std::string& id);  // delivered, withdrawn, or its notice taken: nothing is owed
+  bool RecordEnding(const std::string& id, const Ending& ending);
+  // The message was delivered or withdrawn, or its notice was accepted: it is no longer open.
+  bool Close(const std::string& id);
 
-  // The files are another process's from now on: nothing more is read or written here.
+  // Closes the file because another process owns it now; nothing is read or written here afterwards.
   void Release();
 
-  // Hosts that operators have taken out, by id; on record when true is returned. kMostOut at a time.
-  static constexpr std::size_t kMostOut = 64;
-  const std::set<std::string>& out() const { return out_; }
-  bool TakeOut(const std::string& host);
-  bool PutBack(const std::string& host);
+  // Hosts that operators have excluded, by id, at most kMaxExcludedHosts. A change is recorded when true is
+  // returned.
+  static constexpr std::size_t kMaxExcludedHosts = 64;
+  const std::set<std::string>& excluded_hosts() const { return excluded_hosts_; }
+  bool ExcludeHost(const std::string& host);
+  bool IncludeHost(const std::string& host);
 
  private:
-  void Recover(const std::set<std::string>& still_out);
+  void Recover(const std::set<std::string>& still_in_flight);
   bool Apply(std::string_view payload);
   bool Append(const std::string& payload);
-  bool WriteFrame(int fd, const std::string& payload, std::size_t* written);
+  bool WriteRecord(int fd, const std::string& payload, std::size_t* written);
   bool Compact();
   void Erase(std::map<std::string, Entry>::iterator it);
-  Entry& Keep(Entry entry);
+  Entry& Insert(Entry entry);
 
   std::string path_, next_path_;
-  std::size_t budget_;
+  std::size_t budget_bytes_;
   int fd_ = -1;
   std::size_t file_bytes_ = 0;
-  std::size_t live_bytes_ = 0;  // what a rewritten file would hold at most
-  std::size_t cut_bytes_ = 0;
+  std::size_t live_bytes_ = 0;  // upper bound of the size of a rewritten file
+  std::size_t truncated_bytes_ = 0;
   std::map<std::string, Entry> entries_;
-  std::set<std::string> out_;
+  std::set<std::string> excluded_hosts_;
 };
 
 }  // namespace oxbowspread::journal
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -21,10 +21,10 @@
 using endpoint::kKeepShare;
 using endpoint::kRest;
 using endpoint::kSweepEach;
-using relay::kDoorOpen;
-using relay::kLookEach;
-using relay::kSettleAt;
-using relay::kStopAt;
+using relay::kExitAfter;
+using relay::kKeepAccepting;
+using relay::kPollInterval;
+using relay::kStopSendingAfter;
 
 std::ostream& Nowhere() {
   static std::ostream none(nullptr);
@@ -35,12 +35,12 @@
 
 struct Node::Hand final : relay::Client {
   Hand(Node& n, std::uint64_t h) : node(n), number(h) {}
-  bool TakenOn() override {
+  bool OnAccepted() override {
     node.around_.Tell(model::Answered{number, model::Answered::What::kTaken, Time(0)});
     Over();
     return true;
   }
-  void Refused(relay::Time come_again) override {
+  void OnRejected(relay::Time come_again) override {
     node.around_.Tell(model::Answered{number, model::Answered::What::kTurnedAway, come_again});
     Over();
   }
@@ -69,7 +69,7 @@
   std::filesystem::create_directories(options_.folder);
   journal_ = std::make_unique<journal::Journal>(options_.folder, options_.disk_bytes);
   relay_ = std::make_unique<relay::Relay>(settings, options_.seed, *journal_,
-                                          relay::Relay::Sides{*this, *this, *this, &Nowhere()}, counters_);
+                                          relay::Relay::Ports{*this, *this, *this, &Nowhere()}, counters_);
   version_ = known.version;
   relay_->Recover(ChangeOf(known, true));
   TellLease(wheathub::ListLease::Started{});
@@ -119,13 +119,13 @@
 
 // As the client side reckons it with net::Loop::earliest_arrival.
 Time Node::LainUnread() const {
-  return unread_since_ < 0us ? Time(0) : std::min<Time>(Now() - unread_since_, relay::kClientWaits);
+  return unread_since_ < 0us ? Time(0) : std::min<Time>(Now() - unread_since_, relay::kClientTimeout);
 }
 
 void Node::WakeAt(Time moment) {
   const std::uint64_t wake = ++wake_;
   Later(std::max(Time(0), moment - Now()), [this, wake] {
-    if (wake == wake_) relay_->Turn();
+    if (wake == wake_) relay_->ProcessEvents();
   });
 }
 
@@ -138,8 +138,8 @@
   a.key = in.key;
   a.class_name = "outbound";
   a.destination = in.destination;
-  a.ends_at = UnixNow() + in.left - LainUnread();
-  a.again = in.refused_before || in.died_before;
+  a.deadline = UnixNow() + in.left - LainUnread();
+  a.resubmitted = in.refused_before || in.died_before;
   a.body = body;
   const auto [it, made] = hands_.emplace(in.hand, std::make_unique<Hand>(*this, in.hand));
   relay_->Submit(std::move(a), *it->second);
@@ -197,7 +197,7 @@
   }
   if (longest == nullptr) return false;
   longest->free_since.erase(longest->free_since.begin());
-  counters_.lines_evicted += 1;
+  counters_.connections_evicted += 1;
   CloseLine(longest->address);
   return true;
 }
@@ -218,7 +218,7 @@
     auto& idle = it->second.free_since;
     while (!idle.empty() && now - idle.front() > keep) {
       idle.erase(idle.begin());
-      counters_.lines_idled += 1;
+      counters_.idle_connections_closed += 1;
       CloseLine(it->second.address);
     }
     it = idle.empty() ? pools_.erase(it) : std::next(it);
@@ -230,7 +230,7 @@
 
 // ---- calls ----
 
-void Node::Begin(relay::AttemptOrder order) {
+void Node::StartAttempt(relay::AttemptRequest order) {
   const endpoint::Host* const host = hosts_.Find(order.host);
   if (host == nullptr || !host->known) return Fail(order.attempt, Outcome::kNoConnection);
   const Time now = Now();
@@ -239,15 +239,15 @@
   if (fresh) {
     if (lines_ >= options_.most_lines && !MakeRoom()) return Fail(order.attempt, Outcome::kNotSent);
     if (!around_.Connect(address)) {
-      counters_.line_failures += 1;
+      counters_.connection_failures += 1;
       return Fail(order.attempt, Outcome::kNoConnection);
     }
     lines_ += 1;
-    counters_.lines_opened += 1;
+    counters_.connections_opened += 1;
   }
-  if (!hosts_.MayWrite(order.host, order.write_before, now) ||
-      !relay_->AttemptWriting(order.attempt, order.host, host->zone)) {
-    counters_.attempts_held_back += 1;
+  if (!hosts_.MayWrite(order.host, order.write_deadline, now) ||
+      !relay_->RecordAttemptStart(order.attempt, order.host, host->zone)) {
+    counters_.attempts_withheld += 1;
     GiveLine(order.host, address);
     return Fail(order.attempt, Outcome::kNotSent);
   }
@@ -255,18 +255,18 @@
   calls_[call] = {order.attempt, order.host, address};
   by_attempt_[order.attempt] = call;
   around_.Tell(model::Called{call, options_.number, address, order.attempt.id, order.key, fresh});
-  Later(std::max(Time(0), order.give_up_at - now), [this, call] { Expire(call); });
+  Later(std::max(Time(0), order.timeout_at - now), [this, call] { Expire(call); });
 }
 
 void Node::Expire(std::uint64_t number) {
   const auto it = calls_.find(number);
   if (it == calls_.end()) return;
   const relay::AttemptId attempt = it->second.attempt;
-  Cut(attempt);
+  CancelAttempt(attempt);
   relay_->AttemptEnded(attempt, {Outcome::kTimedOut, false, Time(0)});
 }
 
-bool Node::Cut(const relay::AttemptId& attempt) {
+bool Node::CancelAttempt(const relay::AttemptId& attempt) {
   const auto it = by_attempt_.find(attempt);
   if (it == by_attempt_.end()) return true;
   const std::uint64_t number = it->second;
@@ -291,9 +291,9 @@
     std::snprintf(text, sizeof text, "%.6f", static_cast<double>(answer.wait.count()) / 1e6);
     head.headers["retry-after"] = text;
   }
-  const relay::AttemptEnd end = endpoint::MeaningOf(head);
-  if (end.told_wait > 0us) {
-    TellWaits(hosts_.ToldWait(call.host, *net::ParseAddress(call.address), end.told_wait, Now()));
+  const relay::AttemptResult end = endpoint::MeaningOf(head);
+  if (end.retry_after > 0us) {
+    TellWaits(hosts_.ToldWait(call.host, *net::ParseAddress(call.address), end.retry_after, Now()));
   }
   GiveLine(call.host, call.address);
   relay_->AttemptEnded(call.attempt, end);
@@ -334,7 +334,7 @@
   return change;
 }
 
-void Node::Adopt(const relay::RoutingChange& change) {
+void Node::ApplyRoutingChange(const relay::RoutingChange& change) {
   for (const std::string& id : hosts_.Adopt(change, Now())) CloseIdle(id);
   std::vector<std::string> named;
   for (const relay::Host& host : change.hosts) named.push_back(host.info.id);
@@ -344,7 +344,7 @@
 void Node::TellWaits(const std::vector<std::string>& hosts) {
   for (const std::string& id : hosts) {
     const Time until = hosts_.WaitUntil(id);
-    if (until > Now()) relay_->HostToldWait(id, until);
+    if (until > Now()) relay_->DelayHost(id, until);
   }
 }
 
@@ -395,7 +395,7 @@
 
 void Node::TellLease(const wheathub::ListLease::Event& event) {
   // As routing::Discovery reckons it: what was missed counts from when it may have come.
-  relay_->ListValidUntil(lease_.Step(unread_since_ < 0us ? Now() : unread_since_, event));
+  relay_->SetListValidUntil(lease_.Step(unread_since_ < 0us ? Now() : unread_since_, event));
 }
 
 wheathub::ListSubscription::CallNumber Node::NumberOf(std::uint64_t call) const {
@@ -422,8 +422,8 @@
 
 void Node::Post(const std::string& id, const journal::Ending& ending) {
   Later(Time(0), [this, id, ending] {
-    around_.Tell(model::Noticed{options_.number, id, ending.deferred, Time(ending.again_ms * 1000)});
-    relay_->NoticeTaken(id);
+    around_.Tell(model::Noticed{options_.number, id, ending.deferred, Time(ending.retry_after_ms * 1000)});
+    relay_->NoticeAccepted(id);
   });
 }
 
@@ -432,16 +432,16 @@
 void Node::Terminate() {
   if (terminated_ >= 0us) return;
   terminated_ = last_hand_ = around_.Now();
-  Later(kLookEach, [this] { LookAtEnd(); });
+  Later(kPollInterval, [this] { LookAtEnd(); });
 }
 
 void Node::LookAtEnd() {
   const Time since = around_.Now() - terminated_;
-  if (since >= kSettleAt && !std::exchange(settled_, true)) relay_->Settle();
-  const bool nothing_owed = relay_->done() && around_.Now() - last_hand_ >= kDoorOpen;
-  if (nothing_owed || since >= kStopAt || (settled_ && relay_->out() == 0))
+  if (since >= kStopSendingAfter && !std::exchange(settled_, true)) relay_->StopSending();
+  const bool nothing_owed = relay_->done() && around_.Now() - last_hand_ >= kKeepAccepting;
+  if (nothing_owed || since >= kExitAfter || (settled_ && relay_->in_flight() == 0))
     return around_.Ended(options_.number);
-  Later(kLookEach, [this] { LookAtEnd(); });
+  Later(kPollInterval, [this] { LookAtEnd(); });
 }
 
 }  // namespace oxbowspread::lab
--- a/src/lab/node.hpp
+++ b/src/lab/node.hpp
@@ -21,7 +21,7 @@
 
 using model::Time;
 
-class Node final : private relay::Clock, private relay::EndpointSide, private relay::Notices {
+class Node final : private relay::Clock, private relay::EndpointTransport, private relay::NoticeSender {
  public:
   // What surrounds it. Outlives it.
   class Around {
@@ -86,11 +86,11 @@
   Time Now() const override;
   Time UnixNow() const override;
   void WakeAt(Time moment) override;
-  void Adopt(const relay::RoutingChange& change) override;
-  void Begin(relay::AttemptOrder order) override;
-  bool Cut(const relay::AttemptId& attempt) override;
+  void ApplyRoutingChange(const relay::RoutingChange& change) override;
+  void StartAttempt(relay::AttemptRequest order) override;
+  bool CancelAttempt(const relay::AttemptId& attempt) override;
   void CloseIdle(const std::string& host) override;
-  void ListValidUntil(Time moment) override { hosts_.ListValidUntil(moment); }
+  void SetListValidUntil(Time moment) override { hosts_.ListValidUntil(moment); }
   void StepList(const wheathub::ListSubscription::Event& event);
   void ListHeard(std::uint64_t call);
   void TellLease(const wheathub::ListLease::Event& event);
--- a/src/lab/simulation.cpp
+++ b/src/lab/simulation.cpp
@@ -55,7 +55,7 @@
     outcome.turns = turns_;
     outcome.most_held = most_held_;
     for (const auto& node : nodes_) {
-      if (node) outcome.turns += node->counters().turns;
+      if (node) outcome.turns += node->counters().steps;
     }
     return outcome;
   }
@@ -157,7 +157,7 @@
   void End(int relay) {
     const auto r = static_cast<std::size_t>(relay);
     if (!nodes_[r]) return;
-    turns_ += nodes_[r]->counters().turns;
+    turns_ += nodes_[r]->counters().steps;
     nodes_[r].reset();
     Tell(model::RelayDown{relay});
   }
--- a/src/notice/notice.cpp
+++ b/src/notice/notice.cpp
@@ -20,7 +20,7 @@
 
 std::string NoticeLine(const std::string& id, const journal::Ending& ending) {
   nlohmann::json line = {{"id", id}, {"status", ending.deferred ? "deferred" : "undeliverable"}};
-  if (ending.deferred && ending.again_ms > 0) line["again_ms"] = ending.again_ms;
+  if (ending.deferred && ending.retry_after_ms > 0) line["again_ms"] = ending.retry_after_ms;
   return line.dump() + "\n";
 }
 
@@ -94,7 +94,7 @@
   retry_after_ = kRetryFirst;
   for (const std::string& id : std::exchange(out_, {})) {
     owed_.erase(id);
-    relay_->NoticeTaken(id);
+    relay_->NoticeAccepted(id);
   }
   if (!keep_alive) Drop();
   if (!owed_.empty()) next_.After(net::Time(0));
--- a/src/notice/notice.hpp
+++ b/src/notice/notice.hpp
@@ -14,7 +14,7 @@
 
 namespace oxbowspread::notice {
 
-class Poster final : public relay::Notices,
+class Poster final : public relay::NoticeSender,
                      private net::Connection::User,
                      private proto::HttpReader::Handler {
  public:
--- a/src/relay/classes.cpp
+++ b/src/relay/classes.cpp
@@ -4,35 +4,36 @@
 
 namespace oxbowspread::relay {
 
-int Classes::Current(const std::string& name) const {
+int ClassRegistry::IndexOf(const std::string& name) const {
   const auto it = current_.find(name);
   return it == current_.end() ? -1 : it->second;
 }
 
-int Classes::NumberOf(const wheathub::MessageClass& c) {
-  const auto it = std::find(all_.begin(), all_.end(), c);
+int ClassRegistry::FindOrAdd(const wheathub::MessageClass& message_class) {
+  const auto it = std::find(all_.begin(), all_.end(), message_class);
   if (it != all_.end()) return static_cast<int>(it - all_.begin());
-  all_.push_back(c);
+  all_.push_back(message_class);
   return static_cast<int>(all_.size()) - 1;
 }
 
-void Classes::Renew(const std::vector<wheathub::MessageClass>& current, const std::set<int>& held) {
-  const auto kept = [&](std::size_t number) {
-    return held.count(static_cast<int>(number)) > 0 ||
-           std::find(current.begin(), current.end(), all_[number]) != current.end();
+void ClassRegistry::SetCurrent(const std::vector<wheathub::MessageClass>& current,
+                               const std::set<int>& used_indexes) {
+  const auto is_needed = [&](std::size_t index) {
+    return used_indexes.count(static_cast<int>(index)) > 0 ||
+           std::find(current.begin(), current.end(), all_[index]) != current.end();
   };
-  std::vector<std::size_t> free;
+  std::vector<std::size_t> free_indexes;
   for (std::size_t i = 0; i < all_.size(); ++i) {
-    if (!kept(i)) free.push_back(i);
+    if (!is_needed(i)) free_indexes.push_back(i);
   }
   current_.clear();
-  for (const wheathub::MessageClass& c : current) {
-    const bool known = std::find(all_.begin(), all_.end(), c) != all_.end();
-    if (!known && !free.empty()) {
-      all_[free.back()] = c;
-      free.pop_back();
+  for (const wheathub::MessageClass& message_class : current) {
+    const bool known = std::find(all_.begin(), all_.end(), message_class) != all_.end();
+    if (!known && !free_indexes.empty()) {
+      all_[free_indexes.back()] = message_class;
+      free_indexes.pop_back();
     }
-    current_[c.name] = NumberOf(c);
+    current_[message_class.name] = FindOrAdd(message_class);
   }
 }
 
--- a/src/relay/classes.hpp
+++ b/src/relay/classes.hpp
@@ -1,6 +1,6 @@
-// The classes of messages: those that clients may name now, and those that settings have dropped or changed
-// while messages of theirs are still held. A class keeps its number for as long as anything is held under it.
-// No I/O; it owns copies.
+// Registry of message classes: the classes in the current settings, and classes that the settings have since
+// dropped or changed but under which messages are still held. A class keeps its index for as long as any held
+// message uses it. Performs no I/O and stores copies of the classes.
 #pragma once
 
 #include <map>
@@ -12,21 +12,26 @@
 
 namespace oxbowspread::relay {
 
-class Classes {
+// Maps message classes to stable indexes.
+class ClassRegistry {
  public:
-  explicit Classes(const std::vector<wheathub::MessageClass>& current) { Renew(current, {}); }
-
-  // The number under which a new message of that class is taken on; -1: clients may not name it.
-  int Current(const std::string& name) const;
-  // The number of just this class, which gets one if it has none.
-  int NumberOf(const wheathub::MessageClass& c);
-  // From now on these are the ones that clients may name. `held`: numbers under which something is held.
-  void Renew(const std::vector<wheathub::MessageClass>& current, const std::set<int>& held);
-
-  // By number. It never gets shorter; a number nobody holds any more may be given to another class.
+  explicit ClassRegistry(const std::vector<wheathub::MessageClass>& current) { SetCurrent(current, {}); }
+
+  // Returns the index under which a new message of the named class is accepted, or -1 if the current settings
+  // have no such class.
+  int IndexOf(const std::string& name) const;
+  // Returns the index of a class equal to `message_class`; adds the class if it is not registered yet.
+  int FindOrAdd(const wheathub::MessageClass& message_class);
+  // Makes `current` the classes that clients may name. `used_indexes` are the indexes of classes under which
+  // messages are held; these are not reused.
+  void SetCurrent(const std::vector<wheathub::MessageClass>& current, const std::set<int>& used_indexes);
+
+  // All classes by index. The list never shrinks; the index of a class that no held message uses may be
+  // reassigned to another class.
   const std::vector<wheathub::MessageClass>& all() const { return all_; }
-  // Good until the next NumberOf or Renew. Throws std::out_of_range for a number that was never given.
-  const wheathub::MessageClass& at(int number) const { return all_.at(static_cast<std::size_t>(number)); }
+  // Returns the class with that index. The reference is valid until the next FindOrAdd or SetCurrent. Throws
+  // std::out_of_range if the index was never assigned.
+  const wheathub::MessageClass& at(int index) const { return all_.at(static_cast<std::size_t>(index)); }
 
  private:
   std::vector<wheathub::MessageClass> all_;
--- a/src/relay/estate.hpp
+++ b/src/relay/estate.hpp
@@ -1,5 +1,6 @@
-// What one process of a relay gives over to the next, beside the lasting folder. Moments are monotonic, of
-// the machine that both run on, in microseconds. Plain values, owned by whoever holds them.
+// State that a relay process transfers to its successor in a handover, in addition to the files in the state
+// folder. Times are monotonic, in microseconds; both processes run on the same machine and share that clock.
+// These are plain values, owned by whoever holds them.
 #pragma once
 
 #include <string>
@@ -10,32 +11,34 @@
 
 namespace oxbowspread::relay {
 
-// An attempt that goes on in the process that gives over.
-struct AttemptOut {
-  std::string id;  // of its message, which has one at most
+// An attempt that continues in the process that hands over.
+struct InFlightAttempt {
+  std::string id;  // message id; a message has at most one attempt in flight
   std::string host;
-  Time begun{0};
-  Time ends_at{0};  // its message's time; 0: an older process does not tell
+  Time started_at{0};
+  Time message_deadline{0};  // 0 if the sender is of an older version, which does not transfer it
 };
 
+// A wait that a host requested with Retry-After: no attempt may be sent to it before `until`.
 struct HostWait {
   std::string host;
-  Time told_at{0}, until{0};
+  Time received_at{0}, until{0};
 };
 
-// A wait told at an address, whichever host stands there.
+// A wait requested at an address; it applies to any host with that address.
 struct AddressWait {
   std::string address;
   Time until{0};
 };
 
-struct Estate {
-  RoutingChange table;  // as discovery listed it, with its revision
+// Everything that the core and the endpoint pool of the successor need.
+struct HandoverState {
+  RoutingChange routing_table;  // as listed by discovery, with its revision
   std::vector<wheathub::Belief> beliefs;
-  std::vector<AttemptOut> out;
-  std::vector<HostWait> waits;
-  std::vector<AddressWait> address_waits;  // none from an older process
-  Time list_valid_until{0};                // 0: the process that gives over can't tell
+  std::vector<InFlightAttempt> in_flight;
+  std::vector<HostWait> host_waits;
+  std::vector<AddressWait> address_waits;  // empty if the sender is of an older version
+  Time list_valid_until{0};  // 0 if the sender is of an older version, which does not transfer it
 };
 
 }  // namespace oxbowspread::relay
--- a/src/relay/phase.hpp
+++ b/src/relay/phase.hpp
@@ -1,4 +1,4 @@
-// The phases of the program, from start to exit, as states of one object.
+// Phases of the relay process from start to exit, and the state machine that holds the current one.
 #pragma once
 
 #include <chrono>
@@ -7,51 +7,60 @@
 
 namespace oxbowspread::relay {
 
-// From SIGTERM; SIGKILL comes 3.7 s after it at the earliest.
-inline constexpr std::chrono::milliseconds kDoorOpen{500};   // new connections keep coming for up to 400 ms
-inline constexpr std::chrono::milliseconds kSettleAt{3100};  // nothing new is sent from then on
-inline constexpr std::chrono::milliseconds kStopAt{3550};    // what is still out is left to the next life
-inline constexpr std::chrono::milliseconds kLookEach{20};    // whether all is done
+// Times of a shutdown, counted from SIGTERM. SIGKILL follows 3.7 s after SIGTERM at the earliest.
+
+// Listening stops after this: clients open new connections for up to 400 ms after SIGTERM.
+inline constexpr std::chrono::milliseconds kKeepAccepting{500};
+// No new attempt is sent after this.
+inline constexpr std::chrono::milliseconds kStopSendingAfter{3100};
+// Attempts still in flight at this time are left to recovery at the next start.
+inline constexpr std::chrono::milliseconds kExitAfter{3550};
+// Interval between checks whether all work is done.
+inline constexpr std::chrono::milliseconds kPollInterval{20};
 
 enum class Phase {
-  kStarting,    // configuration read, nothing served
-  kRecovering,  // what the journal still owes goes to the module
+  kStarting,    // configuration has been read; nothing is served
+  kRecovering,  // open messages from the journal are being passed to the decision module
   kServing,
-  kPaused,    // takes nothing new and finishes what it holds, but stays up: an operator's drain
-  kDraining,  // asked to end: clients that still come are served, what is held is finished
-  kSettling,  // nothing new is sent; answers to what is out are still taken
-  kGiven,     // another process has taken all over; attempts that are out here end, and are told to it
+  kPaused,      // drained by an operator: accepts nothing new and finishes held messages, but keeps running
+  kDraining,    // asked to exit: still serves clients that connect, and finishes held messages
+  kSettling,    // sends nothing new; still reads the answers to attempts in flight
+  kHandedOver,  // another process has taken over; it is sent the results of attempts in flight here
   kStopped
 };
 
+// Returns the name of the phase as it appears in logs, status replies and counters.
 inline const char* NameOf(Phase phase) {
   constexpr const char* kNames[] = {"starting", "recovering", "serving",    "paused",
                                     "draining", "settling",   "given over", "stopped"};
   return kNames[static_cast<int>(phase)];
 }
 
-class Phases {
+// Holds the current phase and calls a handler on each transition.
+class PhaseMachine {
  public:
-  using Entered = std::function<void(Phase)>;
-  explicit Phases(Entered entered) : entered_(std::move(entered)) {}
+  using EnterHandler = std::function<void(Phase)>;
+  explicit PhaseMachine(EnterHandler on_enter) : on_enter_(std::move(on_enter)) {}
 
-  Phase now() const { return now_; }
-  // Back from kPaused, the one phase that is left that way.
+  Phase current() const { return current_; }
+  // Returns from kPaused to kServing. No other transition goes backwards; in any other phase this does
+  // nothing.
   void Resume() {
-    if (now_ != Phase::kPaused) return;
-    now_ = Phase::kServing;
-    entered_(now_);
+    if (current_ != Phase::kPaused) return;
+    current_ = Phase::kServing;
+    on_enter_(current_);
   }
-  // Else only ever forward; a phase passed by is not entered.
+  // Moves forward to `next`. Does nothing if `next` is not later than the current phase; skipped phases are
+  // not entered.
   void Enter(Phase next) {
-    if (next <= now_) return;
-    now_ = next;
-    entered_(next);
+    if (next <= current_) return;
+    current_ = next;
+    on_enter_(next);
   }
 
  private:
-  Phase now_ = Phase::kStarting;
-  Entered entered_;
+  Phase current_ = Phase::kStarting;
+  EnterHandler on_enter_;
 };
 
 }  // namespace oxbowspread::relay
--- a/src/relay/ports.hpp
+++ b/src/relay/ports.hpp
@@ -1,4 +1,5 @@
-// What the core asks of the sides around it. It knows no protocol: a second front implements the same.
+// Interfaces between the relay core and its surroundings: clock, clients, endpoints and notices. They are
+// independent of any protocol, so that another client protocol can implement the same interfaces.
 #pragma once
 
 #include <cstdint>
@@ -12,80 +13,98 @@
 
 using wheathub::Time;
 
-// So long a client waits for its answer; then it hands its message in elsewhere, and nothing is owed for it.
-inline constexpr std::chrono::milliseconds kClientWaits{400};
+// How long a client waits for its answer. After that it submits the message to another relay, and this one is
+// no longer responsible for it.
+inline constexpr std::chrono::milliseconds kClientTimeout{400};
 
+// Time source and wake-up timer of the core.
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Time Now() const = 0;          // monotonic
-  virtual Time UnixNow() const = 0;      // comparable over restarts
-  virtual void WakeAt(Time moment) = 0;  // calls Relay::Turn then; the latest wish counts
+  virtual Time Now() const = 0;      // monotonic
+  virtual Time UnixNow() const = 0;  // Unix time, comparable across restarts
+  // Calls Relay::ProcessEvents at `moment`. Replaces any earlier request.
+  virtual void WakeAt(Time moment) = 0;
 };
 
-// Who waits for the answer to a message; lives until it is answered or withdrawn.
+// Receives the answer to a submitted message. Must live until it has been answered or withdrawn.
 class Client {
  public:
   virtual ~Client() = default;
-  virtual bool TakenOn() = 0;  // false: the client has gone
-  virtual void Refused(Time come_again) = 0;
+  // The message is accepted. Returns false if the client has disconnected, in which case the message must not
+  // be kept.
+  virtual bool OnAccepted() = 0;
+  // The message is not accepted; the client may submit it again after `retry_after`.
+  virtual void OnRejected(Time retry_after) = 0;
 };
 
-// A host as discovery names it: what the module wants to know, and where it is.
+// A host as listed by discovery: the properties that the decision module uses, and the address.
 struct Host {
   wheathub::EndpointInfo info;
   std::string address;
-  bool only_state = false;  // nothing but its id and state could be read
+  bool state_only = false;  // the entry was unreadable except for its id and state
 };
 
+// A whole routing table or a change of it, depending on `scope`.
 struct RoutingChange {
   wheathub::ListScope scope = wheathub::ListScope::kChanges;
   std::int64_t revision = 0;
   std::vector<Host> hosts;
 };
 
+// Identifies an attempt.
 struct AttemptId {
-  std::string id;  // of the message
+  std::string id;  // message id
   int number = 0;
 
   auto operator<=>(const AttemptId&) const = default;
 };
 
-struct AttemptOrder {
+// What the endpoint transport needs to run an attempt. Times are monotonic.
+struct AttemptRequest {
   AttemptId attempt;
   std::string host;
   std::string key;
   std::string body;
-  Time give_up_at{0};
-  // The first byte may not be written later: a repeat must begin inside its window.
-  Time write_before{0};
+  Time timeout_at{0};
+  // The first byte must not be written after this: a repeated attempt must begin inside the repeat window of
+  // its class.
+  Time write_deadline{0};
 };
 
-struct AttemptEnd {
+// How an attempt ended.
+struct AttemptResult {
   wheathub::Outcome outcome = wheathub::Outcome::kServed;
-  bool over = false;  // the endpoint says that nothing more is owed
-  Time told_wait{0};
+  bool closes_message = false;  // the endpoint requires no further attempt for the message
+  // How long the endpoint asked to wait before the next attempt; 0 if it did not.
+  Time retry_after{0};
 };
 
-class EndpointSide {
+// Runs attempts against endpoints.
+class EndpointTransport {
  public:
-  virtual ~EndpointSide() = default;
-  virtual void Adopt(const RoutingChange& change) = 0;
-  // Ends in one Relay::AttemptEnded, which may come from within this call.
-  virtual void Begin(AttemptOrder order) = 0;
-  // Ends it; where its answer has come unread so far, by Relay::AttemptEnded from within this call. None
-  // follows. False: another process has it and was asked to end it; until that has, and Relay::AttemptEnded
-  // says so, it is out.
-  virtual bool Cut(const AttemptId& attempt) = 0;
+  virtual ~EndpointTransport() = default;
+  // Updates the known hosts and their addresses.
+  virtual void ApplyRoutingChange(const RoutingChange& change) = 0;
+  // Starts an attempt. Exactly one Relay::AttemptEnded follows, possibly from within this call.
+  virtual void StartAttempt(AttemptRequest request) = 0;
+  // Cancels an attempt. If its answer has arrived but was not read yet, Relay::AttemptEnded is called from
+  // within this call. Returns true if the attempt is over; no further Relay::AttemptEnded follows then.
+  // Returns false if the attempt runs in another process, which was asked to cancel it: the attempt stays in
+  // flight until Relay::AttemptEnded reports its end.
+  virtual bool CancelAttempt(const AttemptId& attempt) = 0;
+  // Closes the idle connections to a host.
   virtual void CloseIdle(const std::string& host) = 0;
-  // No call is written at that moment or later, whenever it was begun, until another moment is told.
-  virtual void ListValidUntil(Time moment) = 0;
+  // Sets when the routing table expires. From that moment on no attempt is written, not even one started
+  // earlier, until a later moment is set.
+  virtual void SetListValidUntil(Time moment) = 0;
 };
 
-class Notices {
+// Sends notices about undelivered messages to the platform.
+class NoticeSender {
  public:
-  virtual ~Notices() = default;
-  // Told again and again until it is taken; then Relay::NoticeTaken.
+  virtual ~NoticeSender() = default;
+  // Sends the notice repeatedly until the platform accepts it, and then calls Relay::NoticeAccepted.
   virtual void Post(const std::string& id, const journal::Ending& ending) = 0;
 };
 
