--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -11,46 +11,49 @@
 using namespace std::chrono_literals;
 using wheathub::Outcome;
 
-constexpr Time kComeAgain = 1s;  // told to a client where the module had no say
+constexpr Time kDefaultRetryAfter = 1s;  // wait sent to a client when the decision module was not asked
 
 bool MayHaveRun(Outcome o) {
   return o != Outcome::kRefused && o != Outcome::kNoConnection && o != Outcome::kNotSent;
 }
 
-// What a message of its class has, from when it was first handed in.
-Time WholeTimeOf(const journal::Message& a) { return a.rules ? a.rules->deadline : Time(0); }
+// Time that a message of its class has from when it was first submitted.
+Time ClassDeadline(const journal::Message& message) {
+  return message.class_settings ? message.class_settings->deadline : Time(0);
+}
 
 }  // namespace
 
-Relay::Relay(wheathub::Settings settings, std::uint64_t seed, journal::Journal& journal, const Sides& sides,
+Relay::Relay(wheathub::Settings settings, std::uint64_t seed, journal::Journal& journal, const Ports& ports,
              Counters& counters)
     : classes_(settings.classes),
-      settings_(Merged(std::move(settings), classes_, journal)),
+      settings_(MergeClasses(std::move(settings), classes_, journal)),
       decider_(settings_, seed),
       journal_(journal),
-      sides_(sides),
+      ports_(ports),
       counters_(counters) {
-  for (const std::string& host : journal_.out()) table_.TakeOut(host);
-  counters_.hosts_out = journal_.out().size();
+  for (const std::string& host : journal_.excluded_hosts()) table_.ExcludeHost(host);
+  counters_.hosts_excluded = journal_.excluded_hosts().size();
 }
 
-// What an earlier life took on keeps the class that it had then, even if the settings don't hold it any more.
-wheathub::Settings Relay::Merged(wheathub::Settings settings, Classes& classes,
-                                 const journal::Journal& journal) {
+// Messages accepted by an earlier process keep the class that they had then, even if the settings no longer
+// have it.
+wheathub::Settings Relay::MergeClasses(wheathub::Settings settings, ClassRegistry& classes,
+                                       const journal::Journal& journal) {
   for (const auto& [id, entry] : journal.entries()) {
-    if (entry.message.rules && !entry.ending) classes.NumberOf(*entry.message.rules);
+    if (entry.message.class_settings && !entry.ending) classes.FindOrAdd(*entry.message.class_settings);
   }
   settings.classes = classes.all();
-  settings.list_must_be_asked_for = false;  // not by the module: see Do(WatchList)
+  settings.list_must_be_asked_for = false;  // lists arrive without request: see Execute(WatchList)
   return settings;
 }
 
-void Relay::Renew(wheathub::Settings settings) {
-  wheathub::Decider(settings, 0);  // throws, before anything has changed
-  std::set<int> held;
-  for (const auto& [id, h] : held_) held.insert(h.message_class);
-  for (const auto& [id, fresh] : fresh_) held.insert(ClassOf(fresh.message));
-  classes_.Renew(settings.classes, held);
+void Relay::UpdateSettings(wheathub::Settings settings) {
+  wheathub::Decider(settings, 0);  // throws before anything has changed
+  std::set<int> used_classes;
+  for (const auto& [id, message] : held_) used_classes.insert(message.message_class);
+  for (const auto& [id, pending] : pending_) used_classes.insert(ClassOf(pending.message));
+  classes_.SetCurrent(settings.classes, used_classes);
   settings.classes = classes_.all();
   settings.list_must_be_asked_for = false;
   settings_ = settings;
@@ -58,299 +61,309 @@
 }
 
 int Relay::ClassOf(const journal::Message& message) {
-  if (message.rules) return classes_.NumberOf(*message.rules);
-  return classes_.Current(message.class_name);
+  if (message.class_settings) return classes_.FindOrAdd(*message.class_settings);
+  return classes_.IndexOf(message.class_name);
 }
 
 bool Relay::NeedsKey(const std::string& class_name) const {
-  const int c = classes_.Current(class_name);
-  return c >= 0 && classes_.at(c).semantics == wheathub::Semantics::kDeduplicated;
+  const int class_index = classes_.IndexOf(class_name);
+  return class_index >= 0 && classes_.at(class_index).semantics == wheathub::Semantics::kDeduplicated;
 }
 
 void Relay::Queue(wheathub::Event event) {
-  if (events_.empty()) first_event_ = sides_.clock.Now();
+  if (events_.empty()) first_event_at_ = ports_.clock.Now();
   events_.push_back(std::move(event));
-  Wake();
+  ScheduleStep();
 }
 
-// Events wait for the rest of their tick; a timer of the module may be due earlier than any event comes.
-void Relay::Wake() {
-  if (settled_) return;
+// Schedules the next step: queued events wait until a tick has passed since the last step, and a timer of the
+// module may be due before any event arrives.
+void Relay::ScheduleStep() {
+  if (sending_stopped_) return;
   Time next = Time::max();
   if (!timers_.empty()) next = timers_.begin()->first;
-  if (!events_.empty()) next = std::min(next, sides_.clock.Now());
-  if (next != Time::max()) sides_.clock.WakeAt(std::max(next, last_turn_ + settings_.tick));
+  if (!events_.empty()) next = std::min(next, ports_.clock.Now());
+  if (next != Time::max()) ports_.clock.WakeAt(std::max(next, last_step_at_ + settings_.tick));
 }
 
-void Relay::Recover(const RoutingChange& known, const Estate* taken) {
-  std::map<std::string, Time> out;  // since when
-  if (taken == nullptr) {
-    RoutingChanged(known);
+void Relay::Recover(const RoutingChange& last_known, const HandoverState* handed_over_state) {
+  std::map<std::string, Time> started_at;  // start times, by message id
+  if (handed_over_state == nullptr) {
+    RoutingChanged(last_known);
   } else {
-    RoutingChange table = taken->table;
-    for (const AttemptOut& attempt : taken->out) {
-      out[attempt.id] = attempt.begun;
+    RoutingChange routing_table = handed_over_state->routing_table;
+    for (const InFlightAttempt& attempt : handed_over_state->in_flight) {
+      started_at[attempt.id] = attempt.started_at;
       const journal::Entry* entry = journal_.Find(attempt.id);
-      const bool listed = std::any_of(table.hosts.begin(), table.hosts.end(),
+      const bool listed = std::any_of(routing_table.hosts.begin(), routing_table.hosts.end(),
                                       [&](const Host& h) { return h.info.id == attempt.host; });
-      if (entry == nullptr || !entry->open || listed) continue;
-      // The module must know the host of every attempt, also one that has left the list.
-      Host gone;
-      gone.info = {
-          attempt.host, entry->message.destination, 0, entry->open->zone, 1, wheathub::Lifecycle::kRemoved};
-      table.hosts.push_back(gone);
+      if (entry == nullptr || !entry->open_attempt || listed) continue;
+      // The decision module must know the host of every attempt, even one that is no longer listed.
+      Host removed_host;
+      removed_host.info = {attempt.host,
+                           entry->message.destination,
+                           0,
+                           entry->open_attempt->zone,
+                           1,
+                           wheathub::Lifecycle::kRemoved};
+      routing_table.hosts.push_back(removed_host);
     }
-    RoutingChanged(table);
-    for (const wheathub::Belief& belief : taken->beliefs) Queue(belief);
+    RoutingChanged(routing_table);
+    for (const wheathub::Belief& belief : handed_over_state->beliefs) Queue(belief);
   }
   for (const auto& [id, entry] : journal_.entries()) {
     if (entry.ending) {
       counters_.recovered_notices += 1;
-      sides_.notices.Post(id, *entry.ending);
+      ports_.notices.Post(id, *entry.ending);
       continue;
     }
     counters_.recovered += 1;
     wheathub::Message message = MessageOf(entry);
     message.history.kept = true;
-    if (const auto it = out.find(id); it != out.end() && entry.open) {
+    if (const auto it = started_at.find(id); it != started_at.end() && entry.open_attempt) {
       message.history.out = true;
-      message.history.since_sent = sides_.clock.Now() - it->second;
-      // Its time is up, and it can't be said that it never ran.
+      message.history.since_sent = ports_.clock.Now() - it->second;
+      // Its deadline has passed, and it cannot be ruled out that it has run.
       if (message.expires_in <= Time(0)) message.history.may_have_run = true;
-      out_[{id, entry.attempts - 1}] = {entry.open->host, it->second, true};
+      in_flight_[{id, entry.attempts - 1}] = {entry.open_attempt->host, it->second, true};
     }
-    const bool untried = entry.attempts == 0 && 2 * message.expires_in >= WholeTimeOf(entry.message);
-    counters_.recovered_untried += untried;
-    held_[id] = {sides_.clock.Now() + message.expires_in, entry.attempts, message.message_class, untried};
+    const bool unattempted = entry.attempts == 0 && 2 * message.expires_in >= ClassDeadline(entry.message);
+    counters_.recovered_unattempted += unattempted;
+    held_[id] = {ports_.clock.Now() + message.expires_in, entry.attempts, message.message_class, unattempted};
     Queue(message);
   }
-  Turn();
+  ProcessEvents();
 }
 
 wheathub::Message Relay::MessageOf(const journal::Entry& entry) {
-  const journal::Message& a = entry.message;
-  wheathub::Message m;
-  m.id = a.id;
-  m.message_class = ClassOf(a);
-  m.destination = a.destination;
-  m.expires_in = a.ends_at - sides_.clock.UnixNow();
-  m.again = a.again;
-  m.history.sends = entry.attempts;
-  m.history.last_endpoint = entry.last_host;
-  if (entry.first_risk) {
-    m.history.may_have_run = true;
-    m.history.since_risk = std::max(Time(0), sides_.clock.UnixNow() - entry.first_risk->at);
-    m.history.risk_zone = entry.first_risk->zone;
+  const journal::Message& message = entry.message;
+  wheathub::Message event;
+  event.id = message.id;
+  event.message_class = ClassOf(message);
+  event.destination = message.destination;
+  event.expires_in = message.deadline - ports_.clock.UnixNow();
+  event.again = message.resubmitted;
+  event.history.sends = entry.attempts;
+  event.history.last_endpoint = entry.last_host;
+  if (entry.first_uncertain) {
+    event.history.may_have_run = true;
+    event.history.since_risk = std::max(Time(0), ports_.clock.UnixNow() - entry.first_uncertain->started_at);
+    event.history.risk_zone = entry.first_uncertain->zone;
   }
-  return m;
+  return event;
 }
 
-// ---- the clients ----
+// ---- clients ----
 
-void Relay::Submit(journal::Message message, Client& from) {
+void Relay::Submit(journal::Message message, Client& client) {
   counters_.messages += 1;
   const std::string id = message.id;
   if (journal_.Find(id) != nullptr) {
-    // Handed in once more because its connection ended: it is taken on already.
-    counters_.known_again += 1;
-    from.TakenOn();
+    // The client submitted the message again because its connection had ended: it is already accepted.
+    counters_.duplicates += 1;
+    client.OnAccepted();
     return;
   }
-  if (const auto it = fresh_.find(id); it != fresh_.end()) {
-    it->second.from.push_back(&from);
+  if (const auto it = pending_.find(id); it != pending_.end()) {
+    it->second.clients.push_back(&client);
     return;
   }
-  const auto most = static_cast<std::size_t>(std::max(0, settings_.max_open));
-  const bool full = settled_ || (most > 0 && held_.size() + fresh_.size() >= most);
-  const bool no_room = !journal_.CanHold(message.body.size());
-  if (full || no_room) {
-    (full ? counters_.busy_full : counters_.busy_journal) += 1;
-    from.Refused(kComeAgain);
+  const auto max_held = static_cast<std::size_t>(std::max(0, settings_.max_open));
+  const bool full = sending_stopped_ || (max_held > 0 && held_.size() + pending_.size() >= max_held);
+  const bool journal_full = !journal_.CanHold(message.body.size());
+  if (full || journal_full) {
+    (full ? counters_.rejected_at_limit : counters_.rejected_by_journal) += 1;
+    client.OnRejected(kDefaultRetryAfter);
     return;
   }
-  const int c = classes_.Current(message.class_name);
-  if (c >= 0) message.rules = classes_.at(c);
+  const int class_index = classes_.IndexOf(message.class_name);
+  if (class_index >= 0) message.class_settings = classes_.at(class_index);
   journal::Entry entry;
   entry.message = message;
   wheathub::Message event = MessageOf(entry);
-  event.expires_in = message.ends_at - sides_.clock.UnixNow();
-  fresh_[id] = {std::move(message), {&from}, sides_.clock.Now() + event.expires_in};
+  event.expires_in = message.deadline - ports_.clock.UnixNow();
+  pending_[id] = {std::move(message), {&client}, ports_.clock.Now() + event.expires_in};
   Queue(std::move(event));
 }
 
-// Whoever is not taken on by now hears so: a connection that ends without an answer loses the message. An
-// attempt that still waits for its connection is taken back: written now it might not end before the process
-// does.
-void Relay::Settle() {
-  if (std::exchange(settled_, true)) return;
-  for (const auto& [id, fresh] : std::exchange(fresh_, {})) {
-    for (Client* from : fresh.from) from->Refused(kComeAgain);
+// Clients with pending messages are told to come again, because a connection that is closed without an answer
+// loses the message. Attempts that still wait for their connection are cancelled: if written now, they might
+// not end before the process does.
+void Relay::StopSending() {
+  if (std::exchange(sending_stopped_, true)) return;
+  for (const auto& [id, message] : std::exchange(pending_, {})) {
+    for (Client* client : message.clients) client->OnRejected(kDefaultRetryAfter);
   }
-  TakeBackUnwritten();
+  CancelUnwritten();
 }
 
-void Relay::TakeBackUnwritten() {
+void Relay::CancelUnwritten() {
   std::vector<AttemptId> unwritten;
-  for (const auto& [attempt, out] : out_) {
-    if (!out.written) unwritten.push_back(attempt);
+  for (const auto& [attempt, state] : in_flight_) {
+    if (!state.written) unwritten.push_back(attempt);
   }
   for (const AttemptId& attempt : unwritten) {
-    sides_.endpoints.Cut(attempt);
+    ports_.endpoints.CancelAttempt(attempt);
     AttemptEnded(attempt, {Outcome::kNotSent, false, Time(0)});
   }
 }
 
-void Relay::Withdraw(Client& from) {
-  for (auto it = fresh_.begin(); it != fresh_.end(); ++it) {
-    auto& waiting = it->second.from;
-    if (std::erase(waiting, &from) == 0 || !waiting.empty()) continue;
-    // Gone before it was answered: the module has not seen it yet and never will.
+void Relay::Withdraw(Client& client) {
+  for (auto it = pending_.begin(); it != pending_.end(); ++it) {
+    auto& waiting = it->second.clients;
+    if (std::erase(waiting, &client) == 0 || !waiting.empty()) continue;
+    // The client disconnected before the answer. The decision module has not seen the message and must not.
     counters_.withdrawn += 1;
     std::erase_if(events_, [&](const wheathub::Event& event) {
       const auto* message = std::get_if<wheathub::Message>(&event);
       return message != nullptr && message->id == it->first;
     });
-    fresh_.erase(it);
+    pending_.erase(it);
     return;
   }
 }
 
-void Relay::AnswerFresh(const std::vector<wheathub::Action>& actions) {
+void Relay::AnswerPending(const std::vector<wheathub::Action>& actions) {
   std::map<std::string, Time> refused;
   for (const auto& action : actions) {
     const auto* refuse = std::get_if<wheathub::Refuse>(&action);
-    if (refuse != nullptr && fresh_.count(refuse->id) > 0) refused[refuse->id] = refuse->retry_after;
+    if (refuse != nullptr && pending_.count(refuse->id) > 0) refused[refuse->id] = refuse->retry_after;
   }
-  for (const auto& [id, fresh] : std::exchange(fresh_, {})) {
+  for (const auto& [id, pending] : std::exchange(pending_, {})) {
     const auto it = refused.find(id);
     if (it != refused.end()) {
-      counters_.busy_by_module += 1;
-      for (Client* from : fresh.from) from->Refused(it->second);
-    } else if (!TakeOn(fresh)) {
-      // The module has it, nobody else: it must forget it, and what it sends now is not sent.
+      counters_.rejected_by_decider += 1;
+      for (Client* client : pending.clients) client->OnRejected(it->second);
+    } else if (!AcceptPending(pending)) {
+      // Only the decision module holds the message: it must forget it, and a send that it has already decided
+      // on is not executed.
       Queue(wheathub::Withdrawn{id});
     }
   }
 }
 
-bool Relay::TakeOn(const Fresh& fresh) {
-  const journal::Message& a = fresh.message;
-  if (!journal_.Accept(a)) {
-    counters_.busy_journal += 1;
-    for (Client* from : fresh.from) from->Refused(kComeAgain);
+bool Relay::AcceptPending(const PendingMessage& pending) {
+  const journal::Message& message = pending.message;
+  if (!journal_.Accept(message)) {
+    counters_.rejected_by_journal += 1;
+    for (Client* client : pending.clients) client->OnRejected(kDefaultRetryAfter);
     return false;
   }
-  bool heard = false;
-  for (Client* from : fresh.from) heard = from->TakenOn() || heard;
-  if (!heard) {
+  bool client_connected = false;
+  for (Client* client : pending.clients) client_connected = client->OnAccepted() || client_connected;
+  if (!client_connected) {
     counters_.withdrawn += 1;
-    journal_.Close(a.id);
+    journal_.Close(message.id);
     return false;
   }
-  counters_.taken_on += 1;
-  held_[a.id] = {fresh.ends_at, 0, ClassOf(a), false};
+  counters_.accepted += 1;
+  held_[message.id] = {pending.deadline, 0, ClassOf(message), false};
   return true;
 }
 
-// ---- turns ----
+// ---- handover and steps ----
 
-Estate Relay::Freeze() {
-  if (!fresh_.empty()) Step(sides_.clock.Now());
-  Estate all;
-  all.table = table_.Listed();
-  all.beliefs = decider_.beliefs();
-  for (const auto& [attempt, out] : out_) {
-    if (!out.written) continue;
+HandoverState Relay::PrepareHandover() {
+  if (!pending_.empty()) Step(ports_.clock.Now());
+  HandoverState state;
+  state.routing_table = table_.Listed();
+  state.beliefs = decider_.beliefs();
+  for (const auto& [attempt, attempt_state] : in_flight_) {
+    if (!attempt_state.written) continue;
     const auto held = held_.find(attempt.id);
-    const Time ends_at = held == held_.end() ? Time(0) : held->second.ends_at;
-    all.out.push_back({attempt.id, out.host, out.begun, ends_at});
+    const Time deadline = held == held_.end() ? Time(0) : held->second.deadline;
+    state.in_flight.push_back({attempt.id, attempt_state.host, attempt_state.started_at, deadline});
   }
-  TakeBackUnwritten();
-  return all;
+  CancelUnwritten();
+  return state;
 }
 
-void Relay::Given(Told told) {
-  settled_ = true;
-  told_ = std::move(told);
+void Relay::CompleteHandover(ResultListener listener) {
+  sending_stopped_ = true;
+  result_listener_ = std::move(listener);
   journal_.Release();
   events_.clear();
   held_.clear();
 }
 
-AttemptId Relay::AttemptOf(const std::string& id) const {
-  const auto it = out_.lower_bound({id, 0});
-  return it == out_.end() || it->first.id != id ? AttemptId{id, -1} : it->first;
+AttemptId Relay::FindAttempt(const std::string& id) const {
+  const auto it = in_flight_.lower_bound({id, 0});
+  return it == in_flight_.end() || it->first.id != id ? AttemptId{id, -1} : it->first;
 }
 
-void Relay::CutGiven(const std::string& id) {
-  const AttemptId attempt = AttemptOf(id);
-  if (!given() || out_.erase(attempt) == 0) return;
-  sides_.endpoints.Cut(attempt);
+void Relay::CancelHandedOver(const std::string& id) {
+  const AttemptId attempt = FindAttempt(id);
+  if (!handed_over() || in_flight_.erase(attempt) == 0) return;
+  ports_.endpoints.CancelAttempt(attempt);
 }
 
-void Relay::Turn() {
-  if (settled_) return;
-  const Time now = sides_.clock.Now();
-  if (now < last_turn_ + settings_.tick) return Wake();
+void Relay::ProcessEvents() {
+  if (sending_stopped_) return;
+  const Time now = ports_.clock.Now();
+  if (now < last_step_at_ + settings_.tick) return ScheduleStep();
   while (!timers_.empty() && timers_.begin()->first <= now) {
     events_.push_back(wheathub::TimerDue{timers_.begin()->second});
     timers_.erase(timers_.begin());
   }
-  if (events_.empty()) return Wake();
+  if (events_.empty()) return ScheduleStep();
   Step(now);
-  Wake();
+  ScheduleStep();
 }
 
 void Relay::Step(Time now) {
-  counters_.turns += 1;
-  if (first_event_ > Time(0)) {
-    const auto late = static_cast<std::uint64_t>((now - first_event_).count());
-    counters_.latest_turn_us = std::max(counters_.latest_turn_us, late);
+  counters_.steps += 1;
+  if (first_event_at_ > Time(0)) {
+    const auto delay_us = static_cast<std::uint64_t>((now - first_event_at_).count());
+    counters_.longest_step_delay_us = std::max(counters_.longest_step_delay_us, delay_us);
   }
-  first_event_ = Time(0);
-  last_turn_ = now;
+  first_event_at_ = Time(0);
+  last_step_at_ = now;
   const std::vector<wheathub::Event> events = std::exchange(events_, {});
   const std::vector<wheathub::Action> actions = decider_.Step(now, events);
-  AnswerFresh(actions);
-  for (const auto& action : actions) std::visit([this](const auto& a) { Do(a); }, action);
-  const auto took = static_cast<std::uint64_t>((sides_.clock.Now() - now).count());
-  counters_.longest_turn_us = std::max(counters_.longest_turn_us, took);
+  AnswerPending(actions);
+  for (const auto& action : actions)
+    std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
+  const auto duration_us = static_cast<std::uint64_t>((ports_.clock.Now() - now).count());
+  counters_.longest_step_us = std::max(counters_.longest_step_us, duration_us);
 }
 
-void Relay::Do(const wheathub::SetTimer& timer) { timers_.emplace(timer.at, timer.token); }
+void Relay::Execute(const wheathub::SetTimer& timer) { timers_.emplace(timer.at, timer.token); }
 
-void Relay::Do(const wheathub::Log& log) {
-  (sides_.log != nullptr ? *sides_.log : std::cout) << "module: " << log.text << std::endl;
+void Relay::Execute(const wheathub::Log& log) {
+  (ports_.log != nullptr ? *ports_.log : std::cout) << "module: " << log.text << std::endl;
 }
 
-// Probes are calls that no client handed in, which the platform doesn't take; the settings never allow them.
-void Relay::Do(const wheathub::Probe& probe) {
+// Probes are calls without a message from a client, which the platform does not accept; the settings never
+// enable them.
+void Relay::Execute(const wheathub::Probe& probe) {
   Queue(wheathub::ProbeEnded{probe.endpoint, Outcome::kNotSent, Time(0), Time(0), std::nullopt});
 }
 
 // ---- attempts ----
 
-AttemptOrder Relay::OrderOf(const wheathub::Send& send, const Held& held) const {
+AttemptRequest Relay::RequestOf(const wheathub::Send& send, const HeldMessage& held) const {
   const journal::Entry& entry = *journal_.Find(send.id);
-  const Time now = sides_.clock.Now();
-  AttemptOrder order;
-  order.attempt = {send.id, held.sends};
-  order.host = send.endpoint;
-  order.key = entry.message.key;
-  order.body = entry.message.body;
-  order.give_up_at = held.ends_at;
-  if (send.timeout > Time(0)) order.give_up_at = std::min(order.give_up_at, now + send.timeout);
-  order.write_before = held.ends_at;
-  const wheathub::MessageClass& c = classes_.at(held.message_class);
-  if (entry.first_risk && c.semantics == wheathub::Semantics::kDeduplicated) {
-    // The module keeps to the window when it sends; a connection that takes its time must not slip past it.
-    const Time since = sides_.clock.UnixNow() - entry.first_risk->at;
-    order.write_before = std::min(order.write_before, now - since + c.repeat_window);
+  const Time now = ports_.clock.Now();
+  AttemptRequest request;
+  request.attempt = {send.id, held.send_count};
+  request.host = send.endpoint;
+  request.key = entry.message.key;
+  request.body = entry.message.body;
+  request.timeout_at = held.deadline;
+  if (send.timeout > Time(0)) request.timeout_at = std::min(request.timeout_at, now + send.timeout);
+  request.write_deadline = held.deadline;
+  const wheathub::MessageClass& message_class = classes_.at(held.message_class);
+  if (entry.first_uncertain && message_class.semantics == wheathub::Semantics::kDeduplicated) {
+    // The module respects the repeat window when it decides to send; this keeps a slow connection from
+    // exceeding it.
+    const Time since_first_uncertain = ports_.clock.UnixNow() - entry.first_uncertain->started_at;
+    request.write_deadline =
+        std::min(request.write_deadline, now - since_first_uncertain + message_class.repeat_window);
   }
-  return order;
+  return request;
 }
 
-void Relay::Do(const wheathub::Send& send) {
+void Relay::Execute(const wheathub::Send& send) {
   const auto it = held_.find(send.id);
   if (it == held_.end()) {
     wheathub::AttemptEnded ended{
@@ -359,21 +372,21 @@
     return Queue(std::move(ended));
   }
   counters_.attempts += 1;
-  AttemptOrder order = OrderOf(send, it->second);
-  it->second.sends += 1;
-  out_[order.attempt] = {send.endpoint, sides_.clock.Now(), false};
-  sides_.endpoints.Begin(std::move(order));
+  AttemptRequest request = RequestOf(send, it->second);
+  it->second.send_count += 1;
+  in_flight_[request.attempt] = {send.endpoint, ports_.clock.Now(), false};
+  ports_.endpoints.StartAttempt(std::move(request));
 }
 
-bool Relay::AttemptWriting(const AttemptId& attempt, const std::string& host, int zone) {
-  const auto it = out_.find(attempt);
-  if (it == out_.end() || settled_) return false;
-  it->second.written = journal_.BeginAttempt(attempt.id, {host, zone, sides_.clock.UnixNow()});
+bool Relay::RecordAttemptStart(const AttemptId& attempt, const std::string& host, int zone) {
+  const auto it = in_flight_.find(attempt);
+  if (it == in_flight_.end() || sending_stopped_) return false;
+  it->second.written = journal_.BeginAttempt(attempt.id, {host, zone, ports_.clock.UnixNow()});
   return it->second.written;
 }
 
-void Relay::Count(const AttemptEnd& end) {
-  switch (end.outcome) {
+void Relay::CountOutcome(const AttemptResult& result) {
+  switch (result.outcome) {
     case Outcome::kServed:
       counters_.served += 1;
       break;
@@ -401,132 +414,135 @@
   }
 }
 
-// The outcome is on record at once, also when the module is not asked any more.
-void Relay::AttemptEnded(const AttemptId& attempt, const AttemptEnd& end) {
-  const auto it = out_.find(attempt);
-  if (it == out_.end()) return;
-  const Out out = it->second;
-  out_.erase(it);
-  Count(end);
-  if (given()) return told_(attempt.id, end);
-  const bool over = end.over || end.outcome == Outcome::kServed;
-  if (over && journal_.Find(attempt.id) != nullptr) {
+// The outcome is recorded immediately, even if the decision module is no longer asked.
+void Relay::AttemptEnded(const AttemptId& attempt, const AttemptResult& result) {
+  const auto it = in_flight_.find(attempt);
+  if (it == in_flight_.end()) return;
+  const AttemptState state = it->second;
+  in_flight_.erase(it);
+  CountOutcome(result);
+  if (handed_over()) return result_listener_(attempt.id, result);
+  const bool closed = result.closes_message || result.outcome == Outcome::kServed;
+  if (closed && journal_.Find(attempt.id) != nullptr) {
     const auto held = held_.find(attempt.id);
-    const bool served = end.outcome == Outcome::kServed;
-    // A client counts a message's time from when it sent it, up to kClientWaits before it was read here: what
-    // is delivered in the last of its time may be late by that count.
-    const bool late = held != held_.end() && sides_.clock.Now() >= held->second.ends_at - kClientWaits;
+    const bool served = result.outcome == Outcome::kServed;
+    // A client counts the deadline from when it sent the message, which is up to kClientTimeout before the
+    // relay read it. A delivery in the last kClientTimeout before the deadline may therefore be late for the
+    // client, and is reported as undeliverable.
+    const bool late = held != held_.end() && ports_.clock.Now() >= held->second.deadline - kClientTimeout;
     counters_.delivered += served;
     if (held != held_.end()) held_.erase(held);
     if (served && late) {
-      TellEnd(attempt.id, {false, 0});
+      RecordAndNotify(attempt.id, {false, 0});
     } else {
       journal_.Close(attempt.id);
     }
-  } else if (out.written) {
-    journal_.EndAttempt(attempt.id, MayHaveRun(end.outcome));
+  } else if (state.written) {
+    journal_.EndAttempt(attempt.id, MayHaveRun(result.outcome));
   }
   wheathub::AttemptEnded ended;
   ended.id = attempt.id;
   ended.attempt = attempt.number;
-  ended.endpoint = out.host;
-  ended.outcome = end.outcome;
-  ended.latency = sides_.clock.Now() - out.begun;
-  ended.closed = over;
-  ended.told_wait = end.told_wait;
+  ended.endpoint = state.host;
+  ended.outcome = result.outcome;
+  ended.latency = ports_.clock.Now() - state.started_at;
+  ended.closed = closed;
+  ended.told_wait = result.retry_after;
   Queue(std::move(ended));
 }
 
-void Relay::Do(const wheathub::Cancel& cancel) {
+void Relay::Execute(const wheathub::Cancel& cancel) {
   const AttemptId attempt{cancel.id, cancel.attempt};
-  const auto it = out_.find(attempt);
-  if (it == out_.end()) return;  // its end is on the way to the module
+  const auto it = in_flight_.find(attempt);
+  if (it == in_flight_.end()) return;  // its end is already queued for the module
   const bool written = it->second.written;
-  if (!sides_.endpoints.Cut(attempt)) return;
-  // What had come of it by then was taken first, and may have ended it.
+  if (!ports_.endpoints.CancelAttempt(attempt)) return;
+  // If its answer had already arrived, CancelAttempt has processed it and this does nothing.
   AttemptEnded(attempt, {written ? Outcome::kCancelled : Outcome::kNotSent, false, Time(0)});
 }
 
-// ---- ends ----
+// ---- endings ----
 
-void Relay::End(const std::string& id, const journal::Ending& ending) {
+void Relay::EndUndelivered(const std::string& id, const journal::Ending& ending) {
   const auto it = held_.find(id);
   if (it == held_.end()) return;
   if (const journal::Entry* const entry = journal_.Find(id)) {
-    const Time left = it->second.ends_at - sides_.clock.Now();
-    const Time whole = WholeTimeOf(entry->message);
-    counters_.given_up_untried += it->second.untried && entry->attempts == 0 && 10 * left > whole;
-    const bool early = 10 * left > 3 * whole;
-    counters_.returned_early += early && !entry->first_risk;
+    const Time remaining = it->second.deadline - ports_.clock.Now();
+    const Time class_deadline = ClassDeadline(entry->message);
+    counters_.ended_unattempted +=
+        it->second.unattempted && entry->attempts == 0 && 10 * remaining > class_deadline;
+    const bool early = 10 * remaining > 3 * class_deadline;
+    counters_.returned_early += early && !entry->first_uncertain;
   }
   held_.erase(it);
   (ending.deferred ? counters_.deferred : counters_.undeliverable) += 1;
-  TellEnd(id, ending);
+  RecordAndNotify(id, ending);
 }
 
-void Relay::TellEnd(const std::string& id, const journal::Ending& ending) {
-  journal_.End(id, ending);
-  sides_.notices.Post(id, ending);
+void Relay::RecordAndNotify(const std::string& id, const journal::Ending& ending) {
+  journal_.RecordEnding(id, ending);
+  ports_.notices.Post(id, ending);
 }
 
-void Relay::Do(const wheathub::Refuse& refuse) {
-  End(refuse.id, {true, std::chrono::duration_cast<std::chrono::milliseconds>(refuse.retry_after).count()});
+void Relay::Execute(const wheathub::Refuse& refuse) {
+  EndUndelivered(refuse.id,
+                 {true, std::chrono::duration_cast<std::chrono::milliseconds>(refuse.retry_after).count()});
 }
 
-void Relay::Do(const wheathub::Fail& fail) { End(fail.id, {false, 0}); }
+void Relay::Execute(const wheathub::Fail& fail) { EndUndelivered(fail.id, {false, 0}); }
 
-void Relay::NoticeTaken(const std::string& id) {
-  counters_.notices_taken += 1;
+void Relay::NoticeAccepted(const std::string& id) {
+  counters_.notices_accepted += 1;
   journal_.Close(id);
 }
 
-// ---- the routing table ----
+// ---- routing table ----
 
 void Relay::RoutingChanged(const RoutingChange& change) {
   counters_.list_changes += 1;
-  Tell(table_.Adopt(change));
+  PublishRouting(table_.Apply(change));
 }
 
-// The module hears of the hosts first: adopting them may tell what binds them.
-void Relay::Tell(const RoutingChange& change) {
+// The module must hear of the hosts first: applying the change to the transport may report waits for them.
+void Relay::PublishRouting(const RoutingChange& change) {
   wheathub::ListUpdate update;
   update.scope = change.scope;
   update.revision = change.revision;
   for (const Host& host : change.hosts) {
     update.endpoints.push_back(host.info);
-    named_.insert(host.info.destination);
+    known_destinations_.insert(host.info.destination);
   }
   Queue(std::move(update));
-  sides_.endpoints.Adopt(change);
+  ports_.endpoints.ApplyRoutingChange(change);
 }
 
-void Relay::HostToldWait(const std::string& host, Time until) { Queue(wheathub::ToldWait{host, until}); }
+void Relay::DelayHost(const std::string& host, Time until) { Queue(wheathub::ToldWait{host, until}); }
 
-void Relay::ListValidUntil(Time moment) {
-  sides_.endpoints.ListValidUntil(moment);
+void Relay::SetListValidUntil(Time moment) {
+  ports_.endpoints.SetListValidUntil(moment);
   Queue(wheathub::ListValidity{moment});
 }
 
-std::optional<std::string> Relay::TakeOut(const std::string& host) {
-  if (!table_.Lists(host) && !table_.IsOut(host)) return "no host " + host + " is listed";
-  if (!journal_.TakeOut(host))
+std::optional<std::string> Relay::ExcludeHost(const std::string& host) {
+  if (!table_.Lists(host) && !table_.IsExcluded(host)) return "no host " + host + " is listed";
+  if (!journal_.ExcludeHost(host))
     return "it can't be put on record: too many hosts are out, or the disk is full";
-  Tell(table_.TakeOut(host));
-  counters_.hosts_out = journal_.out().size();
+  PublishRouting(table_.ExcludeHost(host));
+  counters_.hosts_excluded = journal_.excluded_hosts().size();
   return std::nullopt;
 }
 
-std::optional<std::string> Relay::PutBack(const std::string& host) {
-  if (!table_.Lists(host) && !table_.IsOut(host)) return "no host " + host + " is listed or out";
-  if (!journal_.PutBack(host)) return "it can't be put on record: the disk is full";
-  Tell(table_.PutBack(host));
-  counters_.hosts_out = journal_.out().size();
+std::optional<std::string> Relay::IncludeHost(const std::string& host) {
+  if (!table_.Lists(host) && !table_.IsExcluded(host)) return "no host " + host + " is listed or out";
+  if (!journal_.IncludeHost(host)) return "it can't be put on record: the disk is full";
+  PublishRouting(table_.IncludeHost(host));
+  counters_.hosts_excluded = journal_.excluded_hosts().size();
   return std::nullopt;
 }
 
-void Relay::RoutingBehind(const RoutingChange& older) {
-  const RoutingChange withheld = table_.Withhold(older);
-  if (!withheld.hosts.empty()) Tell(withheld);
+void Relay::StaleRoutingReceived(const RoutingChange& older) {
+  const RoutingChange withheld = table_.ApplyStale(older);
+  if (!withheld.hosts.empty()) PublishRouting(withheld);
 }
 
 }  // namespace oxbowspread::relay
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -1,5 +1,6 @@
-// The core: messages, their attempts and ends, round the decision module. It knows no protocol and no
-// socket; what it decides itself is nothing but order: what is on record before what is told.
+// The relay core: tracks messages, their attempts and their endings, and runs the decision module. It knows
+// no protocol and no socket. Its own responsibility is ordering: what must be recorded in the journal before
+// it is reported to anyone.
 #pragma once
 
 #include <cstdint>
@@ -21,150 +22,176 @@
 
 namespace oxbowspread::relay {
 
+// Single-threaded; all calls come from the event loop. The journal, the ports and the counters must outlast
+// the relay.
 class Relay {
  public:
-  struct Sides {
+  // Interfaces to the surroundings of the core.
+  struct Ports {
     Clock& clock;
-    EndpointSide& endpoints;
-    Notices& notices;
-    std::ostream* log = nullptr;  // what the module says, a line each; none: standard output
+    EndpointTransport& endpoints;
+    NoticeSender& notices;
+    // Receives one line per log action of the decision module; standard output if null.
+    std::ostream* log = nullptr;
   };
 
-  Relay(wheathub::Settings settings, std::uint64_t seed, journal::Journal& journal, const Sides& sides,
+  // Throws std::invalid_argument if the decision module cannot work with the settings.
+  Relay(wheathub::Settings settings, std::uint64_t seed, journal::Journal& journal, const Ports& ports,
         Counters& counters);
 
-  // First of all: the list as last had, then what the journal still owes. With what another process gave
-  // over, `known` is passed by for its table, and the attempts that are out there end by AttemptEnded like
-  // others.
-  void Recover(const RoutingChange& known, const Estate* taken = nullptr);
-
-  // To give over to another process. Everybody who waits is answered, attempts not yet written are taken
-  // back, and what is left is told; Turn and all else go on as before until Given.
-  Estate Freeze();
-  // From now on all is the other process's but the attempts that are out, whose ends `told` hears; the
-  // journal is released.
-  using Told = std::function<void(const std::string& id, const AttemptEnd& end)>;
-  void Given(Told told);
-  bool given() const { return told_ != nullptr; }
-  // Once given: the other process wants that attempt ended here. No end is told for it.
-  void CutGiven(const std::string& id);
-
-  // From the clients. Answered through `from`, later or at once.
-  void Submit(journal::Message message, Client& from);
-  void Withdraw(Client& from);
-  // Whether clients may name it.
-  bool KnowsClass(const std::string& name) const { return classes_.Current(name) >= 0; }
-  // A keyed class is of no use without its key: a repeat would run twice.
+  // Must be called before anything else. Loads the last known routing table, then all open messages and
+  // unsent notices from the journal. With `handed_over_state`, its routing table is used instead of
+  // `last_known`, and the attempts that continue in the other process are in flight and end by AttemptEnded
+  // like any others.
+  void Recover(const RoutingChange& last_known, const HandoverState* handed_over_state = nullptr);
+
+  // Prepares a handover to another process: answers every waiting client, cancels attempts that are not
+  // written yet, and returns the remaining state. The relay continues to work normally until
+  // CompleteHandover.
+  HandoverState PrepareHandover();
+  // Completes the handover and releases the journal: the other process owns everything except the attempts in
+  // flight, whose results are passed to `listener`.
+  using ResultListener = std::function<void(const std::string& id, const AttemptResult& result)>;
+  void CompleteHandover(ResultListener listener);
+  bool handed_over() const { return result_listener_ != nullptr; }
+  // Cancels an attempt on request of the process that took over. Its result is not reported. Only valid after
+  // CompleteHandover.
+  void CancelHandedOver(const std::string& id);
+
+  // Accepts or rejects a message. `client` is answered from within this call or later, and must live until
+  // then or until Withdraw.
+  void Submit(journal::Message message, Client& client);
+  // The client has disconnected and must not be answered.
+  void Withdraw(Client& client);
+  // Returns whether the current settings have a class of that name.
+  bool KnowsClass(const std::string& name) const { return classes_.IndexOf(name) >= 0; }
+  // Returns whether messages of the class must have an idempotency key. Without the key a repeated attempt
+  // would run the message twice.
   bool NeedsKey(const std::string& class_name) const;
-  // Whether any list so far named a host of it. Also true before the first list: then nothing can be told.
-  bool KnowsDestination(wheathub::DestinationId id) const { return named_.empty() || named_.count(id) > 0; }
-
-  // From the endpoint side. An attempt whose begin can't be recorded must not be written.
-  bool AttemptWriting(const AttemptId& attempt, const std::string& host, int zone);
-  void AttemptEnded(const AttemptId& attempt, const AttemptEnd& end);
-
-  // Nothing may be sent to that host before that moment, by a wait that a call to another host was told at
-  // its address.
-  void HostToldWait(const std::string& host, Time until);
-
-  // The attempt of that message that is out; number -1 if none is.
-  AttemptId AttemptOf(const std::string& id) const;
-
-  // From discovery and the platform.
+  // Returns whether any routing table so far listed a host of the destination. Before the first list nothing
+  // is known, and this returns true.
+  bool KnowsDestination(wheathub::DestinationId id) const {
+    return known_destinations_.empty() || known_destinations_.count(id) > 0;
+  }
+
+  // Records in the journal that an attempt is about to be written. Returns false if that failed or the
+  // attempt is no longer wanted; it must not be written then.
+  bool RecordAttemptStart(const AttemptId& attempt, const std::string& host, int zone);
+  // The attempt has ended. Records the outcome and queues it for the decision module.
+  void AttemptEnded(const AttemptId& attempt, const AttemptResult& result);
+
+  // Nothing may be sent to the host before `until`, because another host at the same address requested a
+  // wait.
+  void DelayHost(const std::string& host, Time until);
+
+  // Returns the attempt in flight for the message; its number is -1 if there is none.
+  AttemptId FindAttempt(const std::string& id) const;
+
+  // A new list or change from discovery.
   void RoutingChanged(const RoutingChange& change);
-  // Discovery told what is older than what is known: only what it says drains or is gone is taken from it,
-  // and binds until a RoutingChanged.
-  void RoutingBehind(const RoutingChange& older);
-  // The list may be used until that moment, for calls that have begun too.
-  void ListValidUntil(Time moment);
-  void NoticeTaken(const std::string& id);
-
-  // Maintenance, from the operators: on record, and binding, once it returns nothing; else why not. A host
-  // that is out counts as draining whatever is listed; it comes back cold.
-  std::optional<std::string> TakeOut(const std::string& host);
-  std::optional<std::string> PutBack(const std::string& host);
-
-  // Other settings from the next Step on; what is held keeps the class under which it was taken on. Throws
-  // std::invalid_argument, and changes nothing, if the module can't work with them.
-  void Renew(wheathub::Settings settings);
-
-  // One batch of events through the module, its actions in order.
-  void Turn();
-  // From now on nothing new is sent; attempts that are out still end, on record.
-  void Settle();
-
+  // Discovery sent a list older than the current one. Only the hosts that it reports as draining or gone are
+  // used; they count as draining until the next RoutingChanged.
+  void StaleRoutingReceived(const RoutingChange& older);
+  // Sets when the routing table expires. This also applies to attempts that have already started.
+  void SetListValidUntil(Time moment);
+  // The platform has accepted the notice of a message, so the message can be closed.
+  void NoticeAccepted(const std::string& id);
+
+  // Operators exclude a host from use, or include it again. Returns nothing once the change is recorded and
+  // in force, otherwise why it failed. An excluded host counts as draining whatever discovery lists; once
+  // included again it starts cold.
+  std::optional<std::string> ExcludeHost(const std::string& host);
+  std::optional<std::string> IncludeHost(const std::string& host);
+
+  // Uses other settings from the next step on. Held messages keep the class under which they were accepted.
+  // Throws std::invalid_argument, and changes nothing, if the decision module cannot work with the settings.
+  void UpdateSettings(wheathub::Settings settings);
+
+  // Passes all queued events and due timers to the decision module and executes its actions in order. Does
+  // nothing, and schedules a later call, if the last step was less than a tick ago.
+  void ProcessEvents();
+  // Stops sending new attempts. Attempts in flight still end and are recorded.
+  void StopSending();
+
+  // Number of accepted messages that have not ended.
   std::size_t held() const { return held_.size(); }
-  std::size_t out() const { return out_.size(); }
-  // Neither an end nor a notice is owed.
-  bool done() const { return journal_.entries().empty() && fresh_.empty(); }
+  std::size_t in_flight() const { return in_flight_.size(); }
+  // Returns whether every accepted message has ended, every notice was accepted, and no client waits.
+  bool done() const { return journal_.entries().empty() && pending_.empty(); }
 
  private:
-  struct Held {  // beside what its journal entry says
-    Time ends_at{0};
-    int sends = 0;
+  // An open message; the rest is in its journal entry.
+  struct HeldMessage {
+    Time deadline{0};
+    int send_count = 0;
     int message_class = 0;
-    bool untried = false;  // found so at the start, with half of its time left
+    // Found by recovery without any attempt and with at least half of its deadline left.
+    bool unattempted = false;
   };
-  struct Out {
+  // An attempt in flight.
+  struct AttemptState {
     std::string host;
-    Time begun{0};
+    Time started_at{0};
     bool written = false;
   };
-  struct Fresh {
+  // A submitted message that the decision module has not answered yet.
+  struct PendingMessage {
     journal::Message message;
-    std::vector<Client*> from;
-    Time ends_at{0};
+    std::vector<Client*> clients;
+    Time deadline{0};
   };
 
   void Step(Time now);
-  void Tell(const RoutingChange& change);
+  void PublishRouting(const RoutingChange& change);
   int ClassOf(const journal::Message& message);
-  void Wake();
+  void ScheduleStep();
   void Queue(wheathub::Event event);
   wheathub::Message MessageOf(const journal::Entry& entry);
-  void AnswerFresh(const std::vector<wheathub::Action>& actions);
-  bool TakeOn(const Fresh& fresh);
-  void End(const std::string& id, const journal::Ending& ending);
-  void TellEnd(const std::string& id, const journal::Ending& ending);
-  void Count(const AttemptEnd& end);
-  void TakeBackUnwritten();
-  AttemptOrder OrderOf(const wheathub::Send& send, const Held& held) const;
-
-  void Do(const wheathub::Send& send);
-  void Do(const wheathub::Refuse& refuse);
-  void Do(const wheathub::Fail& fail);
-  void Do(const wheathub::Cancel& cancel);
-  void Do(const wheathub::SetTimer& timer);
-  void Do(const wheathub::CloseIdle& close) { sides_.endpoints.CloseIdle(close.endpoint); }
-  // Whoever brings RoutingChanged asks for the list: the module is told that lists come by themselves.
-  void Do(const wheathub::WatchList&) {}
-  void Do(const wheathub::FetchList&) {}
-  void Do(const wheathub::Log& log);
-  void Do(const wheathub::Probe& probe);
-  void Do(const wheathub::TellPeers&) {}  // peers are out of reach here; the settings never allow it
-
-  static wheathub::Settings Merged(wheathub::Settings settings, Classes& classes,
-                                   const journal::Journal& journal);
-
-  Classes classes_;
-  wheathub::Settings settings_;  // with all classes, by number
+  void AnswerPending(const std::vector<wheathub::Action>& actions);
+  bool AcceptPending(const PendingMessage& pending);
+  void EndUndelivered(const std::string& id, const journal::Ending& ending);
+  void RecordAndNotify(const std::string& id, const journal::Ending& ending);
+  void CountOutcome(const AttemptResult& result);
+  void CancelUnwritten();
+  AttemptRequest RequestOf(const wheathub::Send& send, const HeldMessage& held) const;
+
+  void Execute(const wheathub::Send& send);
+  void Execute(const wheathub::Refuse& refuse);
+  void Execute(const wheathub::Fail& fail);
+  void Execute(const wheathub::Cancel& cancel);
+  void Execute(const wheathub::SetTimer& timer);
+  void Execute(const wheathub::CloseIdle& close) { ports_.endpoints.CloseIdle(close.endpoint); }
+  // Lists arrive through RoutingChanged without being requested, and the module is set up accordingly.
+  void Execute(const wheathub::WatchList&) {}
+  void Execute(const wheathub::FetchList&) {}
+  void Execute(const wheathub::Log& log);
+  void Execute(const wheathub::Probe& probe);
+  // Relays have no connection to each other; the settings disable this action.
+  void Execute(const wheathub::TellPeers&) {}
+
+  static wheathub::Settings MergeClasses(wheathub::Settings settings, ClassRegistry& classes,
+                                         const journal::Journal& journal);
+
+  ClassRegistry classes_;
+  wheathub::Settings settings_;  // includes all registered classes, by index
   wheathub::Decider decider_;
   journal::Journal& journal_;
-  Table table_;
-  Sides sides_;
+  RoutingTable table_;
+  Ports ports_;
   Counters& counters_;
   std::vector<wheathub::Event> events_;
-  Time first_event_{0};
-  Time last_turn_ = Time::min() / 2;
+  Time first_event_at_{0};
+  Time last_step_at_ = Time::min() / 2;
   std::multimap<Time, std::string> timers_;
-  // Destinations are partners of the platform: few, and unlike hosts not replaced. Remembered for good, since
-  // a list that lags may hold no host of one whose hosts have all been replaced.
-  std::set<wheathub::DestinationId> named_;
-  std::map<std::string, Fresh> fresh_;  // handed in since the last turn
-  std::map<std::string, Held> held_;
-  std::map<AttemptId, Out> out_;
-  bool settled_ = false;
-  Told told_;  // set once all is given over
+  // Every destination that a list has named so far. Destinations are partners of the platform: few, and
+  // unlike hosts not replaced. They are never forgotten, because a stale list may hold no host of a
+  // destination whose hosts have all been replaced.
+  std::set<wheathub::DestinationId> known_destinations_;
+  std::map<std::string, PendingMessage> pending_;  // submitted since the last step
+  std::map<std::string, HeldMessage> held_;
+  std::map<AttemptId, AttemptState> in_flight_;
+  bool sending_stopped_ = false;
+  ResultListener result_listener_;  // set once the handover is complete
 };
 
 }  // namespace oxbowspread::relay
--- a/src/relay/table.cpp
+++ b/src/relay/table.cpp
@@ -6,44 +6,46 @@
 
 using wheathub::Lifecycle;
 
-RoutingChange Table::Adopt(RoutingChange change) {
+RoutingChange RoutingTable::Apply(RoutingChange change) {
   if (change.scope == wheathub::ListScope::kFailed) return change;
-  const std::map<std::string, Host> before = change.scope == wheathub::ListScope::kChanges
-                                                 ? std::map<std::string, Host>()
-                                                 : std::exchange(hosts_, {});
+  const std::map<std::string, Host> previous_hosts = change.scope == wheathub::ListScope::kChanges
+                                                         ? std::map<std::string, Host>()
+                                                         : std::exchange(hosts_, {});
   revision_ = change.revision;
-  std::set<std::string> returning = std::exchange(withheld_, {});
-  // Of a host that nobody knows a state alone tells nothing.
+  std::set<std::string> previously_withheld = std::exchange(withheld_, {});
+  // An entry with only a state is useless if the host is unknown.
   std::erase_if(change.hosts, [&](const Host& host) {
-    return host.only_state && before.count(host.info.id) == 0 && hosts_.count(host.info.id) == 0;
+    return host.state_only && previous_hosts.count(host.info.id) == 0 && hosts_.count(host.info.id) == 0;
   });
   for (Host& host : change.hosts) {
-    const auto known = before.find(host.info.id);
-    Host& kept =
-        hosts_.try_emplace(host.info.id, known == before.end() ? Host() : known->second).first->second;
-    Merge(kept, &host);
-    kept = host;
-    returning.erase(host.info.id);
+    const auto previous = previous_hosts.find(host.info.id);
+    Host& stored =
+        hosts_.try_emplace(host.info.id, previous == previous_hosts.end() ? Host() : previous->second)
+            .first->second;
+    Merge(stored, &host);
+    stored = host;
+    previously_withheld.erase(host.info.id);
     if (host.info.lifecycle == Lifecycle::kRemoved) hosts_.erase(host.info.id);
-    host = Laid(std::move(host));
+    host = EffectiveHost(std::move(host));
   }
-  for (const std::string& id : returning) {
+  for (const std::string& id : previously_withheld) {
     const auto it = hosts_.find(id);
-    if (it != hosts_.end()) change.hosts.push_back(Laid(it->second));
+    if (it != hosts_.end()) change.hosts.push_back(EffectiveHost(it->second));
   }
   return change;
 }
 
-// A change may leave out the address; of an entry that can't be read only the state is told.
-void Table::Merge(const Host& known, Host* news) {
-  if (news->address.empty()) news->address = known.address;
-  if (!std::exchange(news->only_state, false)) return;
-  const Lifecycle told = news->info.lifecycle;
-  news->info = known.info;
-  news->info.lifecycle = told;
+// A change may omit the address, and an unreadable entry carries only the state: the missing fields are taken
+// from the previous entry.
+void RoutingTable::Merge(const Host& previous, Host* update) {
+  if (update->address.empty()) update->address = previous.address;
+  if (!std::exchange(update->state_only, false)) return;
+  const Lifecycle lifecycle = update->info.lifecycle;
+  update->info = previous.info;
+  update->info.lifecycle = lifecycle;
 }
 
-RoutingChange Table::Withhold(const RoutingChange& older) {
+RoutingChange RoutingTable::ApplyStale(const RoutingChange& older) {
   std::set<std::string> ready, unready;
   for (const Host& host : older.hosts) {
     (host.info.lifecycle == Lifecycle::kUp ? ready : unready).insert(host.info.id);
@@ -51,45 +53,46 @@
   RoutingChange change{wheathub::ListScope::kChanges, revision_, {}};
   for (const auto& [id, host] : hosts_) {
     const bool missing = older.scope == wheathub::ListScope::kAll && ready.count(id) == 0;
-    const bool was = withheld_.count(id) > 0;
-    const bool now = missing || unready.count(id) > 0 || (was && ready.count(id) == 0);
-    if (was == now) continue;
-    if (now) {
+    const bool was_withheld = withheld_.count(id) > 0;
+    const bool is_withheld = missing || unready.count(id) > 0 || (was_withheld && ready.count(id) == 0);
+    if (was_withheld == is_withheld) continue;
+    if (is_withheld) {
       withheld_.insert(id);
     } else {
       withheld_.erase(id);
     }
-    change.hosts.push_back(Laid(host));
+    change.hosts.push_back(EffectiveHost(host));
   }
   return change;
 }
 
-RoutingChange Table::TakeOut(const std::string& id) {
-  out_.insert(id);
-  return Change(id);
+RoutingChange RoutingTable::ExcludeHost(const std::string& id) {
+  excluded_.insert(id);
+  return ChangeOf(id);
 }
 
-RoutingChange Table::PutBack(const std::string& id) {
-  out_.erase(id);
-  return Change(id);
+RoutingChange RoutingTable::IncludeHost(const std::string& id) {
+  excluded_.erase(id);
+  return ChangeOf(id);
 }
 
-RoutingChange Table::Listed() const {
+RoutingChange RoutingTable::Listed() const {
   RoutingChange all{wheathub::ListScope::kRemembered, revision_, {}};
   for (const auto& [id, host] : hosts_) all.hosts.push_back(host);
   return all;
 }
 
-Host Table::Laid(Host host) const {
-  if (host.info.lifecycle == Lifecycle::kUp && (IsOut(host.info.id) || withheld_.count(host.info.id) > 0)) {
+Host RoutingTable::EffectiveHost(Host host) const {
+  if (host.info.lifecycle == Lifecycle::kUp &&
+      (IsExcluded(host.info.id) || withheld_.count(host.info.id) > 0)) {
     host.info.lifecycle = Lifecycle::kDraining;
   }
   return host;
 }
 
-RoutingChange Table::Change(const std::string& id) const {
+RoutingChange RoutingTable::ChangeOf(const std::string& id) const {
   RoutingChange change{wheathub::ListScope::kChanges, revision_, {}};
-  if (const auto it = hosts_.find(id); it != hosts_.end()) change.hosts.push_back(Laid(it->second));
+  if (const auto it = hosts_.find(id); it != hosts_.end()) change.hosts.push_back(EffectiveHost(it->second));
   return change;
 }
 
--- a/src/relay/table.hpp
+++ b/src/relay/table.hpp
@@ -1,6 +1,6 @@
-// The routing table as discovery lists it, the hosts that operators have taken out, and those that a
-// discovery which lags says are not to be used: what the module and the endpoint side are told is these laid
-// over the first. No I/O; it owns copies, and an id nobody knows is no error.
+// The routing table: the hosts listed by discovery, combined with the hosts that operators have excluded and
+// the hosts that a stale discovery answer reported as unusable. The decision module and the endpoint
+// transport see the combined state. Performs no I/O and stores copies; unknown host ids are not an error.
 #pragma once
 
 #include <map>
@@ -11,33 +11,35 @@
 
 namespace oxbowspread::relay {
 
-class Table {
+// Holds the listed hosts and derives the state in which they are used.
+class RoutingTable {
  public:
-  // Takes up what discovery told; returns it as it counts here: a host that is out drains. Hosts withheld so
-  // far are among it, as they are listed.
-  RoutingChange Adopt(RoutingChange change);
-  // Takes from a list older than what is known which hosts it says drain or are gone; they count as draining
-  // until the next Adopt, or until such a list names them Ready again. Returns what changes by that.
-  RoutingChange Withhold(const RoutingChange& older);
-  // Whether discovery's list holds it now.
+  // Applies a change from discovery. Returns the change with effective host states: an excluded host counts
+  // as draining. Withheld hosts are no longer withheld and are added to the result in their listed state.
+  RoutingChange Apply(RoutingChange change);
+  // Applies a list that is older than the current one. Only the hosts that it reports as draining or gone are
+  // used: they are withheld, that is, count as draining, until the next Apply or until another stale list
+  // reports them ready again. Returns the hosts whose effective state changed.
+  RoutingChange ApplyStale(const RoutingChange& older);
+  // Returns whether the host is in discovery's current list.
   bool Lists(const std::string& id) const { return hosts_.count(id) > 0; }
-  bool IsOut(const std::string& id) const { return out_.count(id) > 0; }
-  // From now on until PutBack it counts as draining, listed or not. Returns what changes by that, which may
-  // be no host at all; so does PutBack.
-  RoutingChange TakeOut(const std::string& id);
-  RoutingChange PutBack(const std::string& id);
+  bool IsExcluded(const std::string& id) const { return excluded_.count(id) > 0; }
+  // Excludes a host: it counts as draining, listed or not, until IncludeHost. Both return the hosts whose
+  // effective state may have changed, which may be none.
+  RoutingChange ExcludeHost(const std::string& id);
+  RoutingChange IncludeHost(const std::string& id);
 
-  // All of it as discovery listed it, with the last revision.
+  // Returns all hosts as listed by discovery, with the last revision.
   RoutingChange Listed() const;
 
  private:
-  static void Merge(const Host& known, Host* news);
-  Host Laid(Host host) const;
-  RoutingChange Change(const std::string& id) const;
+  static void Merge(const Host& previous, Host* update);
+  Host EffectiveHost(Host host) const;
+  RoutingChange ChangeOf(const std::string& id) const;
 
-  std::map<std::string, Host> hosts_;  // as listed; those gone from the list are not kept
-  std::set<std::string> out_;
-  std::set<std::string> withheld_;  // by a discovery that lags
+  std::map<std::string, Host> hosts_;  // as listed; hosts removed from the list are erased
+  std::set<std::string> excluded_;
+  std::set<std::string> withheld_;  // reported as unusable by a stale list
   std::int64_t revision_ = 0;
 };
 
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -11,7 +11,8 @@
 using namespace std::chrono_literals;
 
 // A discovery that lags tells what was: hosts that drain would come back by it. One that stays behind for so
-// long has begun to count anew. What it says drains or is gone binds meanwhile: see Relay::RoutingBehind.
+// long has begun to count anew. What it says drains or is gone binds meanwhile: see
+// Relay::StaleRoutingReceived.
 constexpr net::Time kBehindMost = 10s;
 constexpr std::size_t kLongestText = 4u << 20;
 // A discovery that has moved closes its connections 1.5 s later; what it has written by then counts as known.
@@ -117,7 +118,7 @@
     std::cout << "list: valid again after " << (now - before) / 1ms << " ms" << std::endl;
   }
   lease_over_.At(until);
-  relay_->ListValidUntil(until);
+  relay_->SetListValidUntil(until);
 }
 
 void Discovery::TellLeaseOfEnd(const Call& call, CallEnd end) {
@@ -134,7 +135,7 @@
 }
 
 void Discovery::LeaseOver() {
-  counters_.list_leases_over += 1;
+  counters_.list_leases_expired += 1;
   std::cout << "list: not confirmed for too long, no call begins" << std::endl;
 }
 
@@ -155,7 +156,7 @@
     counters_.list_failures += 1;
     Drop(*call.gives_up, CallEnd::kGivenUp);
   }
-  counters_.watches += 1;
+  counters_.list_subscriptions += 1;
   std::cout << "list: call " << call.number << " to " << place_.host << " from version " << revision_
             << std::endl;
   calls_.push_back(std::make_unique<Call>(*this, call.number));
@@ -236,9 +237,9 @@
   std::cout << "list: version " << change.revision << " told, " << revision_ << " known, "
             << change.hosts.size() << " entries" << std::endl;
   if (change.revision > 0 && change.revision < revision_) {
-    counters_.lists_behind += 1;
+    counters_.stale_lists += 1;
     if (!behind_.active()) behind_.After(kBehindMost);
-    relay_->RoutingBehind(change);
+    relay_->StaleRoutingReceived(change);
     return true;
   }
   behind_.Stop();
@@ -252,7 +253,7 @@
   const auto list = ReadList(text, names_);
   if (!list) return false;
   if (!behind_.active()) behind_.After(kBehindMost);
-  relay_->RoutingBehind(list->change);
+  relay_->StaleRoutingReceived(list->change);
   return true;
 }
 
--- a/src/routing/list.cpp
+++ b/src/routing/list.cpp
@@ -57,7 +57,7 @@
     relay::Host draining;
     draining.info.id = id;
     draining.info.lifecycle = wheathub::Lifecycle::kDraining;
-    draining.only_state = true;
+    draining.state_only = true;
     list->change.hosts.push_back(std::move(draining));
   }
 }
--- a/tests/lab/pool_test.cpp
+++ b/tests/lab/pool_test.cpp
@@ -49,15 +49,15 @@
   std::vector<std::unique_ptr<net::Connection>> lines_;
 };
 
-class Sides final : public relay::Clock, public relay::Notices, public relay::Client {
+class Sides final : public relay::Clock, public relay::NoticeSender, public relay::Client {
  public:
   explicit Sides(net::Loop& loop) : turn_(loop, [this] { on_turn(); }) {}
   net::Time Now() const override { return net::Loop::Now(); }
   net::Time UnixNow() const override { return net::Loop::UnixNow(); }
   void WakeAt(net::Time moment) override { turn_.At(moment); }
   void Post(const std::string&, const journal::Ending&) override {}
-  bool TakenOn() override { return true; }
-  void Refused(relay::Time) override {}
+  bool OnAccepted() override { return true; }
+  void OnRejected(relay::Time) override {}
 
   std::function<void()> on_turn;
 
@@ -94,9 +94,9 @@
     pool.Attach(relay);
     bool moved = false;
     sides.on_turn = [&] {
-      relay.Turn();
+      relay.ProcessEvents();
       // The line has begun to connect, and the loop has not told yet that it has.
-      if (relay.out() == 0 || std::exchange(moved, true)) return;
+      if (relay.in_flight() == 0 || std::exchange(moved, true)) return;
       relay.RoutingChanged(HostAt(new_place.address(), wheathub::ListScope::kChanges));
     };
     relay.Recover(HostAt(old_place.address(), wheathub::ListScope::kRemembered));
@@ -105,14 +105,14 @@
     a.key = "k";
     a.class_name = "outbound";
     a.destination = 7;
-    a.ends_at = net::Loop::UnixNow() + 16s;
+    a.deadline = net::Loop::UnixNow() + 16s;
     relay.Submit(a, sides);
     too_late.After(5s);
     loop.Run();
     CHECK(moved);
     CHECK(old_place.bytes.empty());
     CHECK(new_place.bytes.find("X-Request-ID: m") != std::string::npos);
-    CHECK(counters.attempts_held_back == 1);
+    CHECK(counters.attempts_withheld == 1);
   }
   std::filesystem::remove_all(folder);
 }
--- a/tests/relay/door_test.cpp
+++ b/tests/relay/door_test.cpp
@@ -68,7 +68,7 @@
 TEST_CASE("what is out drains whatever discovery tells of it: moved, gone and back, or in a whole list") {
   using wheathub::Lifecycle;
   using wheathub::ListScope;
-  relay::Table table;
+  relay::RoutingTable table;
   const auto host = [](const std::string& id, const std::string& address, Lifecycle state) {
     relay::Host h;
     h.info.id = id;
@@ -77,10 +77,10 @@
     return h;
   };
   const auto told = [&](ListScope scope, const relay::Host& h) {
-    return table.Adopt({scope, 1, {h}}).hosts.at(0);
+    return table.Apply({scope, 1, {h}}).hosts.at(0);
   };
   told(ListScope::kAll, host("a", "1", Lifecycle::kUp));
-  CHECK(table.TakeOut("a").hosts.at(0).info.lifecycle == Lifecycle::kDraining);
+  CHECK(table.ExcludeHost("a").hosts.at(0).info.lifecycle == Lifecycle::kDraining);
   const relay::Host moved = told(ListScope::kChanges, host("a", "2", Lifecycle::kUp));
   CHECK(moved.info.lifecycle == Lifecycle::kDraining);
   CHECK(moved.address == "2");
@@ -89,11 +89,11 @@
   CHECK(told(ListScope::kChanges, host("a", "3", Lifecycle::kUp)).info.lifecycle == Lifecycle::kDraining);
   CHECK(told(ListScope::kAll, host("a", "3", Lifecycle::kUp)).info.lifecycle == Lifecycle::kDraining);
   CHECK(table.Listed().hosts.at(0).info.lifecycle == Lifecycle::kUp);
-  const relay::RoutingChange back = table.PutBack("a");
+  const relay::RoutingChange back = table.IncludeHost("a");
   CHECK(back.hosts.at(0).info.lifecycle == Lifecycle::kUp);
   CHECK(back.hosts.at(0).address == "3");
   CHECK(told(ListScope::kAll, host("b", "4", Lifecycle::kUp)).info.lifecycle == Lifecycle::kUp);
-  CHECK(table.TakeOut("a").hosts.empty());  // not listed any more: there is nothing to tell
+  CHECK(table.ExcludeHost("a").hosts.empty());  // not listed any more: there is nothing to tell
 }
 
 TEST_CASE("a journal cut at any byte keeps what was taken out and put back before the cut") {
@@ -104,11 +104,11 @@
   std::vector<std::uintmax_t> ends;
   {
     journal::Journal j(folder, 1'000'000);
-    REQUIRE(j.TakeOut("a"));
+    REQUIRE(j.ExcludeHost("a"));
     ends.push_back(size());
-    REQUIRE(j.TakeOut("b"));
+    REQUIRE(j.ExcludeHost("b"));
     ends.push_back(size());
-    REQUIRE(j.PutBack("a"));
+    REQUIRE(j.IncludeHost("a"));
     ends.push_back(size());
   }
   std::ostringstream all;
@@ -117,14 +117,15 @@
   for (std::size_t cut = 0; cut <= all.str().size(); ++cut) {
     std::ofstream(path, std::ios::binary) << all.str().substr(0, cut);
     const auto whole = std::count_if(ends.begin(), ends.end(), [&](auto end) { return end <= cut; });
-    CHECK(journal::Journal(folder, 1'000'000).out() == out.at(static_cast<std::size_t>(whole)));
-    CHECK(journal::Journal(folder, 1'000'000).out() == out.at(static_cast<std::size_t>(whole)));  // rewritten
+    CHECK(journal::Journal(folder, 1'000'000).excluded_hosts() == out.at(static_cast<std::size_t>(whole)));
+    CHECK(journal::Journal(folder, 1'000'000).excluded_hosts() ==
+          out.at(static_cast<std::size_t>(whole)));  // rewritten
   }
   journal::Journal full(folder, 1'000'000);
-  for (std::size_t i = full.out().size(); i < journal::Journal::kMostOut; ++i) {
-    CHECK(full.TakeOut("host-" + std::to_string(i)));
+  for (std::size_t i = full.excluded_hosts().size(); i < journal::Journal::kMaxExcludedHosts; ++i) {
+    CHECK(full.ExcludeHost("host-" + std::to_string(i)));
   }
-  CHECK_FALSE(full.TakeOut("one-more"));
+  CHECK_FALSE(full.ExcludeHost("one-more"));
   std::filesystem::remove_all(folder);
 }
 
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -53,28 +53,28 @@
 };
 
 // The test as a new process: takes packets until that phase is reached, answering as one does.
-Taker TakeUntil(Channel& c, Taker::Phase phase) {
-  REQUIRE(c.Send(Ask()));
-  Taker taker;
+HandoverReceiver TakeUntil(Channel& c, HandoverReceiver::Phase phase) {
+  REQUIRE(c.Send(HandoverRequest()));
+  HandoverReceiver taker;
   while (taker.phase() < phase) {
     auto p = c.Receive(2s);
     REQUIRE(p);
     const auto answer = taker.Feed(std::move(p->packet), p->fd);
-    if (answer && phase == Taker::Phase::kOwner) c.Send(*answer);
+    if (answer && phase == HandoverReceiver::Phase::kOwner) c.Send(*answer);
   }
   return taker;
 }
-void CloseAll(const Taker& taker) {
+void CloseAll(const HandoverReceiver& taker) {
   for (const auto& passed : taker.clients()) close(passed.fd);
   close(taker.lock_fd());
 }
 
 TEST_CASE("what goes between two processes is read as it was written, and nothing else is read") {
-  relay::Estate estate;
+  relay::HandoverState estate;
   relay::Host host;
   host.info = {"a", 7, 1, 2, 3.5, wheathub::Lifecycle::kDraining};
   host.address = "127.0.0.1:1";
-  estate.table = {wheathub::ListScope::kRemembered, 41, {host}};
+  estate.routing_table = {wheathub::ListScope::kRemembered, 41, {host}};
   wheathub::Belief belief;
   belief.endpoint = "a";
   belief.route.tokens = 2.5;
@@ -83,31 +83,31 @@
   belief.health.state = wheathub::State::kDown;
   belief.health.failing = 0.25;
   estate.beliefs = {belief};
-  estate.out = {{"m1", "a", 77s, 88s}};
-  estate.waits = {{"a", 1s, 2s}};
+  estate.in_flight = {{"m1", "a", 77s, 88s}};
+  estate.host_waits = {{"a", 1s, 2s}};
   estate.address_waits = {{"127.0.0.1:7", 3s}};
   estate.list_valid_until = 99s;
   std::string all;
-  for (const EstatePiece& piece : Pieces(estate)) all += piece.bytes;
-  const relay::Estate read = FromPieces(all);
-  CHECK(read.table.hosts.at(0).info.weight == 3.5);
-  CHECK(read.table.hosts.at(0).address == "127.0.0.1:1");
+  for (const StateChunk& piece : ToChunks(estate)) all += piece.bytes;
+  const relay::HandoverState read = FromChunks(all);
+  CHECK(read.routing_table.hosts.at(0).info.weight == 3.5);
+  CHECK(read.routing_table.hosts.at(0).address == "127.0.0.1:1");
   CHECK(read.beliefs.at(0).route.wait_until == 12345s);
   CHECK(read.beliefs.at(0).health.warm_by == 54321s);
   CHECK(read.beliefs.at(0).health.state == wheathub::State::kDown);
   CHECK(read.beliefs.at(0).health.failed_at == wheathub::EndpointBelief::kNever);
-  CHECK(read.out.at(0).begun == 77s);
-  CHECK(read.out.at(0).ends_at == 88s);
-  CHECK(read.waits.at(0).until == 2s);
+  CHECK(read.in_flight.at(0).started_at == 77s);
+  CHECK(read.in_flight.at(0).message_deadline == 88s);
+  CHECK(read.host_waits.at(0).until == 2s);
   REQUIRE(read.address_waits.size() == 1);
   CHECK(read.address_waits.front().address == "127.0.0.1:7");
   CHECK(read.address_waits.front().until == 3s);
   CHECK(read.list_valid_until == 99s);
   for (std::size_t cut = 0; cut < all.size(); ++cut) {
-    CHECK_THROWS_AS(FromPieces(all.substr(0, cut)), std::invalid_argument);
+    CHECK_THROWS_AS(FromChunks(all.substr(0, cut)), std::invalid_argument);
   }
   const std::string packet = ToBytes(AttemptEnded{"m", {wheathub::Outcome::kRefused, false, 5s}});
-  CHECK(std::get<AttemptEnded>(FromBytes(packet)).end.told_wait == 5s);
+  CHECK(std::get<AttemptEnded>(FromBytes(packet)).result.retry_after == 5s);
   for (std::size_t cut = 0; cut < packet.size(); ++cut) {
     CHECK_THROWS_AS(FromBytes(packet.substr(0, cut)), std::invalid_argument);
   }
@@ -331,7 +331,7 @@
   SECTION("after it has asked, or in the middle of what is told") {
     for (int packets = 0; packets < 3; ++packets) {
       auto c = Channel::Connect(r.old.state());
-      REQUIRE(c->Send(Ask()));
+      REQUIRE(c->Send(HandoverRequest()));
       for (int i = 0; i < packets; ++i) {
         const auto p = c->Receive(2s);
         REQUIRE(p);
@@ -343,9 +343,9 @@
   }
   SECTION("it has all, and says nothing") {
     auto c = Channel::Connect(r.old.state());
-    const Taker taker = TakeUntil(*c, Taker::Phase::kReady);
+    const HandoverReceiver taker = TakeUntil(*c, HandoverReceiver::Phase::kReady);
     serves();
-    c->Send(Taken());  // too late: nothing is given any more
+    c->Send(OfferAccepted());  // too late: nothing is given any more
     CHECK_FALSE(c->Receive(500ms));
     CloseAll(taker);
   }
@@ -353,17 +353,17 @@
     std::vector<Client> many;
     for (int i = 0; i < 300; ++i) many.emplace_back(r.old);
     auto c = Channel::Connect(r.old.state());
-    REQUIRE(c->Send(Ask()));
+    REQUIRE(c->Send(HandoverRequest()));
     const auto before = Clock::now();
     serves();
     CHECK(Clock::now() - before < 900ms);
   }
   SECTION("it speaks another version") {
     auto c = Channel::Connect(r.old.state());
-    REQUIRE(c->Send(Ask{kVersion + 1, 1}));
+    REQUIRE(c->Send(HandoverRequest{kProtocolVersion + 1, 1}));
     const auto p = c->Receive(2s);
     REQUIRE(p);
-    CHECK(std::get<No>(p->packet).why.find("version") != std::string::npos);
+    CHECK(std::get<Refusal>(p->packet).reason.find("version") != std::string::npos);
   }
   SECTION("it says what is no packet") {
     auto c = Channel::Connect(r.old.state());
@@ -394,7 +394,7 @@
   }
   {
     auto c = Channel::Connect(r.old.state());
-    CloseAll(TakeUntil(*c, Taker::Phase::kOwner));
+    CloseAll(TakeUntil(*c, HandoverReceiver::Phase::kOwner));
   }
   r.old.UntilLog("starting anew");
   const HttpRequest again = r.world.NextCall();
@@ -418,7 +418,8 @@
   auto lock = std::make_unique<journal::FolderLock>(r.old.state());
   net::Loop loop;
   std::optional<Channel> asked;
-  auto port = std::make_unique<Port>(loop, r.old.state(), [&](Channel c) { asked.emplace(std::move(c)); });
+  auto port =
+      std::make_unique<ChannelListener>(loop, r.old.state(), [&](Channel c) { asked.emplace(std::move(c)); });
   const int step = GENERATE(0, 1, 2, 3);
   CAPTURE(step);
   r.next.Spawn();
@@ -429,15 +430,15 @@
   REQUIRE(asked->Receive(2s));
   // 0: dies after the question; 1: in the middle; 2: all but the last word; 3: refuses first.
   if (step == 1 || step == 2) {
-    for (const EstatePiece& piece : Pieces(relay::Estate())) CHECK(asked->Send(piece));
+    for (const StateChunk& piece : ToChunks(relay::HandoverState())) CHECK(asked->Send(piece));
   }
   if (step == 2) {
-    CHECK(asked->Send(Offered{0}, lock->fd()));
+    CHECK(asked->Send(OfferComplete{0}, lock->fd()));
     const auto taken = asked->Receive(2s);
     REQUIRE(taken);
-    CHECK(std::holds_alternative<Taken>(taken->packet));
+    CHECK(std::holds_alternative<OfferAccepted>(taken->packet));
   }
-  if (step == 3) CHECK(asked->Send(No{"draining"}));
+  if (step == 3) CHECK(asked->Send(Refusal{"draining"}));
   lock.reset();
   asked.reset();
   if (step != 1) port.reset();  // else its socket stays behind, as a dead process leaves it
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -43,19 +43,19 @@
   b.name = "b";
   MessageClass changed = a;
   changed.semantics = wheathub::Semantics::kIdempotent;
-  relay::Classes classes({a, b});
-  CHECK(classes.Current("a") == 0);
-  classes.Renew({changed}, {0});
+  relay::ClassRegistry classes({a, b});
+  CHECK(classes.IndexOf("a") == 0);
+  classes.SetCurrent({changed}, {0});
   CHECK(classes.at(0) == a);
-  CHECK(classes.Current("a") == 1);  // b's, which nobody held
-  CHECK(classes.Current("b") == -1);
-  classes.Renew({changed, b}, {0, 1});
-  CHECK(classes.Current("b") == 2);
-  classes.Renew({b}, {2});
+  CHECK(classes.IndexOf("a") == 1);  // b's, which nobody held
+  CHECK(classes.IndexOf("b") == -1);
+  classes.SetCurrent({changed, b}, {0, 1});
+  CHECK(classes.IndexOf("b") == 2);
+  classes.SetCurrent({b}, {2});
   CHECK(classes.all().size() == 3);
   for (int i = 0; i < 50; ++i) {  // reloads don't add up
     changed.deadline += std::chrono::seconds(1);
-    classes.Renew({changed, b}, {2});
+    classes.SetCurrent({changed, b}, {2});
   }
   CHECK(classes.all().size() == 3);
 }
