--- a/src/handover/new_process.cpp
+++ b/src/handover/new_process.cpp
@@ -107,8 +107,8 @@
   if (const auto* cancelled = std::get_if<CancelConfirmed>(&packet)) {
     return End(cancelled->id, {wheathub::Outcome::kCancelled, false, relay::Time(0)});
   }
-  if (const auto* command = std::get_if<OperatorCommand>(&packet)) {
-    if (channel_) channel_->Send(handover::CommandResult{on_command_(command->command, command->argument)});
+  if (const auto* request = std::get_if<OperatorCommand>(&packet)) {
+    if (channel_) channel_->Send(handover::CommandResult{on_command_(request->command, request->argument)});
   }
 }
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -186,9 +186,9 @@
   Queue(std::move(event));
 }
 
-// Clients with pending messages are told to come again, because a connection that is closed without an answer
-// loses the message. Attempts that still wait for their connection are cancelled: if written now, they might
-// not end before the process does.
+// Clients with pending messages are rejected with a wait, because a connection that is closed without an
+// answer loses the message. Attempts that still wait for their connection are cancelled: if written now, they
+// might not end before the process does.
 void Relay::StopSending() {
   if (std::exchange(sending_stopped_, true)) return;
   for (const auto& [id, message] : std::exchange(pending_, {})) {
