--- a/src/apps/oxbowfloor.cpp
+++ b/src/apps/oxbowfloor.cpp
@@ -85,7 +85,7 @@
   }
 
   void HandlePut(std::vector<std::string> command, Client& client) {
-    const journal::Message message = client::ReadPut(std::move(command), net::Loop::UnixNow());
+    const journal::Message message = client::ParsePut(std::move(command), net::Loop::UnixNow());
     WriteRecord(message.body.size() + 100);
     client.Send("+OK\r\n");
     WriteRecord(kAttemptRecordBytes);
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -35,13 +35,13 @@
 using namespace oxbowspread;
 using relay::Phase;
 
-using relay::kDoorOpen;
-using relay::kLookEach;
-using relay::kSettleAt;
-using relay::kStopAt;
+using relay::kExitAfter;
+using relay::kKeepAccepting;
+using relay::kPollInterval;
+using relay::kStopSendingAfter;
 constexpr net::Time kPausedCheckInterval = 100ms;
 // A new process must be ready 6 s after its start; the old one may need a moment before it can hand over.
-constexpr handover::Limit kTakeoverTimeout = 5s;
+constexpr handover::Timeout kTakeoverTimeout = 5s;
 
 static_assert(config::Config::kManagementDescriptors == door::Door::kDescriptors,
               "the configuration must reserve as many descriptors as the management listener uses");
@@ -60,7 +60,7 @@
 // Clock and wake-up timer of the relay core, on the event loop.
 class LoopClock final : public relay::Clock {
  public:
-  explicit LoopClock(net::Loop& loop) : timer_(loop, [this] { relay_->Turn(); }) {}
+  explicit LoopClock(net::Loop& loop) : timer_(loop, [this] { relay_->ProcessEvents(); }) {}
   void Attach(relay::Relay& relay) { relay_ = &relay; }
   relay::Time Now() const override { return net::Loop::Now(); }
   relay::Time UnixNow() const override { return net::Loop::UnixNow(); }
@@ -78,15 +78,15 @@
 }
 
 // The relay process: owns all components and reacts to phases, signals and operators.
-class Program final : public handover::Giver::Owner {
+class Program final : public handover::HandoverSender::Owner {
  public:
-  Program(const config::Config& config, Options options, handover::Start start)
+  Program(const config::Config& config, Options options, handover::StartupState start)
       : config_(config),
         options_(std::move(options)),
         start_(std::move(start)),
         phases_([this](Phase phase) { OnPhase(phase); }),
         discovery_address_(RequireAddress("discovery", config.discovery)),
-        journal_(config.state, config.disk_bytes, start_.StillOut()),
+        journal_(config.state, config.disk_bytes, start_.InFlightIds()),
         clock_(loop_),
         endpoints_(loop_, PoolLimitsOf(config), counters_),
         attempts_(
@@ -108,7 +108,7 @@
     attempts_.Attach(relay_);
     discovery_.Attach(relay_);
     notices_.Attach(relay_);
-    counters_.journal_cut_bytes = journal_.cut_bytes();
+    counters_.journal_cut_bytes = journal_.truncated_bytes();
     if (!config_.mgmt.empty()) {
       management_.emplace(loop_, RequireAddress("mgmt", config_.mgmt),
                           [this](const door::Call& call) { return HandleManagementCall(call); });
@@ -160,30 +160,31 @@
             routing::ReadList(config_.last_known_list, NamesOf(config_)).value_or(routing::List()).change;
         last_known.scope = wheathub::ListScope::kRemembered;
         const bool takes_over = start_.channel.has_value();
-        discovery_.Known(takes_over ? start_.estate.table.revision : last_known.revision);
-        if (takes_over) attempts_.TakeOver(std::move(*start_.channel), start_.estate.out);
-        relay_.Recover(last_known, takes_over ? &start_.estate : nullptr);
-        endpoints_.TakeWaits(start_.estate);
+        discovery_.Known(takes_over ? start_.state.routing_table.revision : last_known.revision);
+        if (takes_over) attempts_.TakeOver(std::move(*start_.channel), start_.state.in_flight);
+        relay_.Recover(last_known, takes_over ? &start_.state : nullptr);
+        endpoints_.TakeWaits(start_.state);
         std::optional<wheathub::ListLease::Inherited> lease;
-        if (takes_over) lease = {start_.estate.list_valid_until};
+        if (takes_over) lease = {start_.state.list_valid_until};
         discovery_.Start(ListOptionsOf(config_), ~config_.seed, lease);
         if (takes_over) {
           std::cout << config_.name << ": took over " << start_.clients.size() << " clients and "
-                    << start_.estate.out.size() << " attempts that go on in the old process" << std::endl;
+                    << start_.state.in_flight.size() << " attempts that go on in the old process"
+                    << std::endl;
         }
         std::cout << config_.name << ": " << counters_.recovered << " messages and "
                   << counters_.recovered_notices << " notices recovered from the journal, "
-                  << journal_.cut_bytes() << " bytes of incomplete records cut" << std::endl;
+                  << journal_.truncated_bytes() << " bytes of incomplete records cut" << std::endl;
         break;
       }
       case Phase::kServing:
         // Opened only now: a client that can connect is answered, and PONG must mean that the relay is ready.
         if (clients_) {
-          clients_->OpenDoor();
+          clients_->StartListening();
         } else {
           clients_.emplace(loop_, RequireAddress("listen", config_.listen), config_.listen_fd,
                            config_.max_clients(), relay_, counters_, [this] { return CountersText(); });
-          for (const client::Passed& client : start_.clients) clients_->TakeUp(client);
+          for (const client::ClientState& client : start_.clients) clients_->RestoreClient(client);
           start_.clients.clear();
           if (config_.listen_fd >= 0) OfferHandover();
         }
@@ -194,14 +195,14 @@
         [[fallthrough]];
       case Phase::kDraining:
         drain_started_at_ = net::Loop::Now();
-        progress_timer_.After(kDoorOpen);
+        progress_timer_.After(kKeepAccepting);
         break;
       case Phase::kSettling:
-        relay_.Settle();
-        if (clients_) clients_->SendAway();
+        relay_.StopSending();
+        if (clients_) clients_->CloseWhenIdle();
         break;
-      case Phase::kGiven:
-        progress_timer_.After(kLookEach);
+      case Phase::kHandedOver:
+        progress_timer_.After(kPollInterval);
         break;
       case Phase::kStopped:
         loop_.Stop();
@@ -213,19 +214,20 @@
   // attempts, then ends the process. Once no work is left and clients are quiet, the later steps follow
   // without waiting.
   void CheckProgress() {
-    if (phases_.now() == Phase::kServing) return;  // resumed
-    if (phases_.now() == Phase::kGiven) return CheckHandedOver();
+    if (phases_.current() == Phase::kServing) return;  // resumed
+    if (phases_.current() == Phase::kHandedOver) return CheckHandedOver();
     const net::Time elapsed = net::Loop::Now() - drain_started_at_;
     drain_ms_ = elapsed / 1ms;
-    if (!std::exchange(listener_closed_, true)) clients_->CloseDoor();
-    if (phases_.now() == Phase::kPaused) return CheckPaused(elapsed);
-    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->quiet_since());
-    const bool empty = relay_.done() && relay_.out() == 0 && quiet_time >= kDoorOpen;
-    if (empty || elapsed >= kSettleAt) phases_.Enter(Phase::kSettling);
+    if (!std::exchange(listener_closed_, true)) clients_->StopListening();
+    if (phases_.current() == Phase::kPaused) return CheckPaused(elapsed);
+    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
+    const bool empty = relay_.done() && relay_.in_flight() == 0 && quiet_time >= kKeepAccepting;
+    if (empty || elapsed >= kStopSendingAfter) phases_.Enter(Phase::kSettling);
     // Requests that clients have begun are still answered, and the answers are still written, until kStopAt.
-    const bool settled = phases_.now() == Phase::kSettling && relay_.out() == 0 && clients_->clients() == 0;
-    if (settled || elapsed >= kStopAt) return FinishAndStop();
-    progress_timer_.After(kLookEach);
+    const bool settled =
+        phases_.current() == Phase::kSettling && relay_.in_flight() == 0 && clients_->clients() == 0;
+    if (settled || elapsed >= kExitAfter) return FinishAndStop();
+    progress_timer_.After(kPollInterval);
   }
 
   // Ends the process. Reads endpoint answers that have already arrived, so that they are recorded: after the
@@ -237,17 +239,17 @@
 
   // An operator's drain: clients are disconnected as before an exit, but held messages keep their full time.
   void CheckPaused(net::Time elapsed) {
-    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->quiet_since());
-    if (elapsed >= kSettleAt || quiet_time >= kDoorOpen) {
+    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
+    if (elapsed >= kStopSendingAfter || quiet_time >= kKeepAccepting) {
       clients_sent_away_ = true;
-      clients_->SendAway();  // repeated: a client that was waiting for an answer may be idle by now
+      clients_->CloseWhenIdle();  // repeated: a client that was waiting for an answer may be idle by now
     }
     progress_timer_.After(kPausedCheckInterval);
   }
   // Whether a drain is complete: no client can hand in messages, and no work is left.
   bool settled() const {
-    return phases_.now() == Phase::kPaused && clients_sent_away_ && clients_->clients() == 0 &&
-           relay_.done() && relay_.out() == 0;
+    return phases_.current() == Phase::kPaused && clients_sent_away_ && clients_->clients() == 0 &&
+           relay_.done() && relay_.in_flight() == 0;
   }
 
   // ---- handover to the next process ----
@@ -260,33 +262,35 @@
       std::cerr << config_.name << ": cannot accept handover requests: " << e.what() << std::endl;
     }
   }
-  std::optional<std::string> Unable() const override {
-    if (phases_.now() == Phase::kServing) return std::nullopt;
-    return "the process that has it is " + std::string(relay::NameOf(phases_.now()));
+  std::optional<std::string> RefusalReason() const override {
+    if (phases_.current() == Phase::kServing) return std::nullopt;
+    return "the process that has it is " + std::string(relay::NameOf(phases_.current()));
   }
-  relay::Estate Freeze() override {
-    relay::Estate estate = relay_.Freeze();
-    estate.waits = endpoints_.Waits();
+  relay::HandoverState PrepareHandover() override {
+    relay::HandoverState estate = relay_.PrepareHandover();
+    estate.host_waits = endpoints_.Waits();
     estate.address_waits = endpoints_.AddressWaits();
     estate.list_valid_until = discovery_.list_valid_until();
     return estate;
   }
-  std::vector<client::Passed> Clients() const override { return clients_->passed(); }
+  std::vector<client::ClientState> Clients() const override { return clients_->ExportState(); }
   int LockFd() const override { return start_.lock->fd(); }
-  void Given() override {
-    relay_.Given([this](const std::string& id, const relay::AttemptEnd& end) { handover_->Tell(id, end); });
+  void CompleteHandover() override {
+    relay_.CompleteHandover([this](const std::string& id, const relay::AttemptResult& end) {
+      handover_->SendAttemptEnded(id, end);
+    });
     clients_.reset();
     discovery_.Stop();
     notices_.Stop();
     endpoints_.CloseAllIdle();
     control_server_.reset();
     start_.lock->Release();
-    phases_.Enter(Phase::kGiven);
+    phases_.Enter(Phase::kHandedOver);
   }
-  void CutAttempt(const std::string& id) override { relay_.CutGiven(id); }
+  void CancelAttempt(const std::string& id) override { relay_.CancelHandedOver(id); }
   // The process that took over has exited, so nobody serves. Restarts this process from the journal, unless
   // the platform has asked it to end.
-  void Orphaned() override {
+  void OnReceiverLost() override {
     if (exit_deadline_ > net::Time(0)) return;
     std::cerr << config_.name << ": the process that took over has exited: starting anew" << std::endl;
     execv("/proc/self/exe", options_.argv);
@@ -294,14 +298,14 @@
     phases_.Enter(Phase::kStopped);
   }
   void OnTerminate() {
-    if (phases_.now() == Phase::kGiven && exit_deadline_ == net::Time(0))
-      exit_deadline_ = net::Loop::Now() + kStopAt;
+    if (phases_.current() == Phase::kHandedOver && exit_deadline_ == net::Time(0))
+      exit_deadline_ = net::Loop::Now() + kExitAfter;
     phases_.Enter(Phase::kDraining);
   }
   void CheckHandedOver() {
     const bool late = exit_deadline_ > net::Time(0) && net::Loop::Now() >= exit_deadline_;
-    if (late || relay_.out() == 0) return FinishAndStop();
-    progress_timer_.After(kLookEach);
+    if (late || relay_.in_flight() == 0) return FinishAndStop();
+    progress_timer_.After(kPollInterval);
   }
 
   // ---- management calls ----
@@ -313,12 +317,12 @@
     if (takes_host == call.argument.empty())
       return call.word + (takes_host ? " takes a host's id" : " takes nothing");
     if (!takes_host) {
-      if (phases_.now() == Phase::kServing) return std::nullopt;
-      return std::string(relay::NameOf(phases_.now()));
+      if (phases_.current() == Phase::kServing) return std::nullopt;
+      return std::string(relay::NameOf(phases_.current()));
     }
-    if (phases_.now() == Phase::kGiven) return handover_->Operate(call.word, call.argument);
+    if (phases_.current() == Phase::kHandedOver) return handover_->ForwardCommand(call.word, call.argument);
     const bool excludes = call.word == "exclude";
-    const auto why = excludes ? relay_.TakeOut(call.argument) : relay_.PutBack(call.argument);
+    const auto why = excludes ? relay_.ExcludeHost(call.argument) : relay_.IncludeHost(call.argument);
     std::cout << config_.name << ": " << call.word << " " << call.argument << ": " << why.value_or("done")
               << std::endl;
     return why;
@@ -333,11 +337,11 @@
       if (const auto why = Reload()) return control::ErrorAnswer(*why);
       if (request.contains("stamp")) options_.stamp = control::TextOf(request, "stamp");
     } else if (op == "drain") {
-      if (phases_.now() > Phase::kPaused) return control::ErrorAnswer("is ending already");
-      if (phases_.now() < Phase::kServing) return control::ErrorAnswer("is not serving yet");
+      if (phases_.current() > Phase::kPaused) return control::ErrorAnswer("is ending already");
+      if (phases_.current() < Phase::kServing) return control::ErrorAnswer("is not serving yet");
       phases_.Enter(Phase::kPaused);
     } else if (op == "resume") {
-      if (phases_.now() > Phase::kPaused) return control::ErrorAnswer("is ending already");
+      if (phases_.current() > Phase::kPaused) return control::ErrorAnswer("is ending already");
       try {
         phases_.Resume();
       } catch (const std::exception& e) {
@@ -356,34 +360,35 @@
     control::Json status = {{"ok", true},
                             {"name", config_.name},
                             {"pid", getpid()},
-                            {"phase", relay::NameOf(phases_.now())},
+                            {"phase", relay::NameOf(phases_.current())},
                             {"settled", settled()},
                             {"stamp", options_.stamp},
                             {"state", config_.state},
                             {"listen", config_.listen},
                             {"clients", clients_ ? clients_->clients() : 0},
                             {"held", relay_.held()},
-                            {"out", relay_.out()}};
+                            {"out", relay_.in_flight()}};
     const relay::Counters& counters = counters_;
-    status["counters"] = {{"authorisations", counters.messages},
-                          {"taken_on", counters.taken_on},
-                          {"busy", counters.busy_by_module + counters.busy_full + counters.busy_journal},
-                          {"delivered", counters.delivered},
-                          {"undeliverable", counters.undeliverable},
-                          {"deferred", counters.deferred},
-                          {"recovered", counters.recovered},
-                          {"reloads", counters.reloads}};
+    status["counters"] = {
+        {"authorisations", counters.messages},
+        {"taken_on", counters.accepted},
+        {"busy", counters.rejected_by_decider + counters.rejected_at_limit + counters.rejected_by_journal},
+        {"delivered", counters.delivered},
+        {"undeliverable", counters.undeliverable},
+        {"deferred", counters.deferred},
+        {"recovered", counters.recovered},
+        {"reloads", counters.reloads}};
     return status;
   }
 
   // Applies the configuration file again. If it can't be used, the running configuration stays in force and
   // the reason is logged and returned.
   std::optional<std::string> Reload() {
-    if (phases_.now() == Phase::kGiven) return "is given over";
+    if (phases_.current() == Phase::kHandedOver) return "is given over";
     try {
       config::Config next = config::Reload(config_);
       const net::Address discovery_address = RequireAddress("discovery", next.discovery);
-      relay_.Renew(next.settings);  // throws before anything has changed
+      relay_.UpdateSettings(next.settings);  // throws before anything has changed
       for (const std::string& key : config::KeysNeedingRestart(config_, next)) {
         std::cout << config_.name << ": reload: " << key << " stays as it is until a restart" << std::endl;
       }
@@ -397,7 +402,7 @@
       counters_.reloads += 1;
       std::cout << config_.name << ": reloaded, discovery at " << config_.discovery << std::endl;
       endpoints_.SetLimits(PoolLimitsOf(config_));
-      if (clients_) clients_->SetMost(config_.max_clients());
+      if (clients_) clients_->SetMaxClients(config_.max_clients());
       if (old_discovery == config_.discovery) return std::nullopt;
       discovery_.MoveTo({discovery_address, config_.discovery});
       notices_.MoveTo(discovery_address, config_.discovery);
@@ -410,8 +415,8 @@
   }
 
   std::string CountersText() const {
-    return "phase=" + std::string(relay::NameOf(phases_.now())) + "\nheld=" + std::to_string(relay_.held()) +
-           "\nout=" + std::to_string(relay_.out()) +
+    return "phase=" + std::string(relay::NameOf(phases_.current())) +
+           "\nheld=" + std::to_string(relay_.held()) + "\nout=" + std::to_string(relay_.in_flight()) +
            "\njournal_bytes=" + std::to_string(journal_.file_bytes()) +
            "\ndrain_ms=" + std::to_string(drain_ms_) +
            "\nlist_age_ms=" + std::to_string(discovery_.age() / 1ms) + "\n" + counters_.Text();
@@ -420,19 +425,19 @@
 
   config::Config config_;
   Options options_;
-  handover::Start start_;  // the folder lock, and the state of another process until it is applied
+  handover::StartupState start_;  // the folder lock, and the state of another process until it is applied
   relay::Counters counters_;
   net::Loop loop_;
-  relay::Phases phases_;
+  relay::PhaseMachine phases_;
   net::Address discovery_address_;
   journal::Journal journal_;
   LoopClock clock_;
   endpoint::Pool endpoints_;
-  handover::Attempts attempts_;
+  handover::TakeoverTransport attempts_;
   routing::Discovery discovery_;
   notice::Poster notices_;
   relay::Relay relay_;
-  std::optional<client::Clients> clients_;
+  std::optional<client::ClientServer> clients_;
   net::Signal terminate_signal_, interrupt_signal_, report_signal_, reload_signal_;
   net::Timer progress_timer_;
   net::Time drain_started_at_{0};
@@ -442,14 +447,14 @@
   bool clients_sent_away_ = false;
   std::optional<control::Server> control_server_;
   std::optional<door::Door> management_;
-  std::optional<handover::OldProcess> handover_;
+  std::optional<handover::HandoverServer> handover_;
 };
 
 // Locks the state folder, or takes over from the process that has it. Before a handover it checks everything
 // that could keep this process from starting, because nobody would serve if it failed afterwards.
-handover::Start LockOrTakeOver(const config::Config& config) {
+handover::StartupState LockOrTakeOver(const config::Config& config) {
   if (config.listen_fd < 0) {
-    handover::Start start;
+    handover::StartupState start;
     start.lock = std::make_unique<journal::FolderLock>(config.state);
     return start;
   }
@@ -464,7 +469,7 @@
     net::Loop loop;
     net::Listener(loop, RequireAddress("mgmt", config.mgmt), [](int fd) { close(fd); });
   }
-  return handover::Take(config.state, kTakeoverTimeout);
+  return handover::AcquireState(config.state, kTakeoverTimeout);
 }
 
 // Checks a configuration file without starting anything. Returns the exit code, after printing one line.
--- a/src/notice/notice.hpp
+++ b/src/notice/notice.hpp
@@ -14,7 +14,7 @@
 
 namespace oxbowspread::notice {
 
-class Poster final : public relay::Notices,
+class Poster final : public relay::NoticeSender,
                      private net::Connection::Handler,
                      private proto::HttpResponseParser::Handler {
  public:
--- a/tests/relay/door_test.cpp
+++ b/tests/relay/door_test.cpp
@@ -68,7 +68,7 @@
 TEST_CASE("an excluded host stays draining whatever discovery lists for it") {
   using wheathub::Lifecycle;
   using wheathub::ListScope;
-  relay::Table table;
+  relay::RoutingTable table;
   const auto host = [](const std::string& id, const std::string& address, Lifecycle state) {
     relay::Host result;
     result.info.id = id;
@@ -77,10 +77,10 @@
     return result;
   };
   const auto apply = [&](ListScope scope, const relay::Host& listed) {
-    return table.Adopt({scope, 1, {listed}}).hosts.at(0);
+    return table.Apply({scope, 1, {listed}}).hosts.at(0);
   };
   apply(ListScope::kAll, host("a", "1", Lifecycle::kUp));
-  CHECK(table.TakeOut("a").hosts.at(0).info.lifecycle == Lifecycle::kDraining);
+  CHECK(table.ExcludeHost("a").hosts.at(0).info.lifecycle == Lifecycle::kDraining);
   const relay::Host moved = apply(ListScope::kChanges, host("a", "2", Lifecycle::kUp));
   CHECK(moved.info.lifecycle == Lifecycle::kDraining);
   CHECK(moved.address == "2");
@@ -90,11 +90,11 @@
   CHECK(apply(ListScope::kChanges, host("a", "3", Lifecycle::kUp)).info.lifecycle == Lifecycle::kDraining);
   CHECK(apply(ListScope::kAll, host("a", "3", Lifecycle::kUp)).info.lifecycle == Lifecycle::kDraining);
   CHECK(table.Listed().hosts.at(0).info.lifecycle == Lifecycle::kUp);
-  const relay::RoutingChange back = table.PutBack("a");
+  const relay::RoutingChange back = table.IncludeHost("a");
   CHECK(back.hosts.at(0).info.lifecycle == Lifecycle::kUp);
   CHECK(back.hosts.at(0).address == "3");
   CHECK(apply(ListScope::kAll, host("b", "4", Lifecycle::kUp)).info.lifecycle == Lifecycle::kUp);
-  CHECK(table.TakeOut("a").hosts.empty());  // no longer listed, so nothing changes
+  CHECK(table.ExcludeHost("a").hosts.empty());  // no longer listed, so nothing changes
 }
 
 TEST_CASE("a journal truncated at any byte keeps the exclusions and inclusions before the cut") {
@@ -105,11 +105,11 @@
   std::vector<std::uintmax_t> record_ends;
   {
     journal::Journal journal(folder, 1'000'000);
-    REQUIRE(journal.TakeOut("a"));
+    REQUIRE(journal.ExcludeHost("a"));
     record_ends.push_back(size());
-    REQUIRE(journal.TakeOut("b"));
+    REQUIRE(journal.ExcludeHost("b"));
     record_ends.push_back(size());
-    REQUIRE(journal.PutBack("a"));
+    REQUIRE(journal.IncludeHost("a"));
     record_ends.push_back(size());
   }
   std::ostringstream file_bytes;
@@ -119,15 +119,16 @@
     std::ofstream(path, std::ios::binary) << file_bytes.str().substr(0, cut);
     const auto whole_records = std::count_if(record_ends.begin(), record_ends.end(),
                                              [&](auto record_end) { return record_end <= cut; });
-    CHECK(journal::Journal(folder, 1'000'000).out() == expected.at(static_cast<std::size_t>(whole_records)));
-    CHECK(journal::Journal(folder, 1'000'000).out() ==
+    CHECK(journal::Journal(folder, 1'000'000).excluded_hosts() ==
+          expected.at(static_cast<std::size_t>(whole_records)));
+    CHECK(journal::Journal(folder, 1'000'000).excluded_hosts() ==
           expected.at(static_cast<std::size_t>(whole_records)));  // the file that the first one rewrote
   }
   journal::Journal full_journal(folder, 1'000'000);
-  for (std::size_t i = full_journal.out().size(); i < journal::Journal::kMostOut; ++i) {
-    CHECK(full_journal.TakeOut("host-" + std::to_string(i)));
+  for (std::size_t i = full_journal.excluded_hosts().size(); i < journal::Journal::kMaxExcludedHosts; ++i) {
+    CHECK(full_journal.ExcludeHost("host-" + std::to_string(i)));
   }
-  CHECK_FALSE(full_journal.TakeOut("one-more"));
+  CHECK_FALSE(full_journal.ExcludeHost("one-more"));
   std::filesystem::remove_all(folder);
 }
 
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -59,28 +59,28 @@
 };
 
 // Plays the new process: receives packets until that phase is reached and answers them as a new process does.
-Taker ReceiveUntil(Channel& channel, Taker::Phase phase) {
-  REQUIRE(channel.Send(Ask()));
-  Taker receiver;
+HandoverReceiver ReceiveUntil(Channel& channel, HandoverReceiver::Phase phase) {
+  REQUIRE(channel.Send(HandoverRequest()));
+  HandoverReceiver receiver;
   while (receiver.phase() < phase) {
     auto received = channel.Receive(2s);
     REQUIRE(received);
     const auto answer = receiver.Feed(std::move(received->packet), received->fd);
-    if (answer && phase == Taker::Phase::kOwner) channel.Send(*answer);
+    if (answer && phase == HandoverReceiver::Phase::kOwner) channel.Send(*answer);
   }
   return receiver;
 }
-void CloseDescriptors(const Taker& receiver) {
+void CloseDescriptors(const HandoverReceiver& receiver) {
   for (const auto& passed : receiver.clients()) close(passed.fd);
   close(receiver.lock_fd());
 }
 
 TEST_CASE("handover packets decode to what was encoded and truncated ones are rejected") {
-  relay::Estate estate;
+  relay::HandoverState estate;
   relay::Host host;
   host.info = {"a", 7, 1, 2, 3.5, wheathub::Lifecycle::kDraining};
   host.address = "127.0.0.1:1";
-  estate.table = {wheathub::ListScope::kRemembered, 41, {host}};
+  estate.routing_table = {wheathub::ListScope::kRemembered, 41, {host}};
   wheathub::Belief belief;
   belief.endpoint = "a";
   belief.route.tokens = 2.5;
@@ -89,31 +89,31 @@
   belief.health.state = wheathub::State::kDown;
   belief.health.failure_rate = 0.25;
   estate.beliefs = {belief};
-  estate.out = {{"m1", "a", 77s, 88s}};
-  estate.waits = {{"a", 1s, 2s}};
+  estate.in_flight = {{"m1", "a", 77s, 88s}};
+  estate.host_waits = {{"a", 1s, 2s}};
   estate.address_waits = {{"127.0.0.1:7", 3s}};
   estate.list_valid_until = 99s;
   std::string encoded;
-  for (const EstatePiece& piece : Pieces(estate)) encoded += piece.bytes;
-  const relay::Estate decoded = FromPieces(encoded);
-  CHECK(decoded.table.hosts.at(0).info.weight == 3.5);
-  CHECK(decoded.table.hosts.at(0).address == "127.0.0.1:1");
+  for (const StateChunk& piece : ToChunks(estate)) encoded += piece.bytes;
+  const relay::HandoverState decoded = FromChunks(encoded);
+  CHECK(decoded.routing_table.hosts.at(0).info.weight == 3.5);
+  CHECK(decoded.routing_table.hosts.at(0).address == "127.0.0.1:1");
   CHECK(decoded.beliefs.at(0).route.wait_until == 12345s);
   CHECK(decoded.beliefs.at(0).health.warm_at == 54321s);
   CHECK(decoded.beliefs.at(0).health.state == wheathub::State::kDown);
   CHECK(decoded.beliefs.at(0).health.failed_at == wheathub::EndpointBelief::kNever);
-  CHECK(decoded.out.at(0).begun == 77s);
-  CHECK(decoded.out.at(0).ends_at == 88s);
-  CHECK(decoded.waits.at(0).until == 2s);
+  CHECK(decoded.in_flight.at(0).started_at == 77s);
+  CHECK(decoded.in_flight.at(0).message_deadline == 88s);
+  CHECK(decoded.host_waits.at(0).until == 2s);
   REQUIRE(decoded.address_waits.size() == 1);
   CHECK(decoded.address_waits.front().address == "127.0.0.1:7");
   CHECK(decoded.address_waits.front().until == 3s);
   CHECK(decoded.list_valid_until == 99s);
   for (std::size_t length = 0; length < encoded.size(); ++length) {
-    CHECK_THROWS_AS(FromPieces(encoded.substr(0, length)), std::invalid_argument);
+    CHECK_THROWS_AS(FromChunks(encoded.substr(0, length)), std::invalid_argument);
   }
   const std::string packet = ToBytes(AttemptEnded{"m", {wheathub::Outcome::kRefused, false, 5s}});
-  CHECK(std::get<AttemptEnded>(FromBytes(packet)).end.told_wait == 5s);
+  CHECK(std::get<AttemptEnded>(FromBytes(packet)).result.retry_after == 5s);
   for (std::size_t length = 0; length < packet.size(); ++length) {
     CHECK_THROWS_AS(FromBytes(packet.substr(0, length)), std::invalid_argument);
   }
@@ -343,7 +343,7 @@
   SECTION("it disconnects after it has asked or in the middle of the transfer") {
     for (int packets = 0; packets < 3; ++packets) {
       auto channel = Channel::Connect(fixture.old_process.state());
-      REQUIRE(channel->Send(Ask()));
+      REQUIRE(channel->Send(HandoverRequest()));
       for (int i = 0; i < packets; ++i) {
         const auto received = channel->Receive(2s);
         REQUIRE(received);
@@ -355,9 +355,9 @@
   }
   SECTION("it has received everything and does not confirm") {
     auto channel = Channel::Connect(fixture.old_process.state());
-    const Taker receiver = ReceiveUntil(*channel, Taker::Phase::kReady);
+    const HandoverReceiver receiver = ReceiveUntil(*channel, HandoverReceiver::Phase::kReady);
     check_serves();
-    channel->Send(Taken());  // too late: the old process has withdrawn its offer
+    channel->Send(OfferAccepted());  // too late: the old process has withdrawn its offer
     CHECK_FALSE(channel->Receive(500ms));
     CloseDescriptors(receiver);
   }
@@ -365,17 +365,17 @@
     std::vector<Client> clients;
     for (int i = 0; i < 300; ++i) clients.emplace_back(fixture.old_process);
     auto channel = Channel::Connect(fixture.old_process.state());
-    REQUIRE(channel->Send(Ask()));
+    REQUIRE(channel->Send(HandoverRequest()));
     const auto asked_at = Clock::now();
     check_serves();
     CHECK(Clock::now() - asked_at < 900ms);
   }
   SECTION("it uses another protocol version") {
     auto channel = Channel::Connect(fixture.old_process.state());
-    REQUIRE(channel->Send(Ask{kVersion + 1, 1}));
+    REQUIRE(channel->Send(HandoverRequest{kProtocolVersion + 1, 1}));
     const auto received = channel->Receive(2s);
     REQUIRE(received);
-    CHECK(std::get<No>(received->packet).why.find("version") != std::string::npos);
+    CHECK(std::get<Refusal>(received->packet).reason.find("version") != std::string::npos);
   }
   SECTION("it sends bytes that are not a packet") {
     auto channel = Channel::Connect(fixture.old_process.state());
@@ -406,7 +406,7 @@
   }
   {
     auto channel = Channel::Connect(fixture.old_process.state());
-    CloseDescriptors(ReceiveUntil(*channel, Taker::Phase::kOwner));
+    CloseDescriptors(ReceiveUntil(*channel, HandoverReceiver::Phase::kOwner));
   }
   fixture.old_process.WaitForLog("starting anew");
   const HttpRequest repeat = fixture.stubs.NextCall();
@@ -430,8 +430,8 @@
   auto lock = std::make_unique<journal::FolderLock>(fixture.old_process.state());
   net::Loop loop;
   std::optional<Channel> channel;
-  auto listener = std::make_unique<Port>(loop, fixture.old_process.state(),
-                                         [&](Channel opened) { channel.emplace(std::move(opened)); });
+  auto listener = std::make_unique<ChannelListener>(
+      loop, fixture.old_process.state(), [&](Channel opened) { channel.emplace(std::move(opened)); });
   const int step = GENERATE(0, 1, 2, 3);
   CAPTURE(step);
   fixture.new_process.Spawn();
@@ -443,15 +443,15 @@
   // The old process dies 0: after the request; 1: in the middle of the transfer; 2: before its last packet;
   // 3: after it has refused.
   if (step == 1 || step == 2) {
-    for (const EstatePiece& piece : Pieces(relay::Estate())) CHECK(channel->Send(piece));
+    for (const StateChunk& piece : ToChunks(relay::HandoverState())) CHECK(channel->Send(piece));
   }
   if (step == 2) {
-    CHECK(channel->Send(Offered{0}, lock->fd()));
+    CHECK(channel->Send(OfferComplete{0}, lock->fd()));
     const auto answer = channel->Receive(2s);
     REQUIRE(answer);
-    CHECK(std::holds_alternative<Taken>(answer->packet));
+    CHECK(std::holds_alternative<OfferAccepted>(answer->packet));
   }
-  if (step == 3) CHECK(channel->Send(No{"draining"}));
+  if (step == 3) CHECK(channel->Send(Refusal{"draining"}));
   lock.reset();
   channel.reset();
   if (step != 1) listener.reset();  // otherwise its socket file stays, as a killed process leaves it
