--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -43,7 +43,7 @@
 // over.
 constexpr handover::Limit kTakeWithin = 5s;
 
-static_assert(config::Config::kDoorDescriptors == door::Door::kDescriptors,
+static_assert(config::Config::kDoorDescriptors == management::ManagementServer::kDescriptors,
               "set apart as many as the door takes");
 
 // Exit codes. 1: something that can't work, by README's rule for the start.
@@ -89,7 +89,7 @@
         endpoints_(loop_, LimitsOf(c), counters_),
         attempts_(
             loop_, endpoints_,
-            [this](const std::string& host, relay::Time wait) { endpoints_.ToldWait(host, wait); },
+            [this](const std::string& host, relay::Time wait) { endpoints_.RecordRetryAfter(host, wait); },
             [this](const std::string& word, const std::string& argument) {
               return Operate({word, argument}).value_or("");
             }),
@@ -109,7 +109,7 @@
     counters_.journal_cut_bytes = journal_.cut_bytes();
     if (!config_.mgmt.empty()) {
       door_.emplace(loop_, AddressOf("mgmt", config_.mgmt),
-                    [this](const door::Call& call) { return Operate(call); });
+                    [this](const management::Command& call) { return Operate(call); });
     }
     if (!options_.control.empty()) {
       control_.emplace(
@@ -127,8 +127,8 @@
   }
 
  private:
-  static routing::Names NamesOf(const config::Config& c) {
-    routing::Names names{c.zones, {}};
+  static routing::ZoneAndKindNames NamesOf(const config::Config& c) {
+    routing::ZoneAndKindNames names{c.zones, {}};
     for (const auto& kind : c.settings.kinds) names.kinds.push_back(kind.name);
     return names;
   }
@@ -153,13 +153,13 @@
         break;
       case Phase::kRecovering: {
         relay::RoutingChange known =
-            routing::ReadList(config_.known, NamesOf(config_)).value_or(routing::List()).change;
+            routing::ParseHostList(config_.known, NamesOf(config_)).value_or(routing::HostList()).change;
         known.scope = wheathub::ListScope::kRemembered;
         const bool taken = start_.channel.has_value();
-        discovery_.Known(taken ? start_.estate.table.revision : known.revision);
+        discovery_.SetKnownRevision(taken ? start_.estate.table.revision : known.revision);
         if (taken) attempts_.TakeOver(std::move(*start_.channel), start_.estate.out);
         relay_.Recover(known, taken ? &start_.estate : nullptr);
-        endpoints_.TakeWaits(start_.estate);
+        endpoints_.RestoreWaits(start_.estate);
         std::optional<wheathub::ListLease::Inherited> lease;
         if (taken) lease = {start_.estate.list_valid_until};
         discovery_.Start(ListOptionsOf(config_), ~config_.seed, lease);
@@ -260,7 +260,7 @@
   }
   relay::Estate Freeze() override {
     relay::Estate estate = relay_.Freeze();
-    estate.waits = endpoints_.Waits();
+    estate.waits = endpoints_.HostWaits();
     estate.address_waits = endpoints_.AddressWaits();
     estate.list_valid_until = discovery_.list_valid_until();
     return estate;
@@ -298,20 +298,20 @@
 
   // ---- the operators' door ----
 
-  std::optional<std::string> Operate(const door::Call& call) {
-    const bool takes_host = call.word == "exclude" || call.word == "include";
-    if (call.word != "readyz" && !takes_host)
-      return "no call " + call.word + ": readyz, exclude ID, include ID";
+  std::optional<std::string> Operate(const management::Command& call) {
+    const bool takes_host = call.name == "exclude" || call.name == "include";
+    if (call.name != "readyz" && !takes_host)
+      return "no call " + call.name + ": readyz, exclude ID, include ID";
     if (takes_host == call.argument.empty())
-      return call.word + (takes_host ? " takes a host's id" : " takes nothing");
+      return call.name + (takes_host ? " takes a host's id" : " takes nothing");
     if (!takes_host) {
       if (phases_.now() == Phase::kServing) return std::nullopt;
       return std::string(relay::NameOf(phases_.now()));
     }
-    if (phases_.now() == Phase::kGiven) return old_->Operate(call.word, call.argument);
-    const bool out = call.word == "exclude";
+    if (phases_.now() == Phase::kGiven) return old_->Operate(call.name, call.argument);
+    const bool out = call.name == "exclude";
     const auto why = out ? relay_.TakeOut(call.argument) : relay_.PutBack(call.argument);
-    std::cout << config_.name << ": " << call.word << " " << call.argument << ": " << why.value_or("done")
+    std::cout << config_.name << ": " << call.name << " " << call.argument << ": " << why.value_or("done")
               << std::endl;
     return why;
   }
@@ -390,8 +390,8 @@
       endpoints_.SetLimits(LimitsOf(config_));
       if (clients_) clients_->SetMost(config_.most_clients());
       if (old == config_.discovery) return std::nullopt;
-      discovery_.MoveTo({discovery, config_.discovery});
-      notices_.MoveTo(discovery, config_.discovery);
+      discovery_.SetServer({discovery, config_.discovery});
+      notices_.SetServer(discovery, config_.discovery);
     } catch (const std::exception& e) {
       counters_.reloads_refused += 1;
       std::cerr << config_.name << ": reload refused: " << e.what() << std::endl;
@@ -405,7 +405,8 @@
            "\nout=" + std::to_string(relay_.out()) +
            "\njournal_bytes=" + std::to_string(journal_.file_bytes()) +
            "\ndrain_ms=" + std::to_string(drain_ms_) +
-           "\nlist_age_ms=" + std::to_string(discovery_.age() / 1ms) + "\n" + counters_.Text();
+           "\nlist_age_ms=" + std::to_string(discovery_.time_since_received() / 1ms) + "\n" +
+           counters_.Text();
   }
   void Report() const { std::cout << Text() << std::flush; }
 
@@ -420,8 +421,8 @@
   WallClock clock_;
   endpoint::Pool endpoints_;
   handover::Attempts attempts_;
-  routing::Discovery discovery_;
-  notice::Poster notices_;
+  routing::DiscoveryClient discovery_;
+  notice::HttpNoticeSender notices_;
   relay::Relay relay_;
   std::optional<client::Clients> clients_;
   net::Signal end_, interrupt_, report_, reload_;
@@ -432,7 +433,7 @@
   bool door_closed_ = false;
   bool sent_away_ = false;
   std::optional<control::Server> control_;
-  std::optional<door::Door> door_;
+  std::optional<management::ManagementServer> door_;
   std::optional<handover::OldProcess> old_;
 };
 
--- a/src/door/call.cpp
+++ b/src/door/call.cpp
@@ -2,39 +2,39 @@
 
 #include <sstream>
 
-namespace oxbowspread::door {
+namespace oxbowspread::management {
 
-std::size_t CallReader::Feed(std::string_view bytes) {
-  std::size_t taken = 0;
-  while (taken < bytes.size() && state_ == State::kMore) {
-    const char c = bytes[taken++];
+std::size_t CommandReader::Feed(std::string_view bytes) {
+  std::size_t consumed = 0;
+  while (consumed < bytes.size() && state_ == State::kIncomplete) {
+    const char c = bytes[consumed++];
     if (c == '\n') {
       OnLine();
-    } else if (line_.size() == kLongest) {
-      Bad("the line is longer than 256 bytes");
+    } else if (line_.size() == kMaxLineBytes) {
+      Fail("the line is longer than 256 bytes");
     } else {
       line_.push_back(c);
     }
   }
-  return taken;
+  return consumed;
 }
 
-void CallReader::OnLine() {
+void CommandReader::OnLine() {
   if (!line_.empty() && line_.back() == '\r') line_.pop_back();
   for (const char c : line_) {
-    if (c < ' ' || c > '~') return Bad("the line holds more than plain characters");
+    if (c < ' ' || c > '~') return Fail("the line holds more than plain characters");
   }
   std::istringstream words(line_);
   std::string more;
-  words >> call_.word >> call_.argument;
-  if (call_.word.empty()) return Bad("the line is empty");
-  if (words >> more) return Bad("a call is a word and one argument at most");
-  state_ = State::kWhole;
+  words >> command_.name >> command_.argument;
+  if (command_.name.empty()) return Fail("the line is empty");
+  if (words >> more) return Fail("a call is a word and one argument at most");
+  state_ = State::kComplete;
 }
 
-void CallReader::Bad(const char* why) {
-  state_ = State::kBad;
-  error_ = why;
+void CommandReader::Fail(const char* error) {
+  state_ = State::kInvalid;
+  error_ = error;
 }
 
-}  // namespace oxbowspread::door
+}  // namespace oxbowspread::management
--- a/src/door/call.hpp
+++ b/src/door/call.hpp
@@ -1,39 +1,39 @@
-// What an operator says at the door: one line, a word and perhaps one argument. Knows no socket.
+// Parser of operator commands: one line with a command name and at most one argument. Does no I/O.
 #pragma once
 
 #include <cstddef>
 #include <string>
 #include <string_view>
 
-namespace oxbowspread::door {
+namespace oxbowspread::management {
 
-struct Call {
-  std::string word, argument;
+struct Command {
+  std::string name, argument;
 };
 
-// Fed bytes until the line is whole or can't become one; from then on it takes none. Never throws but for
-// memory.
-class CallReader {
+// Is fed bytes until the line is complete or invalid; after that it consumes nothing. Throws nothing except
+// std::bad_alloc.
+class CommandReader {
  public:
-  enum class State { kMore, kWhole, kBad };
+  enum class State { kIncomplete, kComplete, kInvalid };
 
-  static constexpr std::size_t kLongest = 256;  // bytes of a line, its end not counted
+  static constexpr std::size_t kMaxLineBytes = 256;  // without the line end
 
-  // Takes bytes up to the line's end at most; returns how many it took.
+  // Consumes bytes up to the end of the line at most; returns the number consumed.
   std::size_t Feed(std::string_view bytes);
   State state() const { return state_; }
-  // What is wrong, for the one who called.
+  // Why the line is invalid, as text for the operator.
   const char* error() const { return error_; }
-  const Call& call() const { return call_; }  // once whole
+  const Command& command() const { return command_; }  // valid once complete
 
  private:
   void OnLine();
-  void Bad(const char* why);
+  void Fail(const char* error);
 
-  State state_ = State::kMore;
+  State state_ = State::kIncomplete;
   const char* error_ = "";
   std::string line_;
-  Call call_;
+  Command command_;
 };
 
-}  // namespace oxbowspread::door
+}  // namespace oxbowspread::management
--- a/src/door/door.cpp
+++ b/src/door/door.cpp
@@ -2,61 +2,65 @@
 
 #include <utility>
 
-namespace oxbowspread::door {
+namespace oxbowspread::management {
 
-struct Door::Caller final : net::Connection::Handler {
-  Caller(Door& d, int fd, std::uint64_t n)
-      : door(d), number(n), connection(d.loop_, fd, *this, kRing), late(d.loop_, [this] {
-          Say("error no whole line within 3 s");
-          door.Leave(*this);
+struct ManagementServer::Client final : net::Connection::Handler {
+  Client(ManagementServer& owner, int fd, std::uint64_t client_number)
+      : server(owner),
+        number(client_number),
+        connection(owner.loop_, fd, *this, kBufferBytes),
+        timeout(owner.loop_, [this] {
+          SendLine("error no whole line within 3 s");
+          server.Remove(*this);
         }) {
     connection.Prioritize();
-    late.After(kWithin);
+    timeout.After(kCommandTimeout);
   }
   void OnBytes(proto::RingBuffer& in) override {
-    while (!in.empty() && reader.state() == CallReader::State::kMore) in.Consume(reader.Feed(in.Front()));
-    in.Consume(in.size());  // what follows is nobody's; left unread it would turn the close into a reset
-    if (reader.state() == CallReader::State::kMore) return;
-    std::optional<std::string> why;
-    if (reader.state() == CallReader::State::kBad) {
-      why = reader.error();
+    while (!in.empty() && reader.state() == CommandReader::State::kIncomplete)
+      in.Consume(reader.Feed(in.Front()));
+    in.Consume(in.size());  // discards what follows the line; unread bytes would turn the close into a reset
+    if (reader.state() == CommandReader::State::kIncomplete) return;
+    std::optional<std::string> error;
+    if (reader.state() == CommandReader::State::kInvalid) {
+      error = reader.error();
     } else {
-      why = door.handler_(reader.call());
+      error = server.handler_(reader.command());
     }
-    Say(why ? "error " + *why : "done");
-    door.Leave(*this);
+    SendLine(error ? "error " + *error : "done");
+    server.Remove(*this);
   }
-  void OnClosed() override { door.Leave(*this); }
-  void Say(const std::string& line) { connection.Send(line + "\n"); }
+  void OnClosed() override { server.Remove(*this); }
+  void SendLine(const std::string& line) { connection.Send(line + "\n"); }
 
-  static constexpr std::size_t kRing = 4096;
-  Door& door;
+  static constexpr std::size_t kBufferBytes = 4096;
+  ManagementServer& server;
   std::uint64_t number;
   net::Connection connection;
-  net::Timer late;
-  CallReader reader;
+  net::Timer timeout;
+  CommandReader reader;
 };
 
-Door::Door(net::Loop& loop, const net::Address& address, Handler handler)
+ManagementServer::ManagementServer(net::Loop& loop, const net::Address& address, Handler handler)
     : loop_(loop), handler_(std::move(handler)), listener_(loop, address, [this](int fd) { Accept(fd); }) {
   listener_.Prioritize();
 }
 
-Door::~Door() = default;
+ManagementServer::~ManagementServer() = default;
 
-void Door::Accept(int fd) {
-  if (callers_.size() >= kMost) Leave(*callers_.begin()->second);
-  const std::uint64_t number = next_++;
-  callers_[number] = std::make_unique<Caller>(*this, fd, number);
+void ManagementServer::Accept(int fd) {
+  if (clients_.size() >= kMaxClients) Remove(*clients_.begin()->second);
+  const std::uint64_t number = next_number_++;
+  clients_[number] = std::make_unique<Client>(*this, fd, number);
 }
 
-void Door::Leave(Caller& caller) {
-  const auto it = callers_.find(caller.number);
-  if (it == callers_.end()) return;
-  caller.late.Stop();
-  caller.connection.Close();
+void ManagementServer::Remove(Client& client) {
+  const auto it = clients_.find(client.number);
+  if (it == clients_.end()) return;
+  client.timeout.Stop();
+  client.connection.Close();
   loop_.DestroyLater(std::move(it->second));
-  callers_.erase(it);
+  clients_.erase(it);
 }
 
-}  // namespace oxbowspread::door
+}  // namespace oxbowspread::management
--- a/src/door/door.hpp
+++ b/src/door/door.hpp
@@ -1,7 +1,9 @@
-// The operators' door: one line to a connection, one line back that begins with "done" or "error".
+// Management listener for operators: each connection sends one command line and receives one line that begins
+// with "done" or "error".
 //
-// Watched before all other sockets of the loop, with descriptors set apart for it (kMost, and two that the
-// listener holds): no load of clients makes it wait, and no caller keeps another out.
+// Its sockets are served before all others of the loop, and kDescriptors descriptors are reserved for it
+// (kMaxClients connections, and two of the listener). So commands are answered under any client load, and an
+// idle operator connection can't lock out another one.
 #pragma once
 
 #include <functional>
@@ -13,34 +15,36 @@
 #include "door/call.hpp"
 #include "net/connection.hpp"
 
-namespace oxbowspread::door {
+namespace oxbowspread::management {
 
-// Nothing when it is done, else why not, in one line. Called from the loop, must not throw, and what it
-// refers to must outlast the door.
-using Handler = std::function<std::optional<std::string>(const Call& call)>;
+// Executes a command. Returns nothing on success, otherwise the reason for the failure in one line. Called
+// from the loop; must not throw, and everything it refers to must outlive the server.
+using Handler = std::function<std::optional<std::string>(const Command& command)>;
 
-class Door {
+// Listens on the management address and executes operators' commands through the handler.
+class ManagementServer {
  public:
-  // Callers at a time: a new one takes the place of the one that has been silent the longest.
-  static constexpr std::size_t kMost = 16;
-  static constexpr std::size_t kDescriptors = kMost + 2;
+  // Connections at a time; a new one replaces the oldest.
+  static constexpr std::size_t kMaxClients = 16;
+  static constexpr std::size_t kDescriptors = kMaxClients + 2;
 
-  // Listens at once. Throws std::system_error.
-  Door(net::Loop& loop, const net::Address& address, Handler handler);
-  ~Door();
+  // Starts to listen. Throws std::system_error if the address can't be bound.
+  ManagementServer(net::Loop& loop, const net::Address& address, Handler handler);
+  ~ManagementServer();
 
  private:
-  static constexpr net::Time kWithin = std::chrono::seconds(3);  // from the connect to a whole line
-  struct Caller;
+  // From accepting the connection to a complete line.
+  static constexpr net::Time kCommandTimeout = std::chrono::seconds(3);
+  struct Client;
 
   void Accept(int fd);
-  void Leave(Caller& caller);
+  void Remove(Client& client);
 
   net::Loop& loop_;
   Handler handler_;
-  std::map<std::uint64_t, std::unique_ptr<Caller>> callers_;  // by when they came
-  std::uint64_t next_ = 1;
+  std::map<std::uint64_t, std::unique_ptr<Client>> clients_;  // by number, the oldest first
+  std::uint64_t next_number_ = 1;
   net::Listener listener_;
 };
 
-}  // namespace oxbowspread::door
+}  // namespace oxbowspread::management
--- a/src/endpoint/hosts.cpp
+++ b/src/endpoint/hosts.cpp
@@ -8,76 +8,76 @@
 
 using namespace std::chrono_literals;
 
-constexpr net::Time kForgetAfter = 5s;  // a host that left the list
+constexpr net::Time kForgetRemovedAfter = 5s;  // after it became unready; for hosts that left the list
 
 }  // namespace
 
-std::vector<std::string> Hosts::Adopt(const relay::RoutingChange& change, net::Time now) {
-  std::vector<std::string> close;
-  if (change.scope == wheathub::ListScope::kFailed) return close;
+std::vector<std::string> Hosts::Apply(const relay::RoutingChange& change, net::Time now) {
+  std::vector<std::string> close_idle;
+  if (change.scope == wheathub::ListScope::kFailed) return close_idle;
   if (change.scope != wheathub::ListScope::kChanges) {
-    std::set<std::string_view> named;
-    for (const relay::Host& host : change.hosts) named.insert(host.info.id);
+    std::set<std::string_view> listed_ids;
+    for (const relay::Host& host : change.hosts) listed_ids.insert(host.info.id);
     for (auto& [id, host] : hosts_) {
-      if (named.count(id) > 0) continue;
+      if (listed_ids.count(id) > 0) continue;
       if (std::exchange(host.ready, false)) host.unready_since = now;
-      Gone(id, host, true);
+      SetRemoved(id, host, true);
     }
   }
-  for (const relay::Host& host : change.hosts) Adopt(host, now, &close);
-  return close;
+  for (const relay::Host& host : change.hosts) Apply(host, now, &close_idle);
+  return close_idle;
 }
 
-void Hosts::Adopt(const relay::Host& news, net::Time now, std::vector<std::string>* close) {
-  const std::string& id = news.info.id;
+void Hosts::Apply(const relay::Host& listed, net::Time now, std::vector<std::string>* close_idle) {
+  const std::string& id = listed.info.id;
   Host& host = hosts_[id];
-  const bool ready = news.info.lifecycle == wheathub::Lifecycle::kUp;
+  const bool ready = listed.info.lifecycle == wheathub::Lifecycle::kUp;
   if (host.ready && !ready) host.unready_since = now;
   host.ready = ready;
-  Gone(id, host, news.info.lifecycle == wheathub::Lifecycle::kRemoved);
-  host.zone = news.info.zone;
-  host.destination = news.info.destination;
-  host.kind = news.info.kind;
-  if (!news.address.empty() && news.address != host.address) {
-    if (!host.address.empty()) close->push_back(id);
-    Move(id, host, news.address);
+  SetRemoved(id, host, listed.info.lifecycle == wheathub::Lifecycle::kRemoved);
+  host.zone = listed.info.zone;
+  host.destination = listed.info.destination;
+  host.kind = listed.info.kind;
+  if (!listed.address.empty() && listed.address != host.address) {
+    if (!host.address.empty()) close_idle->push_back(id);
+    SetAddress(id, host, listed.address);
   }
-  host.known = net::ParseAddress(host.address).has_value();
-  TakeAddress(id, host, close);
-  InheritWait(id, host, now);
-  if (!ready) close->push_back(id);
+  host.owns_address = net::ParseAddress(host.address).has_value();
+  ResolveAddressOwner(id, host, close_idle);
+  ApplyAddressWait(id, host, now);
+  if (!ready) close_idle->push_back(id);
 }
 
-void Hosts::Move(const std::string& id, Host& host, const std::string& address) {
-  if (const auto it = at_address_.find(host.address); it != at_address_.end()) {
+void Hosts::SetAddress(const std::string& id, Host& host, const std::string& address) {
+  if (const auto it = ids_by_address_.find(host.address); it != ids_by_address_.end()) {
     it->second.erase(id);
-    if (it->second.empty()) at_address_.erase(it);
+    if (it->second.empty()) ids_by_address_.erase(it);
   }
   host.address = address;
-  at_address_[address].insert(id);
-  if (const auto to = net::ParseAddress(address)) host.to = *to;
+  ids_by_address_[address].insert(id);
+  if (const auto parsed = net::ParseAddress(address)) host.socket_address = *parsed;
 }
 
-void Hosts::Gone(const std::string& id, Host& host, bool gone) {
-  host.gone = gone;
-  if (gone) {
-    gone_.insert(id);
+void Hosts::SetRemoved(const std::string& id, Host& host, bool removed) {
+  host.removed = removed;
+  if (removed) {
+    removed_.insert(id);
   } else {
-    gone_.erase(id);
+    removed_.erase(id);
   }
 }
 
-// A host that has gone may still be listed when another stands at its address: what is sent there for the old
-// one would reach the new one.
-void Hosts::TakeAddress(const std::string& id, Host& host, std::vector<std::string>* close) {
-  const auto there = at_address_.find(host.address);
-  if (there == at_address_.end()) return;
-  for (const std::string& other_id : there->second) {
+// A host that no longer exists may still be listed when another one already uses its address: a call to the
+// old host would reach the new one. So the host that is ready owns the address.
+void Hosts::ResolveAddressOwner(const std::string& id, Host& host, std::vector<std::string>* close_idle) {
+  const auto at_same_address = ids_by_address_.find(host.address);
+  if (at_same_address == ids_by_address_.end()) return;
+  for (const std::string& other_id : at_same_address->second) {
     if (other_id == id) continue;
     Host& other = hosts_.at(other_id);
     if (!host.ready && !other.ready) continue;
-    (host.ready ? other : host).known = false;
-    close->push_back(host.ready ? other_id : id);
+    (host.ready ? other : host).owns_address = false;
+    close_idle->push_back(host.ready ? other_id : id);
   }
 }
 
@@ -88,112 +88,115 @@
 
 Hosts::Route Hosts::RouteOf(const std::string& id, const Host& host) const {
   const auto kind = static_cast<std::size_t>(host.kind);
-  return {host.destination, kind < apart_.size() && apart_[kind] ? id : std::string()};
+  return {host.destination,
+          kind < separate_routes_by_kind_.size() && separate_routes_by_kind_[kind] ? id : std::string()};
 }
 
-void Hosts::Bind(const std::string& id, const Host& host, net::Time until) {
-  net::Time& bound = waits_[RouteOf(id, host)];
-  bound = std::max(bound, until);
+void Hosts::ExtendWait(const std::string& id, const Host& host, net::Time until) {
+  net::Time& wait_end = route_waits_[RouteOf(id, host)];
+  wait_end = std::max(wait_end, until);
 }
 
-std::vector<std::string> Hosts::BindAddress(const net::Address& address, net::Time until) {
-  net::Time& bound = address_waits_[KeyOf(address)];
-  bound = std::max(bound, until);
+std::vector<std::string> Hosts::ExtendAddressWait(const net::Address& address, net::Time until) {
+  net::Time& wait_end = address_waits_[KeyOf(address)];
+  wait_end = std::max(wait_end, until);
   std::vector<std::string> ids;
-  const auto there = at_address_.find(net::AddressText(address));
-  if (there == at_address_.end()) return ids;
-  for (const std::string& id : there->second) {
+  const auto at_same_address = ids_by_address_.find(net::AddressText(address));
+  if (at_same_address == ids_by_address_.end()) return ids;
+  for (const std::string& id : at_same_address->second) {
     const Host& host = hosts_.at(id);
-    if (!host.known) continue;
-    Bind(id, host, until);
+    if (!host.owns_address) continue;
+    ExtendWait(id, host, until);
     ids.push_back(id);
   }
   return ids;
 }
 
-// The list may name a host long after it has taken over an address: a wait that it told meanwhile was told to
-// a call for the host before it, under whose id alone it would bind nobody who stands there.
-void Hosts::InheritWait(const std::string& id, const Host& host, net::Time now) {
-  if (!host.known) return;
-  const auto wait = address_waits_.find(KeyOf(host.to));
-  if (wait != address_waits_.end() && wait->second > now) Bind(id, host, wait->second);
+// The routing table may name a host long after the host has taken over an address. A wait that it requested
+// in the meantime was recorded for the previous host at the address, so it has to be applied to the new one
+// too.
+void Hosts::ApplyAddressWait(const std::string& id, const Host& host, net::Time now) {
+  if (!host.owns_address) return;
+  const auto wait = address_waits_.find(KeyOf(host.socket_address));
+  if (wait != address_waits_.end() && wait->second > now) ExtendWait(id, host, wait->second);
 }
 
-std::vector<std::string> Hosts::ToldWait(const std::string& id, const net::Address& at, net::Time wait,
-                                         net::Time now) {
-  std::erase_if(waits_, [now](const auto& w) { return w.second <= now; });
+std::vector<std::string> Hosts::RecordRetryAfter(const std::string& id, const net::Address& address,
+                                                 net::Time wait, net::Time now) {
+  std::erase_if(route_waits_, [now](const auto& w) { return w.second <= now; });
   std::erase_if(address_waits_, [now](const auto& w) { return w.second <= now; });
-  if (const Host* const host = Find(id)) Bind(id, *host, now + wait);
-  std::vector<std::string> ids = BindAddress(at, now + wait);
+  if (const Host* const host = Find(id)) ExtendWait(id, *host, now + wait);
+  std::vector<std::string> ids = ExtendAddressWait(address, now + wait);
   std::erase(ids, id);
   return ids;
 }
 
-std::vector<std::string> Hosts::ToldWait(const std::string& id, net::Time wait, net::Time now) {
+std::vector<std::string> Hosts::RecordRetryAfter(const std::string& id, net::Time wait, net::Time now) {
   const Host* const host = Find(id);
-  return host == nullptr ? std::vector<std::string>() : ToldWait(id, host->to, wait, now);
+  return host == nullptr ? std::vector<std::string>() : RecordRetryAfter(id, host->socket_address, wait, now);
 }
 
-net::Time Hosts::WaitUntil(const std::string& id) const {
+net::Time Hosts::BlockedUntil(const std::string& id) const {
   const Host* const host = Find(id);
-  const auto wait = host == nullptr ? waits_.end() : waits_.find(RouteOf(id, *host));
-  return wait == waits_.end() ? net::Time(0) : wait->second;
+  const auto wait = host == nullptr ? route_waits_.end() : route_waits_.find(RouteOf(id, *host));
+  return wait == route_waits_.end() ? net::Time(0) : wait->second;
 }
 
-void Hosts::TakeWait(const relay::HostWait& wait) {
-  if (const Host* const host = Find(wait.host)) Bind(wait.host, *host, wait.until);
+void Hosts::RestoreWait(const relay::HostWait& wait) {
+  if (const Host* const host = Find(wait.host)) ExtendWait(wait.host, *host, wait.until);
 }
 
-void Hosts::TakeWait(const relay::AddressWait& wait) {
-  if (const auto address = net::ParseAddress(wait.address)) BindAddress(*address, wait.until);
+void Hosts::RestoreWait(const relay::AddressWait& wait) {
+  if (const auto address = net::ParseAddress(wait.address)) ExtendAddressWait(*address, wait.until);
 }
 
-std::vector<relay::HostWait> Hosts::Waits(net::Time now) const {
-  std::vector<relay::HostWait> all;
+std::vector<relay::HostWait> Hosts::HostWaits(net::Time now) const {
+  std::vector<relay::HostWait> result;
   for (const auto& [id, host] : hosts_) {
-    const net::Time until = WaitUntil(id);
-    if (until > now) all.push_back({id, now, until});
+    const net::Time until = BlockedUntil(id);
+    if (until > now) result.push_back({id, now, until});
   }
-  return all;
+  return result;
 }
 
 std::vector<relay::AddressWait> Hosts::AddressWaits(net::Time now) const {
-  std::vector<relay::AddressWait> all;
+  std::vector<relay::AddressWait> result;
   for (const auto& [key, until] : address_waits_) {
     if (until <= now) continue;
     net::Address address{};
     address.sin_addr.s_addr = key.first;
     address.sin_port = key.second;
-    all.push_back({net::AddressText(address), until});
+    result.push_back({net::AddressText(address), until});
   }
-  return all;
+  return result;
 }
 
-// Drains and waits leave those that were on their way some slack, by when the list or the answer was written.
-// How long ago that was is not known here, and such a call would most likely be refused: none is used.
-bool Hosts::MayWrite(const std::string& id, net::Time write_before, net::Time now) const {
+// Hosts still accept calls for a short time after a drain or a wait was written. That tolerance is not used:
+// the time of writing is not known here, and the call would most likely be refused.
+bool Hosts::MayWrite(const std::string& id, net::Time write_deadline, net::Time now) const {
   const Host* const host = Find(id);
-  if (host == nullptr || !host->known || !host->ready) return false;
-  if (now < WaitUntil(id)) return false;
-  return now < write_before && now < list_valid_until_;
+  if (host == nullptr || !host->owns_address || !host->ready) return false;
+  if (now < BlockedUntil(id)) return false;
+  return now < write_deadline && now < list_valid_until_;
 }
 
-std::vector<std::string> Hosts::LongGone(net::Time now) const {
-  std::vector<std::string> all;
-  for (const std::string& id : gone_) {
-    if (now - hosts_.at(id).unready_since > kForgetAfter) all.push_back(id);
+std::vector<std::string> Hosts::ExpiredHosts(net::Time now) const {
+  std::vector<std::string> result;
+  for (const std::string& id : removed_) {
+    if (now - hosts_.at(id).unready_since > kForgetRemovedAfter) result.push_back(id);
   }
-  return all;
+  return result;
 }
 
 void Hosts::Forget(const std::string& id) {
   const auto it = hosts_.find(id);
   if (it == hosts_.end()) return;
-  if (const auto there = at_address_.find(it->second.address); there != at_address_.end()) {
-    there->second.erase(id);
-    if (there->second.empty()) at_address_.erase(there);
+  if (const auto at_same_address = ids_by_address_.find(it->second.address);
+      at_same_address != ids_by_address_.end()) {
+    at_same_address->second.erase(id);
+    if (at_same_address->second.empty()) ids_by_address_.erase(at_same_address);
   }
-  gone_.erase(id);
+  removed_.erase(id);
   hosts_.erase(it);
 }
 
--- a/src/endpoint/hosts.hpp
+++ b/src/endpoint/hosts.hpp
@@ -1,5 +1,6 @@
-// What is known of the endpoints, and what may be written to each of them when: drains, told waits, and
-// addresses that pass from one host to another. Knows no socket and no clock.
+// Table of the known hosts. Decides when a call may be written to a host, from its state in the routing
+// table, the waits that hosts asked for (Retry-After), and the current owner of its address. Has no clock and
+// does no I/O.
 #pragma once
 
 #include <map>
@@ -15,75 +16,84 @@
 
 namespace oxbowspread::endpoint {
 
+// A host as discovery lists it, with the state that is derived from it.
 struct Host {
   std::string address;
-  net::Address to{};
-  bool known = false;  // the address can be read, and no other host has taken it over
+  net::Address socket_address{};
+  bool owns_address = false;  // the address can be parsed, and no other host has taken it over
   int zone = 0;
-  bool ready = false, gone = false;
+  bool ready = false, removed = false;  // removed: missing from the last full list, or listed as removed
   net::Time unready_since{0};
   wheathub::DestinationId destination = 0;
   int kind = 0;
 };
 
+// The table of known hosts. Times are microseconds of the clock of net::Loop::Now.
 class Hosts {
  public:
-  // For each kind, by the list's number of it, whether its hosts are routes apart: a wait that such a host
-  // tells binds it alone, any other binds all hosts of its destination.
-  void SetKinds(std::vector<bool> apart) { apart_ = std::move(apart); }
-  // Takes up what discovery told at `now`, which never goes back. Returns the ids of the hosts to which no
-  // idle line may be kept, a host's possibly more than once; a failed fetch changes nothing.
-  std::vector<std::string> Adopt(const relay::RoutingChange& change, net::Time now);
+  // For each destination kind, by its index in the routing table, whether each of its hosts is a separate
+  // route. A wait requested by such a host blocks only that host; otherwise it blocks all hosts of the
+  // destination.
+  void SetSeparateRoutes(std::vector<bool> separate_routes_by_kind) {
+    separate_routes_by_kind_ = std::move(separate_routes_by_kind);
+  }
+  // Applies a change of the routing table received at `now`, which must not decrease. Returns the ids of the
+  // hosts whose idle connections must be closed, possibly with duplicates. A failed fetch changes nothing.
+  std::vector<std::string> Apply(const relay::RoutingChange& change, net::Time now);
 
-  // Null where no list so far named it, or it was forgotten. Good until the next Adopt or Forget.
+  // Null if no list has named the host, or it was forgotten. Valid until the next Apply or Forget.
   const Host* Find(const std::string& id) const;
-  // A call to that host was answered at `now`, at that address, with a wait. It binds the host's route and
-  // every other host that stands at the address, now or until the wait is over: which of them answered can't
-  // be told, as lists lag behind. The longest wait counts. Returns the ids of those other hosts.
-  std::vector<std::string> ToldWait(const std::string& id, const net::Address& at, net::Time wait,
-                                    net::Time now);
-  // The same where the host stands by now. Passed over for a host that isn't known.
-  std::vector<std::string> ToldWait(const std::string& id, net::Time wait, net::Time now);
-  // Until when nothing may be sent to it by what was told so far; 0 if no wait was told.
-  net::Time WaitUntil(const std::string& id) const;
-  // As another process had it.
-  void TakeWait(const relay::HostWait& wait);
-  void TakeWait(const relay::AddressWait& wait);
-  std::vector<relay::HostWait> Waits(net::Time now) const;
+  // Records that a call to that host at that address was answered at `now` with a request to wait. The wait
+  // blocks the host's route and every other host that has the address now or gets it before the wait ends:
+  // the routing table lags, so any of them may have answered. The longest wait counts. Returns the ids of
+  // those other hosts.
+  std::vector<std::string> RecordRetryAfter(const std::string& id, const net::Address& address,
+                                            net::Time wait, net::Time now);
+  // The same for the host's current address. Ignored if the host is unknown.
+  std::vector<std::string> RecordRetryAfter(const std::string& id, net::Time wait, net::Time now);
+  // The end of the wait that blocks the host; 0 without one.
+  net::Time BlockedUntil(const std::string& id) const;
+  // Restores a wait that another process recorded.
+  void RestoreWait(const relay::HostWait& wait);
+  void RestoreWait(const relay::AddressWait& wait);
+  std::vector<relay::HostWait> HostWaits(net::Time now) const;
   std::vector<relay::AddressWait> AddressWaits(net::Time now) const;
-  // The list may be used until that moment.
-  void ListValidUntil(net::Time moment) { list_valid_until_ = moment; }
-  // Whether a call may be written to it: never to one that has lost its address or drains, nor to one whose
-  // route was told to wait, nothing once the list is too old, and nothing at `write_before` or later.
-  bool MayWrite(const std::string& id, net::Time write_before, net::Time now) const;
+  // No call may be written at `moment` or later, because the routing table is too old then.
+  void SetListValidUntil(net::Time moment) { list_valid_until_ = moment; }
+  // Whether a call may be written to the host. It may not if the host has lost its address or is not ready,
+  // its route is blocked by a wait, the routing table is too old, or `write_deadline` has been reached.
+  bool MayWrite(const std::string& id, net::Time write_deadline, net::Time now) const;
 
-  // Those that left the list so long ago that nothing comes of them any more, by id.
-  std::vector<std::string> LongGone(net::Time now) const;
+  // Ids of the hosts that left the routing table so long ago that they can be forgotten.
+  std::vector<std::string> ExpiredHosts(net::Time now) const;
+  // Removes the host from the table; the waits of its route and address remain.
   void Forget(const std::string& id);
 
   std::size_t size() const { return hosts_.size(); }
 
  private:
-  using Route = std::pair<wheathub::DestinationId, std::string>;  // a host's id where it is a route apart
+  // The host id is empty unless the host is a separate route.
+  using Route = std::pair<wheathub::DestinationId, std::string>;
   using AddressKey = std::pair<in_addr_t, in_port_t>;
 
   static AddressKey KeyOf(const net::Address& address) { return {address.sin_addr.s_addr, address.sin_port}; }
   Route RouteOf(const std::string& id, const Host& host) const;
-  void Bind(const std::string& id, const Host& host, net::Time until);
-  std::vector<std::string> BindAddress(const net::Address& address, net::Time until);
-  void InheritWait(const std::string& id, const Host& host, net::Time now);
-  void Adopt(const relay::Host& news, net::Time now, std::vector<std::string>* close);
-  void TakeAddress(const std::string& id, Host& host, std::vector<std::string>* close);
-  void Gone(const std::string& id, Host& host, bool gone);
-  void Move(const std::string& id, Host& host, const std::string& address);
+  void ExtendWait(const std::string& id, const Host& host, net::Time until);
+  std::vector<std::string> ExtendAddressWait(const net::Address& address, net::Time until);
+  void ApplyAddressWait(const std::string& id, const Host& host, net::Time now);
+  void Apply(const relay::Host& listed, net::Time now, std::vector<std::string>* close_idle);
+  void ResolveAddressOwner(const std::string& id, Host& host, std::vector<std::string>* close_idle);
+  void SetRemoved(const std::string& id, Host& host, bool removed);
+  void SetAddress(const std::string& id, Host& host, const std::string& address);
 
   std::map<std::string, Host> hosts_;
-  std::map<std::string, std::set<std::string>> at_address_;  // ids: one, but while an address changes hands
-  std::set<std::string> gone_;
-  std::vector<bool> apart_;  // by kind
+  // Several ids only while an address passes to another host.
+  std::map<std::string, std::set<std::string>> ids_by_address_;
+  std::set<std::string> removed_;
+  std::vector<bool> separate_routes_by_kind_;
   net::Time list_valid_until_ = net::Time::max();
-  // Until when; those over are dropped as new ones come.
-  std::map<Route, net::Time> waits_;
+  // End times; expired entries are removed when a new wait is recorded.
+  std::map<Route, net::Time> route_waits_;
   std::map<AddressKey, net::Time> address_waits_;
 };
 
--- a/src/endpoint/line.cpp
+++ b/src/endpoint/line.cpp
@@ -11,174 +11,179 @@
 using wheathub::Outcome;
 using namespace std::chrono_literals;
 
-// From its first byte an answer must be whole within this: one that isn't is spoilt, and the attempt must not
-// wait for its deadline.
-constexpr net::Time kAnswerWithin = 400ms;
-constexpr std::uint64_t kLongestAnswer = 128 * 1024;  // a body holds 64 KiB at most
-constexpr double kLongestWaitS = 3600;
+// Time from the first byte of a response to its end. A response that takes longer is invalid, and the attempt
+// ends then instead of at its timeout.
+constexpr net::Time kResponseTimeout = 400ms;
+constexpr std::uint64_t kMaxResponseBytes = 128 * 1024;  // a body has at most 64 KiB
+constexpr double kMaxRetryAfterS = 3600;
 
 }  // namespace
 
-relay::AttemptEnd MeaningOf(const proto::HttpResponseHead& head) {
-  relay::AttemptEnd end;
+relay::AttemptEnd InterpretResponse(const proto::HttpResponseHead& head) {
+  relay::AttemptEnd result;
   switch (head.status) {
     case 200:
-      return end;
+      return result;
     case 410:
-      end.outcome = Outcome::kNotSent;
-      end.over = true;
-      return end;
+      result.outcome = Outcome::kNotSent;
+      result.over = true;
+      return result;
     case 429:
     case 503: {
-      const std::string* slots = head.Find("x-over-slots");
-      end.outcome = slots != nullptr && *slots == "1" ? Outcome::kNotSent : Outcome::kRefused;
-      const std::string* after = head.Find("retry-after");
+      const std::string* over_slots = head.Find("x-over-slots");
+      result.outcome = over_slots != nullptr && *over_slots == "1" ? Outcome::kNotSent : Outcome::kRefused;
+      const std::string* retry_after = head.Find("retry-after");
       double seconds = 0;
-      if (after != nullptr) std::from_chars(after->data(), after->data() + after->size(), seconds);
+      if (retry_after != nullptr)
+        std::from_chars(retry_after->data(), retry_after->data() + retry_after->size(), seconds);
       if (std::isfinite(seconds) && seconds > 0) {
-        end.told_wait = net::Time(std::llround(std::min(seconds, kLongestWaitS) * 1e6));
+        result.told_wait = net::Time(std::llround(std::min(seconds, kMaxRetryAfterS) * 1e6));
       }
-      return end;
+      return result;
     }
     case 504:
-      end.outcome = Outcome::kNotSent;
-      return end;
+      result.outcome = Outcome::kNotSent;
+      return result;
     default:
-      end.outcome = Outcome::kError;
-      return end;
+      result.outcome = Outcome::kError;
+      return result;
   }
 }
 
-std::string CallText(const relay::AttemptOrder& order, net::Time left) {
-  const auto ms =
-      std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(left).count());
+std::string FormatRequest(const relay::AttemptOrder& request, net::Time time_left) {
+  const auto timeout_ms =
+      std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(time_left).count());
   std::string text =
-      "POST /inbox HTTP/1.1\r\nHost: " + order.host + "\r\nX-Request-ID: " + order.attempt.id + "\r\n";
-  if (!order.key.empty()) text += "Idempotency-Key: " + order.key + "\r\n";
-  text += "X-Timeout: " + std::to_string(ms) + "m\r\n";
-  return text + "Content-Length: " + std::to_string(order.body.size()) + "\r\n\r\n" + order.body;
+      "POST /inbox HTTP/1.1\r\nHost: " + request.host + "\r\nX-Request-ID: " + request.attempt.id + "\r\n";
+  if (!request.key.empty()) text += "Idempotency-Key: " + request.key + "\r\n";
+  text += "X-Timeout: " + std::to_string(timeout_ms) + "m\r\n";
+  return text + "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" + request.body;
 }
 
-Line::Line(net::Loop& loop, Owner& owner, std::string host, const net::Address& address)
+EndpointConnection::EndpointConnection(net::Loop& loop, Owner& owner, std::string host,
+                                       const net::Address& address)
     : loop_(loop),
       owner_(owner),
       host_(std::move(host)),
       address_(address),
-      reader_(*this, kLongestAnswer),
-      timer_(loop, [this] { OnDue(); }) {}
+      parser_(*this, kMaxResponseBytes),
+      timer_(loop, [this] { OnTimeout(); }) {}
 
-bool Line::Open() {
+bool EndpointConnection::Open() {
   connection_ = net::Connection::Open(loop_, address_, *this);
   return connection_ != nullptr;
 }
 
-void Line::Carry(relay::AttemptOrder order) {
-  order_ = std::move(order);
-  wrote_ = false;
-  answering_ = false;
-  timer_.At(order_->give_up_at);
-  if (connected()) Write();
+void EndpointConnection::StartAttempt(relay::AttemptOrder request) {
+  request_ = std::move(request);
+  write_started_ = false;
+  receiving_response_ = false;
+  timer_.At(request_->give_up_at);
+  if (connected()) WriteRequest();
 }
 
-void Line::Write() {
-  if (!order_) return;
+void EndpointConnection::WriteRequest() {
+  if (!request_) return;
   const std::optional<std::string> text = owner_.OnWritable(*this);
-  if (!text) return End({Outcome::kNotSent, false, net::Time(0)});
-  wrote_ = true;
-  reader_.Reset();
-  // When the socket fails here the loop tells, through OnClosed.
+  if (!text) return EndUnwritten({Outcome::kNotSent, false, net::Time(0)});
+  write_started_ = true;
+  parser_.Reset();
+  // A failed write is reported through OnClosed.
   connection_->Send(*text);
 }
 
-void Line::OnBytes(proto::RingBuffer& in) {
+void EndpointConnection::OnBytes(proto::RingBuffer& in) {
   while (!in.empty() && connected()) {
-    // Bytes that answer nothing: whose they are can't be told, so the line must not be used again.
-    if (!order_ && !answering_) return Lose();
-    if (!std::exchange(answering_, true)) {
-      // An answer before the call was whole: the rest of the call would be read as the next one.
-      keep_ = written();
-      const net::Time until = net::Loop::Now() + kAnswerWithin;
-      timer_.At(order_->give_up_at < until ? order_->give_up_at : until);
+    // Bytes that belong to no request: their origin is unknown, so the connection must not be used again.
+    if (!request_ && !receiving_response_) return Discard();
+    if (!std::exchange(receiving_response_, true)) {
+      // If the response began before the request was fully written, the connection can't be reused: the
+      // endpoint would read the rest of this request as the next one.
+      reusable_ = fully_written();
+      const net::Time response_deadline = net::Loop::Now() + kResponseTimeout;
+      timer_.At(request_->give_up_at < response_deadline ? request_->give_up_at : response_deadline);
     }
-    in.Consume(reader_.Feed(in.Front()));
-    if (order_ && reader_.at_start()) AwaitAnswer();
-    // A first line with 200 is a delivery, whatever is wrong with the rest.
-    if (order_ && reader_.status_line_code() == 200) EndAttempt(relay::AttemptEnd());
-    if (reader_.state() == proto::HttpResponseParser::State::kInvalid) return Spoilt();
+    in.Consume(parser_.Feed(in.Front()));
+    if (request_ && parser_.at_start()) AwaitResponse();
+    // A status line with 200 counts as delivered, even if the rest of the response is invalid.
+    if (request_ && parser_.status_line_code() == 200) EndAttempt(relay::AttemptEnd());
+    if (parser_.state() == proto::HttpResponseParser::State::kInvalid) return FailInvalidResponse();
   }
 }
 
-// An interim answer is over, and nothing of the next one has come: that may take its time.
-void Line::AwaitAnswer() {
-  answering_ = false;
-  timer_.At(order_->give_up_at);
+// After an interim response the attempt's own timeout applies again until the next response begins.
+void EndpointConnection::AwaitResponse() {
+  receiving_response_ = false;
+  timer_.At(request_->give_up_at);
 }
 
-// Only a whole answer is believed when it says that nothing ran: the call of a spoilt one has run.
-void Line::OnComplete(bool keep_alive) {
-  answering_ = false;
+// Only a complete response can say that the call did not run: with an invalid one the call counts as run.
+void EndpointConnection::OnComplete(bool keep_alive) {
+  receiving_response_ = false;
   timer_.Stop();
-  if (order_) EndAttempt(MeaningOf(head_));
-  if (!keep_alive || !keep_) return Lose();
-  free_since_ = net::Loop::Now();
+  if (request_) EndAttempt(InterpretResponse(head_));
+  if (!keep_alive || !reusable_) return Discard();
+  idle_since_ = net::Loop::Now();
   used_ = true;
-  owner_.OnFree(*this);
+  owner_.OnIdle(*this);
 }
 
-void Line::EndAttempt(const relay::AttemptEnd& end) {
-  const relay::AttemptId attempt = std::move(order_->attempt);
-  order_.reset();
-  owner_.OnEnd(*this, attempt, end);
+void EndpointConnection::EndAttempt(const relay::AttemptEnd& result) {
+  const relay::AttemptId attempt = std::move(request_->attempt);
+  request_.reset();
+  owner_.OnAttemptEnd(*this, attempt, result);
 }
 
-void Line::Spoilt() {
-  owner_.OnSpoilt();
-  if (order_) EndAttempt({Outcome::kError, false, net::Time(0)});
-  Lose();
+void EndpointConnection::FailInvalidResponse() {
+  owner_.OnInvalidResponse();
+  if (request_) EndAttempt({Outcome::kError, false, net::Time(0)});
+  Discard();
 }
 
-void Line::End(const relay::AttemptEnd& end) {
-  EndAttempt(end);
-  // Connected, and not a byte written: as good as new.
-  if (connected() && !wrote_) {
+void EndpointConnection::EndUnwritten(const relay::AttemptEnd& result) {
+  EndAttempt(result);
+  // Connected, and nothing was written: the connection can be reused.
+  if (connected() && !write_started_) {
     timer_.Stop();
-    free_since_ = net::Loop::Now();
-    return owner_.OnFree(*this);
+    idle_since_ = net::Loop::Now();
+    return owner_.OnIdle(*this);
   }
-  Lose();
+  Discard();
 }
 
-void Line::OnClosed() {
-  if (answering_) reader_.Finish();  // an answer without a length is whole now
-  Lose();
+void EndpointConnection::OnClosed() {
+  if (receiving_response_) parser_.Finish();  // completes a response without a length
+  Discard();
 }
 
-void Line::Lose() {
-  if (std::exchange(lost_, true)) return;
-  // Broken before the call's last byte went out: it never ran. After that it may have.
-  const bool whole = wrote_ && connection_ != nullptr && connection_->flushed();
-  Cut();
-  if (order_) EndAttempt({whole ? Outcome::kReset : Outcome::kNoConnection, false, net::Time(0)});
-  owner_.OnLost(*this);
+void EndpointConnection::Discard() {
+  if (std::exchange(discarded_, true)) return;
+  // If the connection broke before the request's last byte was written, the call did not run; otherwise it
+  // may have run.
+  const bool fully_sent = write_started_ && connection_ != nullptr && connection_->flushed();
+  Abort();
+  if (request_) EndAttempt({fully_sent ? Outcome::kReset : Outcome::kNoConnection, false, net::Time(0)});
+  owner_.OnUnusable(*this);
 }
 
-void Line::Cut() {
+void EndpointConnection::Abort() {
   timer_.Stop();
   if (connection_ != nullptr) connection_->Close();
 }
 
-void Line::OnDue() {
-  // An answer that has come with the time-out counts: it may tell a wait, or that nothing ran.
-  const bool carried = busy();
+void EndpointConnection::OnTimeout() {
+  // A response that arrived together with the timeout counts: it may ask for a wait, or say that the call did
+  // not run.
+  const bool was_busy = busy();
   ReadNow();
-  const bool answered = carried && !busy() && !answering_;
-  if (lost_ || answered || timer_.active()) return;
-  if (answering_) return Spoilt();  // its end, or its head's, doesn't come
-  if (!order_) return Lose();
-  const bool sent = wrote_ && connection_->flushed();
-  Cut();
-  EndAttempt({sent ? Outcome::kTimedOut : Outcome::kNoConnection, false, net::Time(0)});
-  Lose();
+  const bool responded = was_busy && !busy() && !receiving_response_;
+  if (discarded_ || responded || timer_.active()) return;
+  if (receiving_response_) return FailInvalidResponse();  // the response was not completed in time
+  if (!request_) return Discard();
+  const bool fully_sent = write_started_ && connection_->flushed();
+  Abort();
+  EndAttempt({fully_sent ? Outcome::kTimedOut : Outcome::kNoConnection, false, net::Time(0)});
+  Discard();
 }
 
 }  // namespace oxbowspread::endpoint
--- a/src/endpoint/line.hpp
+++ b/src/endpoint/line.hpp
@@ -1,4 +1,4 @@
-// One connection to an endpoint, which carries one call at a time.
+// Connection to an endpoint that carries one attempt at a time.
 #pragma once
 
 #include <memory>
@@ -12,86 +12,91 @@
 
 namespace oxbowspread::endpoint {
 
-// A host closes an idle line at its keepalive at the latest, and what is written to it from then on is a
-// reset that may have run: lines are retired after this share of it, while the host surely still holds them.
-inline constexpr double kKeepShare = 0.8;
-// What follows an answer that brought more than belongs to it may come a moment later, and must not be taken
-// for the answer to the next call.
-inline constexpr net::Time kRest{30'000};
-inline constexpr net::Time kSweepEach{200'000};  // for old lines and hosts
+// Idle connections are closed after this share of the keepalive time. A host closes them after the full time
+// at the latest, and a request written then ends in a reset that may or may not have run.
+inline constexpr double kKeepaliveShare = 0.8;
+// Pause before a connection is used again: surplus bytes after a response may arrive a moment later, and must
+// not be taken for the response to the next request.
+inline constexpr net::Time kReuseDelay{30'000};
+inline constexpr net::Time kSweepInterval{200'000};  // for expired connections and hosts
 
-class Line final : public net::Connection::Handler, private proto::HttpResponseParser::Handler {
+class EndpointConnection final : public net::Connection::Handler, private proto::HttpResponseParser::Handler {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Connected: the call's bytes, or nothing if it may not be written any more.
-    virtual std::optional<std::string> OnWritable(Line& line) = 0;
-    // Of the call that was that attempt; the line lives on.
-    virtual void OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptEnd& end) = 0;
-    virtual void OnFree(Line& line) = 0;  // ready for the next call
-    virtual void OnLost(Line& line) = 0;  // no use any more
-    virtual void OnSpoilt() = 0;          // an answer that can't be read
+    // Connected: returns the request's bytes, or nothing if it may not be written any more.
+    virtual std::optional<std::string> OnWritable(EndpointConnection& connection) = 0;
+    // The attempt has ended; the connection stays open.
+    virtual void OnAttemptEnd(EndpointConnection& connection, const relay::AttemptId& attempt,
+                              const relay::AttemptEnd& result) = 0;
+    virtual void OnIdle(EndpointConnection& connection) = 0;      // ready for the next attempt
+    virtual void OnUnusable(EndpointConnection& connection) = 0;  // closed, or must not be used again
+    virtual void OnInvalidResponse() = 0;  // a response could not be parsed or was not completed
   };
 
-  // A line belongs to a host and an address: another host may get the address, the host another address.
-  Line(net::Loop& loop, Owner& owner, std::string host, const net::Address& address);
+  // Belongs to one host and one address, because either may change: another host may get the address, or the
+  // host another address. `owner` must outlive the connection.
+  EndpointConnection(net::Loop& loop, Owner& owner, std::string host, const net::Address& address);
 
-  // Connects; false when no socket could be had.
+  // Starts to connect; false if no socket could be created.
   bool Open();
-  // The next call on a line that stands ready.
-  void Carry(relay::AttemptOrder order);
-  bool busy() const { return order_.has_value(); }
-  bool ready() const { return connection_ != nullptr && connection_->IsIdle() && !answering_; }
+  // Starts an attempt on a connection that is connecting or ready, and not busy.
+  void StartAttempt(relay::AttemptOrder request);
+  bool busy() const { return request_.has_value(); }
+  bool ready() const { return connection_ != nullptr && connection_->IsIdle() && !receiving_response_; }
   bool connected() const { return connection_ != nullptr && connection_->connected(); }
-  const relay::AttemptOrder& order() const { return *order_; }
+  const relay::AttemptOrder& request() const { return *request_; }
   const std::string& host() const { return host_; }
   const net::Address& address() const { return address_; }
-  net::Time free_since() const { return free_since_; }
-  bool used() const { return used_; }  // has brought an answer
-  // Takes at once what has come of an answer; the owner may be called.
+  net::Time idle_since() const { return idle_since_; }
+  bool used() const { return used_; }  // has received a response
+  // Reads what has arrived of a response without waiting for the loop; the owner may be called.
   void ReadNow() {
     if (connection_ != nullptr) connection_->ReadNow();
   }
-  // Gives up: what is out may have run if its last byte is written.
-  void Cut();
-  // The call's last byte has been handed to the system.
-  bool written() const { return wrote_ && connection_ != nullptr && connection_->flushed(); }
+  // Closes the connection without a callback. An attempt in flight may have run if its last byte was written.
+  void Abort();
+  // Whether the request's last byte has been passed to the kernel.
+  bool fully_written() const { return write_started_ && connection_ != nullptr && connection_->flushed(); }
 
  private:
-  void OnConnected() override { Write(); }
+  void OnConnected() override { WriteRequest(); }
   void OnBytes(proto::RingBuffer& in) override;
   void OnClosed() override;
   void OnHead(const proto::HttpResponseHead& head) override { head_ = head; }
   void OnBody(std::string_view) override {}
   void OnComplete(bool keep_alive) override;
-  void Write();
-  void End(const relay::AttemptEnd& end);
-  void EndAttempt(const relay::AttemptEnd& end);
-  void AwaitAnswer();
-  void Spoilt();
-  void Lose();
-  void OnDue();
+  void WriteRequest();
+  // Ends an attempt whose request was not written; the connection stays open if it is usable.
+  void EndUnwritten(const relay::AttemptEnd& result);
+  void EndAttempt(const relay::AttemptEnd& result);
+  void AwaitResponse();
+  void FailInvalidResponse();
+  // Closes the connection, ends its attempt and tells the owner that it is unusable. Does that only once.
+  void Discard();
+  void OnTimeout();
 
   net::Loop& loop_;
   Owner& owner_;
   std::string host_;
   net::Address address_;
-  proto::HttpResponseParser reader_;
+  proto::HttpResponseParser parser_;
   proto::HttpResponseHead head_;
   std::unique_ptr<net::Connection> connection_;
   net::Timer timer_;
-  std::optional<relay::AttemptOrder> order_;
-  bool wrote_ = false;      // the call's first byte
-  bool answering_ = false;  // an answer has begun and is not whole yet
-  bool keep_ = false;       // the last answer lets the line live on
+  std::optional<relay::AttemptOrder> request_;
+  bool write_started_ = false;       // the request's first byte
+  bool receiving_response_ = false;  // a response has begun and is not complete yet
+  bool reusable_ = false;            // the request was fully written before its response began
   bool used_ = false;
-  bool lost_ = false;
-  net::Time free_since_{0};
+  bool discarded_ = false;
+  net::Time idle_since_{0};
 };
 
-// What an answer means for its call.
-relay::AttemptEnd MeaningOf(const proto::HttpResponseHead& head);
-std::string CallText(const relay::AttemptOrder& order, net::Time left);
+// The result of an attempt that was answered with that status and those headers.
+relay::AttemptEnd InterpretResponse(const proto::HttpResponseHead& head);
+// The HTTP request for an attempt; `time_left` is the time until its timeout.
+std::string FormatRequest(const relay::AttemptOrder& request, net::Time time_left);
 
 }  // namespace oxbowspread::endpoint
--- a/src/endpoint/pool.cpp
+++ b/src/endpoint/pool.cpp
@@ -9,9 +9,9 @@
 using wheathub::Outcome;
 using namespace std::chrono_literals;
 
-bool StandsAt(const Line& line, const Host& host) {
-  return line.address().sin_addr.s_addr == host.to.sin_addr.s_addr &&
-         line.address().sin_port == host.to.sin_port;
+bool IsAtHostAddress(const EndpointConnection& connection, const Host& host) {
+  return connection.address().sin_addr.s_addr == host.socket_address.sin_addr.s_addr &&
+         connection.address().sin_port == host.socket_address.sin_port;
 }
 
 }  // namespace
@@ -20,69 +20,70 @@
     : loop_(loop),
       limits_(limits),
       counters_(counters),
-      failed_timer_(loop,
-                    [this] {
-                      for (const auto& [attempt, outcome] : std::exchange(failed_, {})) {
-                        relay_->AttemptEnded(attempt, {outcome, false, net::Time(0)});
-                      }
-                    }),
+      failure_timer_(loop,
+                     [this] {
+                       for (const auto& [attempt, outcome] : std::exchange(pending_failures_, {})) {
+                         relay_->AttemptEnded(attempt, {outcome, false, net::Time(0)});
+                       }
+                     }),
       sweep_timer_(loop, [this] { Sweep(); }) {
-  hosts_.SetKinds(limits_.routes_apart);
-  sweep_timer_.After(kSweepEach);
+  hosts_.SetSeparateRoutes(limits_.separate_routes);
+  sweep_timer_.After(kSweepInterval);
 }
 
 void Pool::SetLimits(const Limits& limits) {
   limits_ = limits;
-  hosts_.SetKinds(limits_.routes_apart);
+  hosts_.SetSeparateRoutes(limits_.separate_routes);
 }
 
 // ---- hosts ----
 
 void Pool::Adopt(const relay::RoutingChange& change) {
-  for (const std::string& id : hosts_.Adopt(change, net::Loop::Now())) CloseIdle(id);
-  std::vector<std::string> named;
-  for (const relay::Host& host : change.hosts) named.push_back(host.info.id);
-  TellWaits(named);
+  for (const std::string& id : hosts_.Apply(change, net::Loop::Now())) CloseIdle(id);
+  std::vector<std::string> listed_ids;
+  for (const relay::Host& host : change.hosts) listed_ids.push_back(host.info.id);
+  ReportWaits(listed_ids);
 }
 
-// The module must keep to a wait that a host has by its address alone: a call held back here costs a repeat.
-void Pool::TellWaits(const std::vector<std::string>& hosts) {
+// Reports also waits that a host has only through its address: if the decision module did not know them, its
+// calls would be withheld here and have to be repeated.
+void Pool::ReportWaits(const std::vector<std::string>& hosts) {
   const net::Time now = net::Loop::Now();
   for (const std::string& id : hosts) {
-    const net::Time until = hosts_.WaitUntil(id);
+    const net::Time until = hosts_.BlockedUntil(id);
     if (until > now) relay_->HostToldWait(id, until);
   }
 }
 
-void Pool::ToldWait(const std::string& host, net::Time wait) {
-  TellWaits(hosts_.ToldWait(host, wait, net::Loop::Now()));
+void Pool::RecordRetryAfter(const std::string& host, net::Time wait) {
+  ReportWaits(hosts_.RecordRetryAfter(host, wait, net::Loop::Now()));
 }
 
 void Pool::CloseIdle(const std::string& id) {
-  const auto it = pools_.find(id);
-  if (it == pools_.end()) return;
-  std::vector<Line*> idle;
-  for (const auto& line : it->second) {
-    if (!line->busy()) idle.push_back(line.get());
+  const auto it = connections_by_host_.find(id);
+  if (it == connections_by_host_.end()) return;
+  std::vector<EndpointConnection*> idle;
+  for (const auto& connection : it->second) {
+    if (!connection->busy()) idle.push_back(connection.get());
   }
-  for (Line* const line : idle) Remove(*line);
+  for (EndpointConnection* const connection : idle) Remove(*connection);
 }
 
-std::vector<relay::HostWait> Pool::Waits() const { return hosts_.Waits(net::Loop::Now()); }
+std::vector<relay::HostWait> Pool::HostWaits() const { return hosts_.HostWaits(net::Loop::Now()); }
 
 std::vector<relay::AddressWait> Pool::AddressWaits() const { return hosts_.AddressWaits(net::Loop::Now()); }
 
-void Pool::TakeWaits(const relay::Estate& estate) {
-  for (const relay::HostWait& wait : estate.waits) hosts_.TakeWait(wait);
-  for (const relay::AddressWait& wait : estate.address_waits) hosts_.TakeWait(wait);
+void Pool::RestoreWaits(const relay::Estate& estate) {
+  for (const relay::HostWait& wait : estate.waits) hosts_.RestoreWait(wait);
+  for (const relay::AddressWait& wait : estate.address_waits) hosts_.RestoreWait(wait);
 }
 
 void Pool::ReadNow() {
   std::vector<relay::AttemptId> attempts;
-  for (const auto& [attempt, line] : out_) attempts.push_back(attempt);
+  for (const auto& [attempt, connection] : in_flight_) attempts.push_back(attempt);
   for (const relay::AttemptId& attempt : attempts) {
-    const auto it = out_.find(attempt);
-    if (it != out_.end()) it->second->ReadNow();
+    const auto it = in_flight_.find(attempt);
+    if (it != in_flight_.end()) it->second->ReadNow();
   }
 }
 
@@ -90,63 +91,66 @@
   while (!idle_.empty()) Remove(*idle_.begin()->second);
 }
 
-// ---- calls ----
+// ---- attempts ----
 
-void Pool::Fail(const relay::AttemptOrder& order, Outcome outcome) {
-  failed_.emplace_back(order.attempt, outcome);
-  failed_timer_.After(net::Time(0));
+void Pool::FailLater(const relay::AttemptOrder& request, Outcome outcome) {
+  pending_failures_.emplace_back(request.attempt, outcome);
+  failure_timer_.After(net::Time(0));
 }
 
-void Pool::Begin(relay::AttemptOrder order) {
-  const Host* const host = hosts_.Find(order.host);
-  if (host == nullptr || !host->known) return Fail(order, Outcome::kNoConnection);
-  const auto pool = pools_.find(order.host);
-  Line* line = pool == pools_.end() ? nullptr : FreeLine(pool->second);
-  const bool fresh = line == nullptr;
-  if (fresh) line = NewLine(order.host, *host);
-  if (line == nullptr) return Fail(order, Outcome::kNotSent);
-  out_[order.attempt] = line;
-  Unlist(*line);
-  if (fresh && limits_.connect_timeout > 0s) {
-    connect_by_[line] = net::Loop::Now() + limits_.connect_timeout;
-    connecting_.emplace(connect_by_[line], line);
+void Pool::Begin(relay::AttemptOrder request) {
+  const Host* const host = hosts_.Find(request.host);
+  if (host == nullptr || !host->owns_address) return FailLater(request, Outcome::kNoConnection);
+  const auto entry = connections_by_host_.find(request.host);
+  EndpointConnection* connection =
+      entry == connections_by_host_.end() ? nullptr : FindIdleConnection(entry->second);
+  const bool is_new = connection == nullptr;
+  if (is_new) connection = OpenConnection(request.host, *host);
+  if (connection == nullptr) return FailLater(request, Outcome::kNotSent);
+  in_flight_[request.attempt] = connection;
+  RemoveFromIndexes(*connection);
+  if (is_new && limits_.connect_timeout > 0s) {
+    connect_deadlines_[connection] = net::Loop::Now() + limits_.connect_timeout;
+    connecting_.emplace(connect_deadlines_[connection], connection);
   }
-  line->Carry(std::move(order));
+  connection->StartAttempt(std::move(request));
 }
 
-// The line used last, so that those not needed grow old and go.
-Line* Pool::FreeLine(const Lines& lines) const {
-  Line* best = nullptr;
+// Prefers the connection that was used last, so that surplus ones stay idle and expire.
+EndpointConnection* Pool::FindIdleConnection(const Connections& connections) const {
+  EndpointConnection* best = nullptr;
   const net::Time now = net::Loop::Now();
-  for (std::size_t i = lines.size(); i-- > 0;) {
-    Line& line = *lines[i];
-    if (line.busy() || !line.connected()) continue;
-    if (!line.ready()) {
-      // An answer's tail may still be on its way; an ended line is told by the loop, and left alone here.
+  for (std::size_t i = connections.size(); i-- > 0;) {
+    EndpointConnection& connection = *connections[i];
+    if (connection.busy() || !connection.connected()) continue;
+    if (!connection.ready()) {
+      // The end of a response may still be in transit. A closed connection is left alone here: the loop
+      // reports it.
       continue;
     }
-    if (line.used() && now - line.free_since() < kRest) continue;
-    if (best == nullptr || line.free_since() > best->free_since()) best = &line;
+    if (connection.used() && now - connection.idle_since() < kReuseDelay) continue;
+    if (best == nullptr || connection.idle_since() > best->idle_since()) best = &connection;
   }
-  const net::Time keep =
-      net::Time(static_cast<net::Time::rep>(static_cast<double>(limits_.keepalive.count()) * kKeepShare));
-  if (best != nullptr && keep > 0s && now - best->free_since() > keep) return nullptr;
+  const net::Time max_idle_time = net::Time(
+      static_cast<net::Time::rep>(static_cast<double>(limits_.keepalive.count()) * kKeepaliveShare));
+  if (best != nullptr && max_idle_time > 0s && now - best->idle_since() > max_idle_time) return nullptr;
   return best;
 }
 
-Line* Pool::NewLine(const std::string& id, const Host& host) {
-  // One gives way, not all: each that is opened anew costs its host a handshake.
-  if (lines_ >= limits_.most_lines && !CloseLongestIdle()) return nullptr;
-  auto line = std::make_unique<Line>(loop_, static_cast<Line::Owner&>(*this), id, host.to);
-  if (!line->Open()) {
+EndpointConnection* Pool::OpenConnection(const std::string& id, const Host& host) {
+  // Closes only one connection: each one that has to be opened again costs its host a handshake.
+  if (connection_count_ >= limits_.max_connections && !CloseLongestIdle()) return nullptr;
+  auto connection = std::make_unique<EndpointConnection>(
+      loop_, static_cast<EndpointConnection::Owner&>(*this), id, host.socket_address);
+  if (!connection->Open()) {
     counters_.line_failures += 1;
     return nullptr;
   }
   counters_.lines_opened += 1;
-  lines_ += 1;
-  Lines& lines = pools_[id];
-  lines.push_back(std::move(line));
-  return lines.back().get();
+  connection_count_ += 1;
+  Connections& connections = connections_by_host_[id];
+  connections.push_back(std::move(connection));
+  return connections.back().get();
 }
 
 bool Pool::CloseLongestIdle() {
@@ -156,92 +160,97 @@
   return true;
 }
 
-std::optional<std::string> Pool::OnWritable(Line& line) {
-  Unlist(line);
-  const relay::AttemptOrder& order = line.order();
-  const Host* const host = hosts_.Find(line.host());
+std::optional<std::string> Pool::OnWritable(EndpointConnection& connection) {
+  RemoveFromIndexes(connection);
+  const relay::AttemptOrder& request = connection.request();
+  const Host* const host = hosts_.Find(connection.host());
   const net::Time now = net::Loop::Now();
-  // The host may have moved while the line was on its way to where it stood.
-  if (host == nullptr || !StandsAt(line, *host) || !hosts_.MayWrite(line.host(), order.write_before, now) ||
-      !relay_->AttemptWriting(order.attempt, line.host(), host->zone)) {
+  // The host's address may have changed while the connection to the old address was being established.
+  if (host == nullptr || !IsAtHostAddress(connection, *host) ||
+      !hosts_.MayWrite(connection.host(), request.write_before, now) ||
+      !relay_->AttemptWriting(request.attempt, connection.host(), host->zone)) {
     counters_.attempts_held_back += 1;
     return std::nullopt;
   }
-  return CallText(order, order.give_up_at - now);
+  return FormatRequest(request, request.give_up_at - now);
 }
 
-void Pool::OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptEnd& end) {
-  const auto it = out_.find(attempt);
-  if (it == out_.end() || it->second != &line) return;
-  out_.erase(it);
-  if (end.told_wait > 0s) {
-    TellWaits(hosts_.ToldWait(line.host(), line.address(), end.told_wait, net::Loop::Now()));
+void Pool::OnAttemptEnd(EndpointConnection& connection, const relay::AttemptId& attempt,
+                        const relay::AttemptEnd& result) {
+  const auto it = in_flight_.find(attempt);
+  if (it == in_flight_.end() || it->second != &connection) return;
+  in_flight_.erase(it);
+  if (result.told_wait > 0s) {
+    ReportWaits(
+        hosts_.RecordRetryAfter(connection.host(), connection.address(), result.told_wait, net::Loop::Now()));
   }
-  if (end.outcome == Outcome::kNoConnection) counters_.line_failures += 1;
-  relay_->AttemptEnded(attempt, end);
+  if (result.outcome == Outcome::kNoConnection) counters_.line_failures += 1;
+  relay_->AttemptEnded(attempt, result);
 }
 
-void Pool::OnFree(Line& line) {
-  const Host* const host = hosts_.Find(line.host());
-  if (host == nullptr || !host->ready || !host->known || !StandsAt(line, *host)) return Remove(line);
-  idle_.emplace(line.free_since(), &line);
+void Pool::OnIdle(EndpointConnection& connection) {
+  const Host* const host = hosts_.Find(connection.host());
+  if (host == nullptr || !host->ready || !host->owns_address || !IsAtHostAddress(connection, *host))
+    return Remove(connection);
+  idle_.emplace(connection.idle_since(), &connection);
 }
 
-void Pool::OnLost(Line& line) { Remove(line); }
+void Pool::OnUnusable(EndpointConnection& connection) { Remove(connection); }
 
 bool Pool::Cut(const relay::AttemptId& attempt) {
-  std::erase_if(failed_, [&](const auto& f) { return f.first == attempt; });
-  const auto it = out_.find(attempt);
-  if (it == out_.end()) return true;
-  Line& line = *it->second;
-  line.ReadNow();
-  const auto still = out_.find(attempt);
-  if (still == out_.end()) return true;
-  out_.erase(still);
-  Remove(line);
+  std::erase_if(pending_failures_, [&](const auto& failure) { return failure.first == attempt; });
+  const auto it = in_flight_.find(attempt);
+  if (it == in_flight_.end()) return true;
+  EndpointConnection& connection = *it->second;
+  connection.ReadNow();
+  const auto still_in_flight = in_flight_.find(attempt);
+  if (still_in_flight == in_flight_.end()) return true;
+  in_flight_.erase(still_in_flight);
+  Remove(connection);
   return true;
 }
 
-void Pool::Unlist(Line& line) {
-  idle_.erase({line.free_since(), &line});
-  const auto by = connect_by_.find(&line);
-  if (by == connect_by_.end()) return;
-  connecting_.erase({by->second, &line});
-  connect_by_.erase(by);
+void Pool::RemoveFromIndexes(EndpointConnection& connection) {
+  idle_.erase({connection.idle_since(), &connection});
+  const auto deadline = connect_deadlines_.find(&connection);
+  if (deadline == connect_deadlines_.end()) return;
+  connecting_.erase({deadline->second, &connection});
+  connect_deadlines_.erase(deadline);
 }
 
-void Pool::Remove(Line& line) {
-  line.Cut();
-  const auto pool = pools_.find(line.host());
-  if (pool == pools_.end()) return;
-  Lines& lines = pool->second;
-  const auto it = std::find_if(lines.begin(), lines.end(), [&](const auto& l) { return l.get() == &line; });
-  if (it == lines.end()) return;
-  Unlist(line);
+void Pool::Remove(EndpointConnection& connection) {
+  connection.Abort();
+  const auto entry = connections_by_host_.find(connection.host());
+  if (entry == connections_by_host_.end()) return;
+  Connections& connections = entry->second;
+  const auto it = std::find_if(connections.begin(), connections.end(),
+                               [&](const auto& candidate) { return candidate.get() == &connection; });
+  if (it == connections.end()) return;
+  RemoveFromIndexes(connection);
   loop_.DestroyLater(std::move(*it));
-  lines.erase(it);
-  if (lines.empty()) pools_.erase(pool);
-  lines_ -= 1;
+  connections.erase(it);
+  if (connections.empty()) connections_by_host_.erase(entry);
+  connection_count_ -= 1;
 }
 
 void Pool::Sweep() {
-  sweep_timer_.After(kSweepEach);
+  sweep_timer_.After(kSweepInterval);
   const net::Time now = net::Loop::Now();
   while (!connecting_.empty() && connecting_.begin()->first <= now) {
-    Line* const line = connecting_.begin()->second;
-    Unlist(*line);
-    if (line->connected()) continue;
-    const relay::AttemptId attempt = line->order().attempt;
-    OnEnd(*line, attempt, {Outcome::kNoConnection, false, net::Time(0)});
-    Remove(*line);
+    EndpointConnection* const connection = connecting_.begin()->second;
+    RemoveFromIndexes(*connection);
+    if (connection->connected()) continue;
+    const relay::AttemptId attempt = connection->request().attempt;
+    OnAttemptEnd(*connection, attempt, {Outcome::kNoConnection, false, net::Time(0)});
+    Remove(*connection);
   }
-  for (const std::string& id : hosts_.LongGone(now)) {
-    if (pools_.count(id) == 0) hosts_.Forget(id);
+  for (const std::string& id : hosts_.ExpiredHosts(now)) {
+    if (connections_by_host_.count(id) == 0) hosts_.Forget(id);
   }
   if (limits_.keepalive <= 0s) return;
-  const auto keep =
-      net::Time(static_cast<net::Time::rep>(static_cast<double>(limits_.keepalive.count()) * kKeepShare));
-  while (!idle_.empty() && now - idle_.begin()->first > keep) {
+  const auto max_idle_time = net::Time(
+      static_cast<net::Time::rep>(static_cast<double>(limits_.keepalive.count()) * kKeepaliveShare));
+  while (!idle_.empty() && now - idle_.begin()->first > max_idle_time) {
     counters_.lines_idled += 1;
     Remove(*idle_.begin()->second);
   }
--- a/src/endpoint/pool.hpp
+++ b/src/endpoint/pool.hpp
@@ -1,4 +1,4 @@
-// The endpoint side: a pool of lines for each endpoint, and the calls on them.
+// Sends attempts to endpoints, over a pool of connections for each host.
 #pragma once
 
 #include <map>
@@ -17,13 +17,14 @@
 
 namespace oxbowspread::endpoint {
 
-class Pool final : public relay::EndpointSide, private Line::Owner {
+class Pool final : public relay::EndpointSide, private EndpointConnection::Owner {
  public:
+  // A connect timeout or keepalive of 0 means none.
   struct Limits {
-    std::size_t most_lines = 256;
+    std::size_t max_connections = 256;
     net::Time connect_timeout{0};
     net::Time keepalive{0};
-    std::vector<bool> routes_apart;  // by kind: see Hosts::SetKinds
+    std::vector<bool> separate_routes;  // by kind: see Hosts::SetSeparateRoutes
   };
 
   Pool(net::Loop& loop, const Limits& limits, relay::Counters& counters);
@@ -31,40 +32,48 @@
 
   void SetLimits(const Limits& limits);
 
-  // What hosts told this process, for the next one, and what they told the last one.
-  std::vector<relay::HostWait> Waits() const;
-  void TakeWaits(const relay::Estate& estate);
+  // The waits that hosts requested, as handed over to the next process, and as received from the previous
+  // one.
+  std::vector<relay::HostWait> HostWaits() const;
+  void RestoreWaits(const relay::Estate& estate);
   std::vector<relay::AddressWait> AddressWaits() const;
-  // Another process's call to that host was answered with a wait.
-  void ToldWait(const std::string& host, net::Time wait);
-  // Takes at once what has come of answers to calls that are out.
+  // Records that the host answered another process's call with a request to wait.
+  void RecordRetryAfter(const std::string& host, net::Time wait);
+  // Reads what has arrived of responses to attempts in flight, without waiting for the loop.
   void ReadNow();
-  // No line rests here any more; those with calls go on.
+  // Closes all idle connections; those with attempts in flight stay open.
   void CloseAllIdle();
 
   void Adopt(const relay::RoutingChange& change) override;
-  void Begin(relay::AttemptOrder order) override;
+  void Begin(relay::AttemptOrder request) override;
   bool Cut(const relay::AttemptId& attempt) override;
   void CloseIdle(const std::string& host) override;
-  void ListValidUntil(net::Time moment) override { hosts_.ListValidUntil(moment); }
+  void ListValidUntil(net::Time moment) override { hosts_.SetListValidUntil(moment); }
 
  private:
-  using Lines = std::vector<std::unique_ptr<Line>>;
+  using Connections = std::vector<std::unique_ptr<EndpointConnection>>;
 
-  std::optional<std::string> OnWritable(Line& line) override;
-  void OnEnd(Line& line, const relay::AttemptId& attempt, const relay::AttemptEnd& end) override;
-  void OnFree(Line& line) override;
-  void OnLost(Line& line) override;
-  void OnSpoilt() override { counters_.answers_spoilt += 1; }
+  std::optional<std::string> OnWritable(EndpointConnection& connection) override;
+  void OnAttemptEnd(EndpointConnection& connection, const relay::AttemptId& attempt,
+                    const relay::AttemptEnd& result) override;
+  void OnIdle(EndpointConnection& connection) override;
+  void OnUnusable(EndpointConnection& connection) override;
+  void OnInvalidResponse() override { counters_.answers_spoilt += 1; }
 
-  void TellWaits(const std::vector<std::string>& hosts);
-  Line* FreeLine(const Lines& lines) const;
-  Line* NewLine(const std::string& id, const Host& host);
+  // Reports the current waits of these hosts to the relay.
+  void ReportWaits(const std::vector<std::string>& hosts);
+  // Null if no connection can be reused.
+  EndpointConnection* FindIdleConnection(const Connections& connections) const;
+  // Null if no connection may or can be opened.
+  EndpointConnection* OpenConnection(const std::string& id, const Host& host);
+  // False if no connection is idle.
   bool CloseLongestIdle();
-  void Remove(Line& line);
-  // Neither connecting nor idle any more, as far as the two lists know.
-  void Unlist(Line& line);
-  void Fail(const relay::AttemptOrder& order, wheathub::Outcome outcome);
+  void Remove(EndpointConnection& connection);
+  // Removes the connection from the index of connecting and from that of idle connections.
+  void RemoveFromIndexes(EndpointConnection& connection);
+  // Reports the attempt as failed from the loop, not from within the caller.
+  void FailLater(const relay::AttemptOrder& request, wheathub::Outcome outcome);
+  // Closes connections that exceeded their connect timeout or idle time, and forgets expired hosts.
   void Sweep();
 
   net::Loop& loop_;
@@ -72,15 +81,15 @@
   relay::Counters& counters_;
   relay::Relay* relay_ = nullptr;
   Hosts hosts_;
-  std::map<std::string, Lines> pools_;  // by host; none is empty
-  std::map<relay::AttemptId, Line*> out_;
-  // Those that connect, by when they must have, and those that are idle, by since when: with thousands of
-  // lines none is looked for among all.
-  std::set<std::pair<net::Time, Line*>> connecting_, idle_;
-  std::map<Line*, net::Time> connect_by_;
-  std::size_t lines_ = 0;
-  std::vector<std::pair<relay::AttemptId, wheathub::Outcome>> failed_;
-  net::Timer failed_timer_;
+  std::map<std::string, Connections> connections_by_host_;  // by host id; no entry is empty
+  std::map<relay::AttemptId, EndpointConnection*> in_flight_;
+  // Connecting connections by connect deadline, and idle ones by the start of their idle time. With thousands
+  // of connections a search through all of them would be too slow.
+  std::set<std::pair<net::Time, EndpointConnection*>> connecting_, idle_;
+  std::map<EndpointConnection*, net::Time> connect_deadlines_;
+  std::size_t connection_count_ = 0;
+  std::vector<std::pair<relay::AttemptId, wheathub::Outcome>> pending_failures_;
+  net::Timer failure_timer_;
   net::Timer sweep_timer_;
 };
 
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -18,9 +18,9 @@
 constexpr Time kMonotonic = 1000s;
 constexpr Time kUnix = 1'700'000'000s;
 // The figures of the endpoint side and of the program's end.
-using endpoint::kKeepShare;
-using endpoint::kRest;
-using endpoint::kSweepEach;
+using endpoint::kKeepaliveShare;
+using endpoint::kReuseDelay;
+using endpoint::kSweepInterval;
 using relay::kDoorOpen;
 using relay::kLookEach;
 using relay::kSettleAt;
@@ -65,7 +65,7 @@
       list_calls_before_(options.list_calls_before) {
   std::vector<bool> apart;
   for (const auto& kind : settings.kinds) apart.push_back(kind.routes_apart);
-  hosts_.SetKinds(std::move(apart));
+  hosts_.SetSeparateRoutes(std::move(apart));
   std::filesystem::create_directories(options_.folder);
   journal_ = std::make_unique<journal::Journal>(options_.folder, options_.disk_bytes);
   relay_ = std::make_unique<relay::Relay>(settings, options_.seed, *journal_,
@@ -74,7 +74,7 @@
   relay_->Recover(ChangeOf(known, true));
   TellLease(wheathub::ListLease::Started{});
   StepList(wheathub::ListSubscription::Started{});
-  Later(kSweepEach, [this] { Sweep(); });
+  Later(kSweepInterval, [this] { Sweep(); });
 }
 
 Node::~Node() {
@@ -164,9 +164,9 @@
   if (it == pools_.end() || it->second.address != address) return false;
   auto& idle = it->second.free_since;
   for (std::size_t i = idle.size(); i-- > 0;) {
-    if (now - idle[i] < kRest) continue;
+    if (now - idle[i] < kReuseDelay) continue;
     if (static_cast<double>((now - idle[i]).count()) >
-        kKeepShare * static_cast<double>(options_.keepalive.count())) {
+        kKeepaliveShare * static_cast<double>(options_.keepalive.count())) {
       return false;
     }
     idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(i));
@@ -177,7 +177,7 @@
 
 void Node::GiveLine(const std::string& host, const std::string& address) {
   const endpoint::Host* const known = hosts_.Find(host);
-  if (known == nullptr || !known->ready || !known->known || known->address != address)
+  if (known == nullptr || !known->ready || !known->owns_address || known->address != address)
     return CloseLine(address);
   Pool& pool = pools_[host];
   pool.address = address;
@@ -210,10 +210,10 @@
 }
 
 void Node::Sweep() {
-  Later(kSweepEach, [this] { Sweep(); });
+  Later(kSweepInterval, [this] { Sweep(); });
   const Time now = Now();
   const auto keep =
-      Time(static_cast<Time::rep>(kKeepShare * static_cast<double>(options_.keepalive.count())));
+      Time(static_cast<Time::rep>(kKeepaliveShare * static_cast<double>(options_.keepalive.count())));
   for (auto it = pools_.begin(); it != pools_.end();) {
     auto& idle = it->second.free_since;
     while (!idle.empty() && now - idle.front() > keep) {
@@ -223,7 +223,7 @@
     }
     it = idle.empty() ? pools_.erase(it) : std::next(it);
   }
-  for (const std::string& id : hosts_.LongGone(now)) {
+  for (const std::string& id : hosts_.ExpiredHosts(now)) {
     if (pools_.count(id) == 0) hosts_.Forget(id);
   }
 }
@@ -232,7 +232,7 @@
 
 void Node::Begin(relay::AttemptOrder order) {
   const endpoint::Host* const host = hosts_.Find(order.host);
-  if (host == nullptr || !host->known) return Fail(order.attempt, Outcome::kNoConnection);
+  if (host == nullptr || !host->owns_address) return Fail(order.attempt, Outcome::kNoConnection);
   const Time now = Now();
   const std::string address = host->address;
   const bool fresh = !TakeLine(order.host, address, now);
@@ -291,9 +291,9 @@
     std::snprintf(text, sizeof text, "%.6f", static_cast<double>(answer.wait.count()) / 1e6);
     head.headers["retry-after"] = text;
   }
-  const relay::AttemptEnd end = endpoint::MeaningOf(head);
+  const relay::AttemptEnd end = endpoint::InterpretResponse(head);
   if (end.told_wait > 0us) {
-    TellWaits(hosts_.ToldWait(call.host, *net::ParseAddress(call.address), end.told_wait, Now()));
+    TellWaits(hosts_.RecordRetryAfter(call.host, *net::ParseAddress(call.address), end.told_wait, Now()));
   }
   GiveLine(call.host, call.address);
   relay_->AttemptEnded(call.attempt, end);
@@ -335,7 +335,7 @@
 }
 
 void Node::Adopt(const relay::RoutingChange& change) {
-  for (const std::string& id : hosts_.Adopt(change, Now())) CloseIdle(id);
+  for (const std::string& id : hosts_.Apply(change, Now())) CloseIdle(id);
   std::vector<std::string> named;
   for (const relay::Host& host : change.hosts) named.push_back(host.info.id);
   TellWaits(named);
@@ -343,7 +343,7 @@
 
 void Node::TellWaits(const std::vector<std::string>& hosts) {
   for (const std::string& id : hosts) {
-    const Time until = hosts_.WaitUntil(id);
+    const Time until = hosts_.BlockedUntil(id);
     if (until > Now()) relay_->HostToldWait(id, until);
   }
 }
--- a/src/lab/node.hpp
+++ b/src/lab/node.hpp
@@ -90,7 +90,7 @@
   void Begin(relay::AttemptOrder order) override;
   bool Cut(const relay::AttemptId& attempt) override;
   void CloseIdle(const std::string& host) override;
-  void ListValidUntil(Time moment) override { hosts_.ListValidUntil(moment); }
+  void ListValidUntil(Time moment) override { hosts_.SetListValidUntil(moment); }
   void StepList(const wheathub::ListSubscription::Event& event);
   void ListHeard(std::uint64_t call);
   void TellLease(const wheathub::ListLease::Event& event);
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -140,7 +140,7 @@
 
   int fd_;
   std::string path_;  // of a Unix-domain socket; the file is removed by Close
-  int spare_fd_;  // closed briefly when descriptors run out, to be able to accept and close a waiting client
+  int spare_fd_;      // closed briefly when descriptors run out, to accept and then close a waiting client
   AcceptHandler accept_handler_;
   ev::io io_;
 };
--- a/src/notice/notice.cpp
+++ b/src/notice/notice.cpp
@@ -10,11 +10,11 @@
 
 using namespace std::chrono_literals;
 
-// A notice is late 300 ms after its message's time: a platform that stays silent is asked anew well before.
-constexpr net::Time kAnswerWithin = 200ms;
-constexpr net::Time kRetryFirst = 20ms;  // then doubling
-constexpr net::Time kRetryMost = 320ms;
-constexpr std::size_t kMostInOne = 256;
+// A notice counts as late 300 ms after its message's deadline, so an unanswered batch is sent again earlier.
+constexpr net::Time kResponseTimeout = 200ms;
+constexpr net::Time kMinRetryDelay = 20ms;  // doubles with each retry
+constexpr net::Time kMaxRetryDelay = 320ms;
+constexpr std::size_t kMaxBatchSize = 256;
 
 }  // namespace
 
@@ -24,93 +24,95 @@
   return line.dump() + "\n";
 }
 
-Poster::Poster(net::Loop& loop, const net::Address& address, std::string host, relay::Counters& counters)
+HttpNoticeSender::HttpNoticeSender(net::Loop& loop, const net::Address& address, std::string host,
+                                   relay::Counters& counters)
     : loop_(loop),
       address_(address),
       host_(std::move(host)),
       counters_(counters),
-      reader_(*this),
-      retry_after_(kRetryFirst),
-      next_(loop, [this] { Next(); }),
-      silence_(loop, [this] { Retry(); }) {}
-
-void Poster::Post(const std::string& id, const journal::Ending& ending) {
-  owed_[id] = NoticeLine(id, ending);
-  if (out_.empty() && !next_.active()) next_.After(net::Time(0));
+      parser_(*this),
+      retry_delay_(kMinRetryDelay),
+      send_timer_(loop, [this] { SendBatch(); }),
+      response_timer_(loop, [this] { Retry(); }) {}
+
+void HttpNoticeSender::Post(const std::string& id, const journal::Ending& ending) {
+  pending_[id] = NoticeLine(id, ending);
+  if (in_flight_.empty() && !send_timer_.active()) send_timer_.After(net::Time(0));
 }
 
-// What is out may have been taken at the old address; telling it twice does no harm, losing it would.
-void Poster::MoveTo(const net::Address& address, std::string host) {
+// The batch in flight may have been accepted at the old address. It is sent again nevertheless: a duplicate
+// notice does no harm, a lost one would.
+void HttpNoticeSender::SetServer(const net::Address& address, std::string host) {
   address_ = address;
   host_ = std::move(host);
-  Drop();
-  silence_.Stop();
-  out_.clear();
-  retry_after_ = kRetryFirst;
-  next_.After(net::Time(0));
+  CloseConnection();
+  response_timer_.Stop();
+  in_flight_.clear();
+  retry_delay_ = kMinRetryDelay;
+  send_timer_.After(net::Time(0));
 }
 
-void Poster::Stop() {
-  Drop();
-  silence_.Stop();
-  next_.Stop();
-  owed_.clear();
-  out_.clear();
+void HttpNoticeSender::Stop() {
+  CloseConnection();
+  response_timer_.Stop();
+  send_timer_.Stop();
+  pending_.clear();
+  in_flight_.clear();
 }
 
-void Poster::Next() {
-  if (owed_.empty() || !out_.empty()) return;
-  for (const auto& [id, line] : owed_) {
-    if (out_.size() < kMostInOne) out_.push_back(id);
+void HttpNoticeSender::SendBatch() {
+  if (pending_.empty() || !in_flight_.empty()) return;
+  for (const auto& [id, line] : pending_) {
+    if (in_flight_.size() < kMaxBatchSize) in_flight_.push_back(id);
   }
-  silence_.After(kAnswerWithin);
-  if (connection_ != nullptr && connection_->IsIdle()) return Write();
-  Drop();
+  response_timer_.After(kResponseTimeout);
+  if (connection_ != nullptr && connection_->IsIdle()) return WriteBatch();
+  CloseConnection();
   connection_ = net::Connection::Open(loop_, address_, *this);
   if (connection_ == nullptr) Retry();
 }
 
-void Poster::Write() {
-  if (out_.empty()) return;
+void HttpNoticeSender::WriteBatch() {
+  if (in_flight_.empty()) return;
   std::string body;
-  for (const std::string& id : out_) body += owed_[id];
-  reader_.Reset();
+  for (const std::string& id : in_flight_) body += pending_[id];
+  parser_.Reset();
   connection_->Send("POST /v1/outcomes HTTP/1.1\r\nHost: " + host_ +
                     "\r\nContent-Type: application/x-ndjson\r\nContent-Length: " +
                     std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-void Poster::OnBytes(proto::RingBuffer& in) {
+void HttpNoticeSender::OnBytes(proto::RingBuffer& in) {
   while (!in.empty() && connection_ != nullptr) {
-    if (out_.empty()) return Retry();  // bytes that answer nothing
-    in.Consume(reader_.Feed(in.Front()));
-    if (reader_.state() == proto::HttpResponseParser::State::kInvalid) return Retry();
+    if (in_flight_.empty()) return Retry();  // bytes that belong to no request
+    in.Consume(parser_.Feed(in.Front()));
+    if (parser_.state() == proto::HttpResponseParser::State::kInvalid) return Retry();
   }
 }
 
-void Poster::OnComplete(bool keep_alive) {
+void HttpNoticeSender::OnComplete(bool keep_alive) {
   if (status_ != 204) return Retry();
-  silence_.Stop();
-  retry_after_ = kRetryFirst;
-  for (const std::string& id : std::exchange(out_, {})) {
-    owed_.erase(id);
+  response_timer_.Stop();
+  retry_delay_ = kMinRetryDelay;
+  for (const std::string& id : std::exchange(in_flight_, {})) {
+    pending_.erase(id);
     relay_->NoticeTaken(id);
   }
-  if (!keep_alive) Drop();
-  if (!owed_.empty()) next_.After(net::Time(0));
+  if (!keep_alive) CloseConnection();
+  if (!pending_.empty()) send_timer_.After(net::Time(0));
 }
 
-void Poster::Retry() {
-  Drop();
-  silence_.Stop();
-  if (out_.empty()) return;
+void HttpNoticeSender::Retry() {
+  CloseConnection();
+  response_timer_.Stop();
+  if (in_flight_.empty()) return;
   counters_.notice_retries += 1;
-  out_.clear();
-  next_.After(retry_after_);
-  retry_after_ = std::min(retry_after_ * 2, kRetryMost);
+  in_flight_.clear();
+  send_timer_.After(retry_delay_);
+  retry_delay_ = std::min(retry_delay_ * 2, kMaxRetryDelay);
 }
 
-void Poster::Drop() {
+void HttpNoticeSender::CloseConnection() {
   if (connection_ != nullptr) connection_->Close();
   loop_.DestroyLater(std::move(connection_));
 }
--- a/src/notice/notice.hpp
+++ b/src/notice/notice.hpp
@@ -1,4 +1,5 @@
-// Notices to the platform: how messages that were not delivered have ended, told until they are taken.
+// Sends notices about the end of undelivered messages to the platform over HTTP, and repeats each one until
+// the platform has accepted it.
 #pragma once
 
 #include <map>
@@ -14,46 +15,49 @@
 
 namespace oxbowspread::notice {
 
-class Poster final : public relay::Notices,
-                     private net::Connection::Handler,
-                     private proto::HttpResponseParser::Handler {
+// Sends one batch of notices at a time over one connection. The loop, the counters and the attached relay
+// must outlive it.
+class HttpNoticeSender final : public relay::Notices,
+                               private net::Connection::Handler,
+                               private proto::HttpResponseParser::Handler {
  public:
-  Poster(net::Loop& loop, const net::Address& address, std::string host, relay::Counters& counters);
+  HttpNoticeSender(net::Loop& loop, const net::Address& address, std::string host, relay::Counters& counters);
   void Attach(relay::Relay& relay) { relay_ = &relay; }
 
-  // The platform is somewhere else now: what is owed, or out unanswered, is told there, at once.
-  void MoveTo(const net::Address& address, std::string host);
-  // Nothing is told any more.
+  // Changes the platform's address; pending and unanswered notices are sent to the new address at once.
+  void SetServer(const net::Address& address, std::string host);
+  // Stops sending and drops all pending notices.
   void Stop();
   void Post(const std::string& id, const journal::Ending& ending) override;
 
  private:
-  void OnConnected() override { Write(); }
+  void OnConnected() override { WriteBatch(); }
   void OnBytes(proto::RingBuffer& in) override;
   void OnClosed() override { Retry(); }
   void OnHead(const proto::HttpResponseHead& head) override { status_ = head.status; }
   void OnBody(std::string_view) override {}
   void OnComplete(bool keep_alive) override;
-  void Next();
-  void Write();
+  void SendBatch();
+  void WriteBatch();
   void Retry();
-  void Drop();
+  void CloseConnection();
 
   net::Loop& loop_;
   net::Address address_;
   std::string host_;
   relay::Counters& counters_;
   relay::Relay* relay_ = nullptr;
-  proto::HttpResponseParser reader_;
+  proto::HttpResponseParser parser_;
   std::unique_ptr<net::Connection> connection_;
-  net::Time retry_after_;
-  net::Timer next_;                          // the next batch, or the next try
-  net::Timer silence_;                       // of a batch that is out
-  std::map<std::string, std::string> owed_;  // lines by id
-  std::vector<std::string> out_;             // ids in the batch that is out
+  net::Time retry_delay_;
+  net::Timer send_timer_;                       // next batch or next retry
+  net::Timer response_timer_;                   // response timeout of the batch in flight
+  std::map<std::string, std::string> pending_;  // notice lines by message id
+  std::vector<std::string> in_flight_;          // message ids in the batch in flight
   int status_ = 0;
 };
 
+// The notice as one line of JSON with its line end.
 std::string NoticeLine(const std::string& id, const journal::Ending& ending);
 
 }  // namespace oxbowspread::notice
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -10,178 +10,184 @@
 
 using namespace std::chrono_literals;
 
-// A discovery that lags tells what was: hosts that drain would come back by it. One that stays behind for so
-// long has begun to count anew. What it says drains or is gone binds meanwhile: see Relay::RoutingBehind.
-constexpr net::Time kBehindMost = 10s;
-constexpr std::size_t kLongestText = 4u << 20;
-// A discovery that has moved closes its connections 1.5 s later; what it has written by then counts as known.
-constexpr net::Time kLeavesWithin = 2s;
-// A connection that hasn't come up after so long goes nowhere: loopback and data centres take far less.
-constexpr net::Time kConnectsWithin = 1s;
+// A list with an older version than the known one comes from a lagging discovery; applying it would bring
+// draining hosts back. If only older versions arrive for this long, discovery has restarted its version
+// count. Until then only the drains and removals of such lists are applied: see relay::Relay.
+constexpr net::Time kMaxStaleTime = 10s;
+constexpr std::size_t kMaxObjectBytes = 4u << 20;
+// Discovery closes its old connections 1.5 s after its address has changed; what it has written to them by
+// then counts as known to the relay.
+constexpr net::Time kDetachedCallTimeout = 2s;
+// A connection that is not established within this time counts as failed: on loopback and within a data
+// centre it takes far less.
+constexpr net::Time kConnectTimeout = 1s;
 
 }  // namespace
 
-Discovery::Discovery(net::Loop& loop, Place place, Names names, relay::Counters& counters)
+DiscoveryClient::DiscoveryClient(net::Loop& loop, Server server, ZoneAndKindNames names,
+                                 relay::Counters& counters)
     : loop_(loop),
-      place_(std::move(place)),
+      server_(std::move(server)),
       names_(std::move(names)),
       counters_(counters),
-      alarm_(loop, [this] { Tell(Subscription::Elapsed{}); }),
-      lease_over_(loop, [this] { LeaseOver(); }),
-      leaving_over_(loop, [this] { CloseLeaving(); }),
-      behind_(loop, [this] {
+      subscription_timer_(loop, [this] { StepSubscription(Subscription::Elapsed{}); }),
+      lease_timer_(loop, [this] { OnLeaseExpired(); }),
+      detach_timer_(loop, [this] { CloseDetached(); }),
+      stale_timer_(loop, [this] {
         revision_ = 0;
-        Tell(Subscription::Distrusted{});
+        StepSubscription(Subscription::Distrusted{});
       }) {}
 
-void Discovery::Start(const Subscription::Options& options, std::uint64_t seed,
-                      const std::optional<wheathub::ListLease::Inherited>& inherited) {
+void DiscoveryClient::Start(const Subscription::Options& options, std::uint64_t seed,
+                            const std::optional<wheathub::ListLease::Inherited>& inherited) {
   subscription_ = std::make_unique<Subscription>(options, seed);
   if (inherited) {
-    TellLease(*inherited);
+    StepLease(*inherited);
   } else {
-    TellLease(wheathub::ListLease::Started{});
+    StepLease(wheathub::ListLease::Started{});
   }
-  Tell(Subscription::Started{inherited.has_value()});
+  StepSubscription(Subscription::Started{inherited.has_value()});
 }
 
-void Discovery::SetOptions(const Subscription::Options& options) {
+void DiscoveryClient::SetOptions(const Subscription::Options& options) {
   if (subscription_ != nullptr) subscription_->SetOptions(options);
 }
 
-void Discovery::MoveTo(Place place) {
-  place_ = std::move(place);
-  LeaveOldPlace();
-  TellLease(wheathub::ListLease::Moved{}, std::max(loop_.earliest_arrival(), started_));
-  Tell(Subscription::Moved{});
+void DiscoveryClient::SetServer(Server server) {
+  server_ = std::move(server);
+  DetachCalls();
+  StepLease(wheathub::ListLease::Moved{}, std::max(loop_.earliest_arrival(), started_));
+  StepSubscription(Subscription::Moved{});
 }
 
-// An answer may be on its way: a drain in it counts from when it was written. So calls stay open until the
-// old place closes them, and what they tell is kept to as far as it drains.
-void Discovery::LeaveOldPlace() {
+// A list may still be in transit, and a drain in it counts from when it was written. So calls to the old
+// address stay open until discovery closes them, and the drains that they bring are applied.
+void DiscoveryClient::DetachCalls() {
   for (std::unique_ptr<Call>& call : std::exchange(calls_, {})) {
-    LogEnd(*call, CallEnd::kMoved);
-    call->Leave();
-    leaving_.push_back(std::move(call));
+    LogEnd(*call, CallEnd::kServerChanged);
+    call->Detach();
+    detached_calls_.push_back(std::move(call));
   }
-  if (!leaving_.empty()) leaving_over_.After(kLeavesWithin);
+  if (!detached_calls_.empty()) detach_timer_.After(kDetachedCallTimeout);
 }
 
-void Discovery::CloseLeaving() {
-  for (std::unique_ptr<Call>& call : std::exchange(leaving_, {})) {
+void DiscoveryClient::CloseDetached() {
+  for (std::unique_ptr<Call>& call : std::exchange(detached_calls_, {})) {
     call->ReadAndClose();
     loop_.DestroyLater(std::move(call));
   }
 }
 
-void Discovery::Left(const Call& call) {
-  const auto it =
-      std::find_if(leaving_.begin(), leaving_.end(), [&](const auto& each) { return each.get() == &call; });
-  if (it == leaving_.end()) return;
-  std::unique_ptr<Call> left = std::move(*it);
-  leaving_.erase(it);
-  left->Close();
-  loop_.DestroyLater(std::move(left));
+void DiscoveryClient::OnDetachedClosed(const Call& call) {
+  const auto it = std::find_if(detached_calls_.begin(), detached_calls_.end(),
+                               [&](const auto& detached_call) { return detached_call.get() == &call; });
+  if (it == detached_calls_.end()) return;
+  std::unique_ptr<Call> closed_call = std::move(*it);
+  detached_calls_.erase(it);
+  closed_call->Close();
+  loop_.DestroyLater(std::move(closed_call));
 }
 
-void Discovery::Stop() {
+void DiscoveryClient::Stop() {
   subscription_.reset();
-  alarm_.Stop();
-  lease_over_.Stop();
-  behind_.Stop();
-  leaving_over_.Stop();
-  CloseLeaving();
-  CloseAll(CallEnd::kNotNeeded);
+  subscription_timer_.Stop();
+  lease_timer_.Stop();
+  stale_timer_.Stop();
+  detach_timer_.Stop();
+  CloseDetached();
+  CloseAll(CallEnd::kSuperseded);
 }
 
-void Discovery::Tell(const Subscription::Event& event) {
+void DiscoveryClient::StepSubscription(const Subscription::Event& event) {
   if (subscription_ == nullptr) return;
   for (const Subscription::Call& call : subscription_->Step(net::Loop::Now(), event)) Open(call);
-  const net::Time next = subscription_->alarm();
-  if (next == net::Time::max()) return alarm_.Stop();
-  alarm_.At(next);
+  const net::Time next_step_at = subscription_->alarm();
+  if (next_step_at == net::Time::max()) return subscription_timer_.Stop();
+  subscription_timer_.At(next_step_at);
 }
 
-// What a call brings may have lain unread while this process stood still: it tells of no later moment than
-// that in which it came, or a heartbeat would vouch for all that discovery has changed since.
-net::Time Discovery::HeardOn(const Call& call) const {
+// The earliest time at which the data of this call may have arrived. After a stall of the process it may have
+// been unread for a while; if it counted as received now, a heartbeat would confirm the list for changes that
+// discovery made after it.
+net::Time DiscoveryClient::EarliestArrivalOn(const Call& call) const {
   return std::max(loop_.earliest_arrival(), call.started());
 }
 
-void Discovery::TellLease(const wheathub::ListLease::Event& event, net::Time at) {
+void DiscoveryClient::StepLease(const wheathub::ListLease::Event& event, net::Time event_time) {
   if (subscription_ == nullptr) return;
   const net::Time now = net::Loop::Now();
-  const net::Time before = lease_.valid_until();
-  const net::Time until = lease_.Step(at, event);
-  if (before <= now && until > now) {
-    std::cout << "list: valid again after " << (now - before) / 1ms << " ms" << std::endl;
+  const net::Time previous_valid_until = lease_.valid_until();
+  const net::Time valid_until = lease_.Step(event_time, event);
+  if (previous_valid_until <= now && valid_until > now) {
+    std::cout << "list: valid again after " << (now - previous_valid_until) / 1ms << " ms" << std::endl;
   }
-  lease_over_.At(until);
-  relay_->ListValidUntil(until);
+  lease_timer_.At(valid_until);
+  relay_->ListValidUntil(valid_until);
 }
 
-void Discovery::TellLeaseOfEnd(const Call& call, CallEnd end) {
+void DiscoveryClient::ReportCallEndToLease(const Call& call, CallEnd end) {
   using Lease = wheathub::ListLease;
-  if (end == CallEnd::kNotConnected) return TellLease(Lease::Unreachable{}, HeardOn(call));
+  if (end == CallEnd::kNotConnected) return StepLease(Lease::Unreachable{}, EarliestArrivalOn(call));
   if (call.subscribed()) {
-    const bool ended = end == CallEnd::kEnded && !call.in_message();
-    return TellLease(ended ? Lease::Event(Lease::SubscriptionEnded{}) : Lease::SubscriptionBroken{});
+    const bool ended_by_server = end == CallEnd::kEnded && !call.in_message();
+    return StepLease(ended_by_server ? Lease::Event(Lease::SubscriptionEnded{})
+                                     : Lease::SubscriptionBroken{});
   }
-  const Lease::Event refused = Lease::Refused(call.started(), HeardOn(call));
-  const bool late = std::holds_alternative<Lease::RefusedLate>(refused);
-  // A connection that is closed at once may have broken by itself.
-  if (end == CallEnd::kRefused || (end == CallEnd::kClosed && late)) TellLease(refused);
+  const Lease::Event refused = Lease::Refused(call.started(), EarliestArrivalOn(call));
+  const bool refused_late = std::holds_alternative<Lease::RefusedLate>(refused);
+  // A connection that is closed immediately may have failed on the network, so it is no refusal.
+  if (end == CallEnd::kRefused || (end == CallEnd::kClosed && refused_late)) StepLease(refused);
 }
 
-void Discovery::LeaseOver() {
+void DiscoveryClient::OnLeaseExpired() {
   counters_.list_leases_over += 1;
   std::cout << "list: not confirmed for too long, no call begins" << std::endl;
 }
 
-const Discovery::Call* Discovery::ConnectsInVain() const {
+const DiscoveryClient::Call* DiscoveryClient::FindUnconnectedCall() const {
   const auto it = std::find_if(calls_.begin(), calls_.end(), [](const std::unique_ptr<Call>& call) {
-    return !call->connected() && call->age() >= kConnectsWithin;
+    return !call->connected() && call->age() >= kConnectTimeout;
   });
   return it == calls_.end() ? nullptr : it->get();
 }
 
-void Discovery::Open(const Subscription::Call& call) {
-  // Another call while one stands: it is silent.
-  if (subscription_->subscription() != 0) TellLease(wheathub::ListLease::SubscriptionBroken{});
-  if (const Call* const vain = ConnectsInVain()) {
-    TellLease(wheathub::ListLease::Unreachable{}, HeardOn(*vain));
+void DiscoveryClient::Open(const Subscription::Call& call) {
+  // A new call while a subscription exists means that the subscription is silent.
+  if (subscription_->subscription() != 0) StepLease(wheathub::ListLease::SubscriptionBroken{});
+  if (const Call* const unconnected = FindUnconnectedCall()) {
+    StepLease(wheathub::ListLease::Unreachable{}, EarliestArrivalOn(*unconnected));
   }
   if (call.gives_up) {
     counters_.list_failures += 1;
-    Drop(*call.gives_up, CallEnd::kGivenUp);
+    CloseCall(*call.gives_up, CallEnd::kGivenUp);
   }
   counters_.watches += 1;
-  std::cout << "list: call " << call.number << " to " << place_.host << " from version " << revision_
+  std::cout << "list: call " << call.number << " to " << server_.host << " from version " << revision_
             << std::endl;
   calls_.push_back(std::make_unique<Call>(*this, call.number));
-  // Without a socket the call has failed.
-  if (!calls_.back()->Open(place_, revision_)) Failed(call.number, CallEnd::kNoSocket);
+  // Without a socket the call has failed already.
+  if (!calls_.back()->Open(server_, revision_)) OnFailed(call.number, CallEnd::kNoSocket);
 }
 
-const char* Discovery::NameOf(CallEnd end) {
+const char* DiscoveryClient::NameOf(CallEnd end) {
   constexpr const char* kNames[] = {
       "no socket",          "not connected", "refused",    "closed before a list", "unreadable",
       "subscription ended", "given up",      "not needed", "discovery has moved"};
   return kNames[static_cast<int>(end)];
 }
 
-void Discovery::LogEnd(const Call& call, CallEnd end) {
+void DiscoveryClient::LogEnd(const Call& call, CallEnd end) {
   std::cout << "list: call " << call.number() << " over after " << call.age() / 1ms << " ms: " << NameOf(end)
             << std::endl;
 }
 
-Discovery::Call* Discovery::Find(Number number) const {
+DiscoveryClient::Call* DiscoveryClient::Find(CallNumber number) const {
   const auto it = std::find_if(calls_.begin(), calls_.end(),
                                [number](const auto& call) { return call->number() == number; });
   return it == calls_.end() ? nullptr : it->get();
 }
 
-void Discovery::Drop(Number number, CallEnd end) {
+void DiscoveryClient::CloseCall(CallNumber number, CallEnd end) {
   const auto it = std::find_if(calls_.begin(), calls_.end(),
                                [number](const auto& call) { return call->number() == number; });
   if (it == calls_.end()) return;
@@ -192,7 +198,7 @@
   loop_.DestroyLater(std::move(call));
 }
 
-void Discovery::CloseAll(CallEnd end) {
+void DiscoveryClient::CloseAll(CallEnd end) {
   for (std::unique_ptr<Call>& call : std::exchange(calls_, {})) {
     LogEnd(*call, end);
     call->ReadAndClose();
@@ -200,140 +206,142 @@
   }
 }
 
-// It is the subscription. What another call has brought unread is told before that is closed.
-void Discovery::Heard(Number number) {
-  heard_at_ = net::Loop::Now();
+// This call is the subscription now; the others are closed, after what has arrived on them was processed.
+void DiscoveryClient::OnReceived(CallNumber number) {
+  last_received_at_ = net::Loop::Now();
   if (subscription_ == nullptr) return;
-  const Call* const heard = Find(number);
-  TellLease(wheathub::ListLease::Confirmed{}, heard == nullptr ? net::Loop::Now() : HeardOn(*heard));
-  const Number before = subscription_->subscription();
-  Tell(Subscription::Heard{number});
-  if (before == number || subscription_->subscription() != number) return;
+  const Call* const received_on = Find(number);
+  StepLease(wheathub::ListLease::Confirmed{},
+            received_on == nullptr ? net::Loop::Now() : EarliestArrivalOn(*received_on));
+  const CallNumber previous_subscription = subscription_->subscription();
+  StepSubscription(Subscription::Heard{number});
+  if (previous_subscription == number || subscription_->subscription() != number) return;
   auto others = std::partition(calls_.begin(), calls_.end(),
                                [number](const auto& call) { return call->number() == number; });
   std::vector<std::unique_ptr<Call>> closing(std::make_move_iterator(others),
                                              std::make_move_iterator(calls_.end()));
   calls_.erase(others, calls_.end());
   for (std::unique_ptr<Call>& call : closing) {
-    LogEnd(*call, CallEnd::kNotNeeded);
+    LogEnd(*call, CallEnd::kSuperseded);
     call->ReadAndClose();
     loop_.DestroyLater(std::move(call));
   }
 }
 
-void Discovery::Failed(Number number, CallEnd end) {
+void DiscoveryClient::OnFailed(CallNumber number, CallEnd end) {
   counters_.list_failures += 1;
-  if (const Call* call = Find(number)) TellLeaseOfEnd(*call, end);
-  Drop(number, end);
-  Tell(Subscription::Failed{number});
+  if (const Call* call = Find(number)) ReportCallEndToLease(*call, end);
+  CloseCall(number, end);
+  StepSubscription(Subscription::Failed{number});
 }
 
-bool Discovery::TakeList(std::string_view text) {
-  const auto list = ReadList(text, names_);
+bool DiscoveryClient::ApplyList(std::string_view text) {
+  const auto list = ParseHostList(text, names_);
   if (!list) return false;
-  NoteUnreadable(list->unreadable);
+  ReportInvalidEntries(list->invalid_entries);
   const relay::RoutingChange& change = list->change;
-  std::cout << "list: version " << change.revision << " told, " << revision_ << " known, "
+  std::cout << "list: version " << change.revision << " received, " << revision_ << " known, "
             << change.hosts.size() << " entries" << std::endl;
   if (change.revision > 0 && change.revision < revision_) {
     counters_.lists_behind += 1;
-    if (!behind_.active()) behind_.After(kBehindMost);
+    if (!stale_timer_.active()) stale_timer_.After(kMaxStaleTime);
     relay_->RoutingBehind(change);
     return true;
   }
-  behind_.Stop();
+  stale_timer_.Stop();
   revision_ = change.revision;
   relay_->RoutingChanged(change);
   return true;
 }
 
-// What drains by it does so until the new place has told its list, or for kBehindMost.
-bool Discovery::TakeDrains(std::string_view text) {
-  const auto list = ReadList(text, names_);
+// The drains of this list hold until a list from the new address arrives, or for kMaxStaleTime.
+bool DiscoveryClient::ApplyStaleList(std::string_view text) {
+  const auto list = ParseHostList(text, names_);
   if (!list) return false;
-  if (!behind_.active()) behind_.After(kBehindMost);
+  if (!stale_timer_.active()) stale_timer_.After(kMaxStaleTime);
   relay_->RoutingBehind(list->change);
   return true;
 }
 
-// Once for the same ones, however often they are listed.
-void Discovery::NoteUnreadable(const std::vector<std::string>& entries) {
+// Logs the same entries only once, however often they are received.
+void DiscoveryClient::ReportInvalidEntries(const std::vector<std::string>& entries) {
   counters_.list_entries_unreadable += entries.size();
-  if (entries.empty() || entries.front() == last_unreadable_) return;
-  last_unreadable_ = entries.front();
+  if (entries.empty() || entries.front() == last_reported_invalid_) return;
+  last_reported_invalid_ = entries.front();
   std::cerr << "discovery: " << entries.size() << " entries of the list can't be read, the first one is "
-            << last_unreadable_ << std::endl;
+            << last_reported_invalid_ << std::endl;
 }
 
 // ---- one call ----
 
-Discovery::Call::Call(Discovery& discovery, Number number)
-    : discovery_(discovery), number_(number), reader_(*this) {}
+DiscoveryClient::Call::Call(DiscoveryClient& discovery, CallNumber number)
+    : discovery_(discovery), number_(number), parser_(*this) {}
 
-bool Discovery::Call::Open(const Place& place, std::int64_t from_revision) {
+bool DiscoveryClient::Call::Open(const Server& server, std::int64_t from_revision) {
   request_ = "GET /discovery/hosts?watch=1&from=" + std::to_string(from_revision) +
-             " HTTP/1.1\r\nHost: " + place.host + "\r\n\r\n";
-  connection_ = net::Connection::Open(discovery_.loop_, place.address, *this);
+             " HTTP/1.1\r\nHost: " + server.host + "\r\n\r\n";
+  connection_ = net::Connection::Open(discovery_.loop_, server.address, *this);
   return connection_ != nullptr;
 }
 
-void Discovery::Call::Close() {
-  over_ = true;
+void DiscoveryClient::Call::Close() {
+  finished_ = true;
   if (connection_ != nullptr) connection_->Close();
 }
 
-void Discovery::Call::ReadAndClose() {
-  if (connection_ != nullptr && !over_) connection_->ReadNow();
+void DiscoveryClient::Call::ReadAndClose() {
+  if (connection_ != nullptr && !finished_) connection_->ReadNow();
   Close();
 }
 
-// A change that has come is told before anything that goes by the list is done.
-void Discovery::Call::OnConnected() {
+// Prioritized, so that a received change is applied before anything that depends on the list.
+void DiscoveryClient::Call::OnConnected() {
   connected_ = true;
   connection_->Prioritize();
   connection_->Send(request_);
 }
 
-void Discovery::Call::OnBytes(proto::RingBuffer& in) {
-  while (!in.empty() && !over_) {
-    in.Consume(reader_.Feed(in.Front()));
-    if (reader_.state() == proto::HttpResponseParser::State::kInvalid) return Fail(CallEnd::kUnreadable);
-    if (reader_.state() == proto::HttpResponseParser::State::kComplete) return;
+void DiscoveryClient::Call::OnBytes(proto::RingBuffer& in) {
+  while (!in.empty() && !finished_) {
+    in.Consume(parser_.Feed(in.Front()));
+    if (parser_.state() == proto::HttpResponseParser::State::kInvalid) return Finish(CallEnd::kUnreadable);
+    if (parser_.state() == proto::HttpResponseParser::State::kComplete) return;
   }
 }
 
-void Discovery::Call::OnHead(const proto::HttpResponseHead& head) {
-  if (head.status != 200) Fail(CallEnd::kRefused);
+void DiscoveryClient::Call::OnHead(const proto::HttpResponseHead& head) {
+  if (head.status != 200) Finish(CallEnd::kRefused);
 }
 
-// Only what is whole is a sign of life: a list, a change, or an empty line behind the first list.
-void Discovery::Call::OnBody(std::string_view bytes) {
-  if (over_) return;
-  const ListStream::Units units = stream_.Feed(bytes);
-  if (stream_.held() > kLongestText) return Fail(CallEnd::kUnreadable);
-  for (const std::string& object : units.objects) {
-    if (over_) return;
-    const bool taken = leaving_ ? discovery_.TakeDrains(object) : discovery_.TakeList(object);
-    if (!taken) return Fail(CallEnd::kUnreadable);
+// Only complete messages show that discovery is alive: a list, a change, or an empty line after the first
+// list.
+void DiscoveryClient::Call::OnBody(std::string_view bytes) {
+  if (finished_) return;
+  const JsonStreamSplitter::Batch batch = stream_.Feed(bytes);
+  if (stream_.pending_bytes() > kMaxObjectBytes) return Finish(CallEnd::kUnreadable);
+  for (const std::string& object : batch.objects) {
+    if (finished_) return;
+    const bool applied = detached_ ? discovery_.ApplyStaleList(object) : discovery_.ApplyList(object);
+    if (!applied) return Finish(CallEnd::kUnreadable);
   }
-  if (leaving_) return;
-  listed_ = listed_ || !units.objects.empty();
-  const bool something_whole = !units.objects.empty() || units.empty_lines > 0;
-  if (listed_ && something_whole && !over_) discovery_.Heard(number_);
+  if (detached_) return;
+  received_list_ = received_list_ || !batch.objects.empty();
+  const bool has_complete_part = !batch.objects.empty() || batch.empty_lines > 0;
+  if (received_list_ && has_complete_part && !finished_) discovery_.OnReceived(number_);
 }
 
-// A watch lasts until its connection ends: one that is whole has ended.
-void Discovery::Call::OnComplete(bool) { Fail(listed_ ? CallEnd::kEnded : CallEnd::kClosed); }
+// A subscription lasts as long as its response: a complete response means that it has ended.
+void DiscoveryClient::Call::OnComplete(bool) { Finish(received_list_ ? CallEnd::kEnded : CallEnd::kClosed); }
 
-void Discovery::Call::OnClosed() {
-  if (!connected_) return Fail(CallEnd::kNotConnected);
-  Fail(listed_ ? CallEnd::kEnded : CallEnd::kClosed);
+void DiscoveryClient::Call::OnClosed() {
+  if (!connected_) return Finish(CallEnd::kNotConnected);
+  Finish(received_list_ ? CallEnd::kEnded : CallEnd::kClosed);
 }
 
-void Discovery::Call::Fail(CallEnd end) {
-  if (std::exchange(over_, true)) return;
-  if (leaving_) return discovery_.Left(*this);
-  discovery_.Failed(number_, end);
+void DiscoveryClient::Call::Finish(CallEnd end) {
+  if (std::exchange(finished_, true)) return;
+  if (detached_) return discovery_.OnDetachedClosed(*this);
+  discovery_.OnFailed(number_, end);
 }
 
 }  // namespace oxbowspread::routing
--- a/src/routing/discovery.hpp
+++ b/src/routing/discovery.hpp
@@ -1,5 +1,5 @@
-// Discovery on sockets: carries out the calls that ListSubscription orders, and hands on what they bring. It
-// decides nothing about time.
+// Client of the discovery service: makes the calls that wheathub::ListSubscription asks for, and passes the
+// received lists to the relay. The timing of calls and retries is decided by ListSubscription and ListLease.
 #pragma once
 
 #include <cstdint>
@@ -19,68 +19,70 @@
 
 namespace oxbowspread::routing {
 
-class Discovery final {
+// Keeps the relay's routing table up to date. The loop, the counters and the attached relay must outlive it.
+class DiscoveryClient final {
  public:
-  struct Place {
+  struct Server {
     net::Address address;
     std::string host;  // for the Host header
   };
 
-  Discovery(net::Loop& loop, Place place, Names names, relay::Counters& counters);
+  DiscoveryClient(net::Loop& loop, Server server, ZoneAndKindNames names, relay::Counters& counters);
   void Attach(relay::Relay& relay) { relay_ = &relay; }
-  // The version of the list that is known.
-  void Known(std::int64_t revision) { revision_ = revision; }
-  // Zones and kinds are named so from now on.
-  void SetNames(Names names) { names_ = std::move(names); }
+  // Sets the version of the list that is already known, before Start.
+  void SetKnownRevision(std::int64_t revision) { revision_ = revision; }
+  // Changes the names of zones and kinds for lists received from now on.
+  void SetNames(ZoneAndKindNames names) { names_ = std::move(names); }
 
-  // From now on the list is kept up to date. `inherited` where another process did so until now.
+  // Starts to keep the list up to date. `inherited` is set if another process did so until now.
   void Start(const wheathub::ListSubscription::Options& options, std::uint64_t seed,
              const std::optional<wheathub::ListLease::Inherited>& inherited);
-  // Until when the list may be used.
+  // The time until which the list may be used.
   net::Time list_valid_until() const { return lease_.valid_until(); }
   void SetOptions(const wheathub::ListSubscription::Options& options);
-  // Discovery is somewhere else now.
-  void MoveTo(Place place);
-  // Nothing is asked for any more.
+  // Changes the address of discovery.
+  void SetServer(Server server);
+  // Closes all calls and makes no new ones.
   void Stop();
-  // Since discovery last said anything whole: up to 2 s while all is well.
-  net::Time age() const { return net::Loop::Now() - heard_at_; }
+  // Time since the last complete message from discovery; up to 2 s in normal operation.
+  net::Time time_since_received() const { return net::Loop::Now() - last_received_at_; }
 
  private:
   using Subscription = wheathub::ListSubscription;
-  using Number = Subscription::CallNumber;
+  using CallNumber = Subscription::CallNumber;
 
-  // Why a call for the list, or the subscription that it had become, is over.
+  // Why a call for the list, or the subscription that it became, has ended.
   enum class CallEnd {
     kNoSocket,
     kNotConnected,
-    kRefused,     // by a status other than 200
-    kClosed,      // by discovery, before it had told a list
-    kUnreadable,  // what came is no list
-    kEnded,       // the subscription, by discovery
-    kGivenUp,     // unanswered for too long
-    kNotNeeded,   // another call was answered
-    kMoved,       // discovery is somewhere else
+    kRefused,        // with a status other than 200
+    kClosed,         // by discovery, before it sent a list
+    kUnreadable,     // invalid data was received
+    kEnded,          // the subscription was ended by discovery
+    kGivenUp,        // no answer for too long
+    kSuperseded,     // another call was answered
+    kServerChanged,  // discovery's address has changed
   };
   static const char* NameOf(CallEnd end);
 
-  // One call, from its connection's start to its end: first unanswered, then the subscription.
+  // One call from connecting to closing. Becomes the subscription when it has received its first list.
   class Call final : public net::Connection::Handler, private proto::HttpResponseParser::Handler {
    public:
-    Call(Discovery& discovery, Number number);
-    bool Open(const Place& place, std::int64_t from_revision);
+    Call(DiscoveryClient& discovery, CallNumber number);
+    bool Open(const Server& server, std::int64_t from_revision);
     void Close();
-    // Takes what has come unread, then closes.
+    // Processes what has arrived, then closes.
     void ReadAndClose();
-    // Discovery has moved: what this one still tells drains counts, and it tells of no life any more.
-    void Leave() { leaving_ = true; }
-    Number number() const { return number_; }
+    // Discovery's address has changed: drains that still arrive on this call are applied, but it no longer
+    // counts as a sign that discovery is alive.
+    void Detach() { detached_ = true; }
+    CallNumber number() const { return number_; }
     net::Time age() const { return net::Loop::Now() - started_; }
     net::Time started() const { return started_; }
     bool connected() const { return connected_; }
-    bool subscribed() const { return listed_; }
-    // Part of a message has come, and the rest has not.
-    bool in_message() const { return stream_.held() > 0; }
+    bool subscribed() const { return received_list_; }
+    // Whether a message has been received only in part.
+    bool in_message() const { return stream_.pending_bytes() > 0; }
 
    private:
     void OnConnected() override;
@@ -89,61 +91,65 @@
     void OnHead(const proto::HttpResponseHead& head) override;
     void OnBody(std::string_view bytes) override;
     void OnComplete(bool keep_alive) override;
-    void Fail(CallEnd end);
+    void Finish(CallEnd end);
 
-    Discovery& discovery_;
-    Number number_;
+    DiscoveryClient& discovery_;
+    CallNumber number_;
     net::Time started_ = net::Loop::Now();
-    bool connected_ = false;  // once
-    bool over_ = false;
-    bool leaving_ = false;
-    proto::HttpResponseParser reader_;
+    bool connected_ = false;  // the connection was established, even if it is closed now
+    bool finished_ = false;
+    bool detached_ = false;
+    proto::HttpResponseParser parser_;
     std::unique_ptr<net::Connection> connection_;
     std::string request_;
-    ListStream stream_;
-    bool listed_ = false;  // has told a list; until then nothing is an answer
+    JsonStreamSplitter stream_;
+    bool received_list_ = false;  // until then nothing counts as an answer
   };
 
-  void Tell(const Subscription::Event& event);
-  // What the end of that call says of discovery.
-  void TellLeaseOfEnd(const Call& call, CallEnd end);
-  void TellLease(const wheathub::ListLease::Event& event) { TellLease(event, net::Loop::Now()); }
-  void TellLease(const wheathub::ListLease::Event& event, net::Time at);
-  net::Time HeardOn(const Call& call) const;
-  void LeaseOver();
-  // Whether a call has waited so long for its connection that discovery can't be reached.
-  const Call* ConnectsInVain() const;  // null: none does
+  void StepSubscription(const Subscription::Event& event);
+  // Reports to the lease what the end of that call says about discovery.
+  void ReportCallEndToLease(const Call& call, CallEnd end);
+  void StepLease(const wheathub::ListLease::Event& event) { StepLease(event, net::Loop::Now()); }
+  void StepLease(const wheathub::ListLease::Event& event, net::Time event_time);
+  // Earliest time at which the data received on that call may have arrived.
+  net::Time EarliestArrivalOn(const Call& call) const;
+  void OnLeaseExpired();
+  // A call that has been connecting for so long that discovery counts as unreachable; null without one.
+  const Call* FindUnconnectedCall() const;
   void Open(const Subscription::Call& call);
-  Call* Find(Number number) const;
-  void LeaveOldPlace();
-  void CloseLeaving();
-  void Left(const Call& call);
-  bool TakeDrains(std::string_view text);
-  void Drop(Number number, CallEnd end);
+  Call* Find(CallNumber number) const;
+  // Keeps the open calls to the previous address apart until discovery closes them.
+  void DetachCalls();
+  void CloseDetached();
+  void OnDetachedClosed(const Call& call);
+  // Applies only the drains and removals of a list. False if it can't be parsed.
+  bool ApplyStaleList(std::string_view text);
+  void CloseCall(CallNumber number, CallEnd end);
   void CloseAll(CallEnd end);
-  void Heard(Number number);
-  void Failed(Number number, CallEnd end);
+  void OnReceived(CallNumber number);
+  void OnFailed(CallNumber number, CallEnd end);
   static void LogEnd(const Call& call, CallEnd end);
-  bool TakeList(std::string_view text);
-  void NoteUnreadable(const std::vector<std::string>& entries);
+  // Passes a list on to the relay. False if it can't be parsed.
+  bool ApplyList(std::string_view text);
+  void ReportInvalidEntries(const std::vector<std::string>& entries);
 
   net::Loop& loop_;
-  Place place_;
-  Names names_;
+  Server server_;
+  ZoneAndKindNames names_;
   relay::Counters& counters_;
   relay::Relay* relay_ = nullptr;
-  std::unique_ptr<Subscription> subscription_;  // once started
+  std::unique_ptr<Subscription> subscription_;  // null until started
   wheathub::ListLease lease_;
   std::vector<std::unique_ptr<Call>> calls_;
-  std::vector<std::unique_ptr<Call>> leaving_;  // to where discovery was before
+  std::vector<std::unique_ptr<Call>> detached_calls_;  // to discovery's previous address
   std::int64_t revision_ = 0;
   net::Time started_ = net::Loop::Now();
-  net::Time heard_at_ = started_;
-  std::string last_unreadable_;  // named in the log last
-  net::Timer alarm_;
-  net::Timer lease_over_;
-  net::Timer leaving_over_;
-  net::Timer behind_;  // runs while all that comes is older than what is known
+  net::Time last_received_at_ = started_;
+  std::string last_reported_invalid_;  // the id logged last
+  net::Timer subscription_timer_;
+  net::Timer lease_timer_;
+  net::Timer detach_timer_;
+  net::Timer stale_timer_;  // runs while all received lists are older than the known one
 };
 
 }  // namespace oxbowspread::routing
--- a/src/routing/list.cpp
+++ b/src/routing/list.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-int Place(const Json& entry, const char* key, const std::vector<std::string>& names) {
+int IndexOf(const Json& entry, const char* key, const std::vector<std::string>& names) {
   const auto it = entry.find(key);
   if (it == entry.end()) return 0;
   if (it->is_number_integer()) return *it;
@@ -18,27 +18,27 @@
   const auto text = it->get<std::string>();
   const auto name = std::find(names.begin(), names.end(), text);
   if (name != names.end()) return static_cast<int>(name - names.begin());
-  // A name that the settings lack is a place of its own: two strange zones must not pass for one.
+  // A name that is not in the settings gets an index of its own: two unknown zones must not count as the
+  // same.
   return static_cast<int>(names.size() + std::hash<std::string>()(text) % 1'000'000);
 }
 
-wheathub::Lifecycle StateOf(const std::string& word) {
+wheathub::Lifecycle ParseLifecycle(const std::string& word) {
   if (word == "Ready") return wheathub::Lifecycle::kUp;
-  // An unknown state is no leave to send there.
+  // A host in an unknown state counts as draining, so that nothing is sent to it.
   return word == "Gone" ? wheathub::Lifecycle::kRemoved : wheathub::Lifecycle::kDraining;
 }
 
-// One entry that can't be read hides neither the others nor the drain of one of them, and its own host gets
-// nothing new.
-relay::Host ReadHost(const Json& entry, const std::string& id, const Names& names) {
+// Throws Json::exception if a field has the wrong type.
+relay::Host ParseHost(const Json& entry, const std::string& id, const ZoneAndKindNames& names) {
   relay::Host host;
   host.info.id = id;
   host.address = entry.value("addr", "");
   host.info.destination = entry.value("cell", std::int64_t{0});
-  host.info.zone = Place(entry, "zone", names.zones);
-  host.info.kind = Place(entry, "kind", names.kinds);
+  host.info.zone = IndexOf(entry, "zone", names.zones);
+  host.info.kind = IndexOf(entry, "kind", names.kinds);
   host.info.weight = entry.value("weight", 1.0);
-  host.info.lifecycle = StateOf(entry.value("state", "Ready"));
+  host.info.lifecycle = ParseLifecycle(entry.value("state", "Ready"));
   return host;
 }
 
@@ -47,13 +47,15 @@
   return entry["id"].get<std::string>();
 }
 
-void ReadEntry(const Json& entry, const Names& names, List* list) {
+// An invalid entry must not hide the other entries or the drain of one of them. Its own host counts as
+// draining, so that it gets no new calls.
+void ParseEntry(const Json& entry, const ZoneAndKindNames& names, HostList* list) {
   const std::string id = IdOf(entry);
-  if (id.empty()) return list->unreadable.push_back("one without an id");
+  if (id.empty()) return list->invalid_entries.push_back("one without an id");
   try {
-    list->change.hosts.push_back(ReadHost(entry, id, names));
+    list->change.hosts.push_back(ParseHost(entry, id, names));
   } catch (const Json::exception&) {
-    list->unreadable.push_back(id);
+    list->invalid_entries.push_back(id);
     relay::Host draining;
     draining.info.id = id;
     draining.info.lifecycle = wheathub::Lifecycle::kDraining;
@@ -64,49 +66,49 @@
 
 }  // namespace
 
-std::optional<List> ReadList(std::string_view json, const Names& names) {
+std::optional<HostList> ParseHostList(std::string_view json, const ZoneAndKindNames& names) {
   const Json root = Json::parse(json, nullptr, false);
   if (!root.is_object()) return std::nullopt;
   try {
-    List list;
+    HostList list;
     list.change.revision = root.value("version", std::int64_t{0});
     const bool full = root.value("full", false);
     list.change.scope = full ? wheathub::ListScope::kAll : wheathub::ListScope::kChanges;
     const Json servers = root.value("servers", Json::array());
     if (!servers.is_array()) return std::nullopt;
-    for (const Json& entry : servers) ReadEntry(entry, names, &list);
+    for (const Json& entry : servers) ParseEntry(entry, names, &list);
     return list;
   } catch (const Json::exception&) {
     return std::nullopt;
   }
 }
 
-ListStream::Units ListStream::Feed(std::string_view bytes) {
-  Units units;
+JsonStreamSplitter::Batch JsonStreamSplitter::Feed(std::string_view bytes) {
+  Batch batch;
   for (const char c : bytes) {
-    const bool space = c == ' ' || c == '\t' || c == '\r' || c == '\n';
-    if (text_.empty() && space) {
-      units.empty_lines += c == '\n' && line_empty_;
-      if (c == '\n') line_empty_ = true;
+    const bool is_space = c == ' ' || c == '\t' || c == '\r' || c == '\n';
+    if (object_text_.empty() && is_space) {
+      batch.empty_lines += c == '\n' && line_is_empty_;
+      if (c == '\n') line_is_empty_ = true;
       continue;
     }
-    line_empty_ = false;
-    text_ += c;
-    if (quoted_) {
-      quoted_ = escaped_ || c != '"';
+    line_is_empty_ = false;
+    object_text_ += c;
+    if (in_string_) {
+      in_string_ = escaped_ || c != '"';
       escaped_ = c == '\\' && !escaped_;
       continue;
     }
-    quoted_ = c == '"';
-    if (c == '{' || c == '[') depth_ += 1;
-    if (c == '}' || c == ']') depth_ -= 1;
-    const bool closed = c == '}' || c == ']';
-    if (depth_ > 0 || (!closed && c != '\n')) continue;
-    if (c == '\n') line_empty_ = true;
-    units.objects.push_back(std::exchange(text_, {}));
-    depth_ = 0;
+    in_string_ = c == '"';
+    if (c == '{' || c == '[') bracket_depth_ += 1;
+    if (c == '}' || c == ']') bracket_depth_ -= 1;
+    const bool is_closing_bracket = c == '}' || c == ']';
+    if (bracket_depth_ > 0 || (!is_closing_bracket && c != '\n')) continue;
+    if (c == '\n') line_is_empty_ = true;
+    batch.objects.push_back(std::exchange(object_text_, {}));
+    bracket_depth_ = 0;
   }
-  return units;
+  return batch;
 }
 
 }  // namespace oxbowspread::routing
--- a/src/routing/list.hpp
+++ b/src/routing/list.hpp
@@ -1,4 +1,4 @@
-// Discovery's JSON: one list, or one line of a watch. Knows no socket.
+// Parser of discovery's JSON: complete host lists, and the messages of a subscription. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,39 +11,40 @@
 
 namespace oxbowspread::routing {
 
-// The names by which the list tells zones and kinds, in the settings' order.
-struct Names {
+// The names that the list uses for zones and destination kinds, in the order of the settings.
+struct ZoneAndKindNames {
   std::vector<std::string> zones, kinds;
 };
 
-struct List {
+// A parsed list or change.
+struct HostList {
   relay::RoutingChange change;
-  // Entries that can't be read: by id, where that can be. Such a host stands in `change` as draining, since
-  // what discovery says of it is not known; one without an id can't be told apart from any other.
-  std::vector<std::string> unreadable;
+  // Entries that could not be parsed, by id if they have one. `change` holds such a host as draining, since
+  // its real state is unknown. An entry without an id can't be assigned to a host and is left out.
+  std::vector<std::string> invalid_entries;
 };
 
-// Nothing if it can't be read as a whole. Unknown keys are passed over.
-std::optional<List> ReadList(std::string_view json, const Names& names);
+// Empty if the text is not a list at all. Unknown keys are ignored.
+std::optional<HostList> ParseHostList(std::string_view json, const ZoneAndKindNames& names);
 
-// Cuts a watch into its objects, one a line or indented over several, however its bytes come.
-class ListStream {
+// Splits the byte stream of a subscription into its JSON objects, each on one line or indented over several.
+class JsonStreamSplitter {
  public:
-  struct Units {
+  struct Batch {
     std::vector<std::string> objects;
     int empty_lines = 0;  // between objects, or before the first
   };
-  // What is whole by these bytes. Anything but white space between two is an object that can't be read, up to
-  // the line's end.
-  Units Feed(std::string_view bytes);
-  // Of an object that isn't whole.
-  std::size_t held() const { return text_.size(); }
+  // Returns the objects and empty lines that these bytes complete. Text between two objects other than white
+  // space is returned as an (invalid) object, up to the end of its line.
+  Batch Feed(std::string_view bytes);
+  // Bytes held of an incomplete object.
+  std::size_t pending_bytes() const { return object_text_.size(); }
 
  private:
-  std::string text_;  // from the object's first byte
-  int depth_ = 0;     // brackets that are open
-  bool quoted_ = false, escaped_ = false;
-  bool line_empty_ = true;  // so far, where no object is open
+  std::string object_text_;  // of the incomplete object
+  int bracket_depth_ = 0;    // number of open brackets
+  bool in_string_ = false, escaped_ = false;
+  bool line_is_empty_ = true;  // only spaces so far in the line, outside of objects
 };
 
 }  // namespace oxbowspread::routing
--- a/tests/relay/door_test.cpp
+++ b/tests/relay/door_test.cpp
@@ -18,7 +18,7 @@
 namespace oxbowspread::testing {
 namespace {
 
-using door::CallReader;
+using management::CommandReader;
 
 struct Doored {
   World world;
@@ -48,21 +48,21 @@
 TEST_CASE("a call at the door is one line of a word and perhaps an argument, cut at any byte") {
   const std::string line = "exclude s-1\r\n";
   for (std::size_t cut = 0; cut <= line.size(); ++cut) {
-    CallReader reader;
+    CommandReader reader;
     reader.Feed(line.substr(0, cut));
     reader.Feed(line.substr(cut));
-    REQUIRE(reader.state() == CallReader::State::kWhole);
-    CHECK(reader.call().word == "exclude");
-    CHECK(reader.call().argument == "s-1");
+    REQUIRE(reader.state() == CommandReader::State::kComplete);
+    CHECK(reader.command().name == "exclude");
+    CHECK(reader.command().argument == "s-1");
   }
   for (const std::string bad : {"\n", "a b c\n", "a\tb\n"}) {
-    CallReader reader;
+    CommandReader reader;
     reader.Feed(bad);
-    CHECK(reader.state() == CallReader::State::kBad);
+    CHECK(reader.state() == CommandReader::State::kInvalid);
   }
-  CallReader endless;
-  CHECK(endless.Feed(std::string(10000, 'x')) <= CallReader::kLongest + 1);
-  CHECK(endless.state() == CallReader::State::kBad);
+  CommandReader endless;
+  CHECK(endless.Feed(std::string(10000, 'x')) <= CommandReader::kMaxLineBytes + 1);
+  CHECK(endless.state() == CommandReader::State::kInvalid);
 }
 
 TEST_CASE("what is out drains whatever discovery tells of it: moved, gone and back, or in a whole list") {
