--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -43,7 +43,7 @@
 // A new process must be ready 6 s after its start; the old one may need a moment before it can hand over.
 constexpr handover::Timeout kTakeoverTimeout = 5s;
 
-static_assert(config::Config::kManagementDescriptors == door::Door::kDescriptors,
+static_assert(config::Config::kManagementDescriptors == management::ManagementServer::kDescriptors,
               "the configuration must reserve as many descriptors as the management listener uses");
 
 // Exit codes, besides 1 for any other failure to start.
@@ -91,7 +91,7 @@
         endpoints_(loop_, PoolLimitsOf(config), counters_),
         attempts_(
             loop_, endpoints_,
-            [this](const std::string& host, relay::Time wait) { endpoints_.ToldWait(host, wait); },
+            [this](const std::string& host, relay::Time wait) { endpoints_.RecordRetryAfter(host, wait); },
             [this](const std::string& word, const std::string& argument) {
               return HandleManagementCall({word, argument}).value_or("");
             }),
@@ -111,7 +111,7 @@
     counters_.journal_cut_bytes = journal_.truncated_bytes();
     if (!config_.mgmt.empty()) {
       management_.emplace(loop_, RequireAddress("mgmt", config_.mgmt),
-                          [this](const door::Call& call) { return HandleManagementCall(call); });
+                          [this](const management::Command& call) { return HandleManagementCall(call); });
     }
     if (!options_.control.empty()) {
       control_server_.emplace(loop_, options_.control,
@@ -130,8 +130,8 @@
   }
 
  private:
-  static routing::Names NamesOf(const config::Config& config) {
-    routing::Names names{config.zones, {}};
+  static routing::ZoneAndKindNames NamesOf(const config::Config& config) {
+    routing::ZoneAndKindNames names{config.zones, {}};
     for (const auto& kind : config.settings.kinds) names.kinds.push_back(kind.name);
     return names;
   }
@@ -156,14 +156,15 @@
       case Phase::kStarting:
         break;
       case Phase::kRecovering: {
-        relay::RoutingChange last_known =
-            routing::ReadList(config_.last_known_list, NamesOf(config_)).value_or(routing::List()).change;
+        relay::RoutingChange last_known = routing::ParseHostList(config_.last_known_list, NamesOf(config_))
+                                              .value_or(routing::HostList())
+                                              .change;
         last_known.scope = wheathub::ListScope::kRemembered;
         const bool takes_over = start_.channel.has_value();
-        discovery_.Known(takes_over ? start_.state.routing_table.revision : last_known.revision);
+        discovery_.SetKnownRevision(takes_over ? start_.state.routing_table.revision : last_known.revision);
         if (takes_over) attempts_.TakeOver(std::move(*start_.channel), start_.state.in_flight);
         relay_.Recover(last_known, takes_over ? &start_.state : nullptr);
-        endpoints_.TakeWaits(start_.state);
+        endpoints_.RestoreWaits(start_.state);
         std::optional<wheathub::ListLease::Inherited> lease;
         if (takes_over) lease = {start_.state.list_valid_until};
         discovery_.Start(ListOptionsOf(config_), ~config_.seed, lease);
@@ -268,7 +269,7 @@
   }
   relay::HandoverState PrepareHandover() override {
     relay::HandoverState estate = relay_.PrepareHandover();
-    estate.host_waits = endpoints_.Waits();
+    estate.host_waits = endpoints_.HostWaits();
     estate.address_waits = endpoints_.AddressWaits();
     estate.list_valid_until = discovery_.list_valid_until();
     return estate;
@@ -310,20 +311,20 @@
 
   // ---- management calls ----
 
-  std::optional<std::string> HandleManagementCall(const door::Call& call) {
-    const bool takes_host = call.word == "exclude" || call.word == "include";
-    if (call.word != "readyz" && !takes_host)
-      return "no call " + call.word + ": readyz, exclude ID, include ID";
+  std::optional<std::string> HandleManagementCall(const management::Command& call) {
+    const bool takes_host = call.name == "exclude" || call.name == "include";
+    if (call.name != "readyz" && !takes_host)
+      return "no call " + call.name + ": readyz, exclude ID, include ID";
     if (takes_host == call.argument.empty())
-      return call.word + (takes_host ? " takes a host's id" : " takes nothing");
+      return call.name + (takes_host ? " takes a host's id" : " takes nothing");
     if (!takes_host) {
       if (phases_.current() == Phase::kServing) return std::nullopt;
       return std::string(relay::NameOf(phases_.current()));
     }
-    if (phases_.current() == Phase::kHandedOver) return handover_->ForwardCommand(call.word, call.argument);
-    const bool excludes = call.word == "exclude";
+    if (phases_.current() == Phase::kHandedOver) return handover_->ForwardCommand(call.name, call.argument);
+    const bool excludes = call.name == "exclude";
     const auto why = excludes ? relay_.ExcludeHost(call.argument) : relay_.IncludeHost(call.argument);
-    std::cout << config_.name << ": " << call.word << " " << call.argument << ": " << why.value_or("done")
+    std::cout << config_.name << ": " << call.name << " " << call.argument << ": " << why.value_or("done")
               << std::endl;
     return why;
   }
@@ -404,8 +405,8 @@
       endpoints_.SetLimits(PoolLimitsOf(config_));
       if (clients_) clients_->SetMaxClients(config_.max_clients());
       if (old_discovery == config_.discovery) return std::nullopt;
-      discovery_.MoveTo({discovery_address, config_.discovery});
-      notices_.MoveTo(discovery_address, config_.discovery);
+      discovery_.SetServer({discovery_address, config_.discovery});
+      notices_.SetServer(discovery_address, config_.discovery);
     } catch (const std::exception& e) {
       counters_.reloads_refused += 1;
       std::cerr << config_.name << ": reload refused: " << e.what() << std::endl;
@@ -419,7 +420,8 @@
            "\nheld=" + std::to_string(relay_.held()) + "\nout=" + std::to_string(relay_.in_flight()) +
            "\njournal_bytes=" + std::to_string(journal_.file_bytes()) +
            "\ndrain_ms=" + std::to_string(drain_ms_) +
-           "\nlist_age_ms=" + std::to_string(discovery_.age() / 1ms) + "\n" + counters_.Text();
+           "\nlist_age_ms=" + std::to_string(discovery_.time_since_received() / 1ms) + "\n" +
+           counters_.Text();
   }
   void PrintCounters() const { std::cout << CountersText() << std::flush; }
 
@@ -434,8 +436,8 @@
   LoopClock clock_;
   endpoint::Pool endpoints_;
   handover::TakeoverTransport attempts_;
-  routing::Discovery discovery_;
-  notice::Poster notices_;
+  routing::DiscoveryClient discovery_;
+  notice::HttpNoticeSender notices_;
   relay::Relay relay_;
   std::optional<client::ClientServer> clients_;
   net::Signal terminate_signal_, interrupt_signal_, report_signal_, reload_signal_;
@@ -446,7 +448,7 @@
   bool listener_closed_ = false;
   bool clients_sent_away_ = false;
   std::optional<control::Server> control_server_;
-  std::optional<door::Door> management_;
+  std::optional<management::ManagementServer> management_;
   std::optional<handover::HandoverServer> handover_;
 };
 
--- a/src/lab/node.hpp
+++ b/src/lab/node.hpp
@@ -90,7 +90,7 @@
   void StartAttempt(relay::AttemptRequest order) override;
   bool CancelAttempt(const relay::AttemptId& attempt) override;
   void CloseIdle(const std::string& host) override;
-  void SetListValidUntil(Time moment) override { hosts_.ListValidUntil(moment); }
+  void SetListValidUntil(Time moment) override { hosts_.SetListValidUntil(moment); }
   void StepList(const wheathub::ListSubscription::Event& event);
   void ListHeard(std::uint64_t call);
   void TellLease(const wheathub::ListLease::Event& event);
--- a/tests/relay/door_test.cpp
+++ b/tests/relay/door_test.cpp
@@ -18,7 +18,7 @@
 namespace oxbowspread::testing {
 namespace {
 
-using door::CallReader;
+using management::CommandReader;
 
 struct ManagementFixture {
   StubServices stubs;
@@ -48,21 +48,21 @@
 TEST_CASE("an operator command split at any byte is parsed as a word and an optional argument") {
   const std::string line = "exclude s-1\r\n";
   for (std::size_t cut = 0; cut <= line.size(); ++cut) {
-    CallReader reader;
+    CommandReader reader;
     reader.Feed(line.substr(0, cut));
     reader.Feed(line.substr(cut));
-    REQUIRE(reader.state() == CallReader::State::kWhole);
-    CHECK(reader.call().word == "exclude");
-    CHECK(reader.call().argument == "s-1");
+    REQUIRE(reader.state() == CommandReader::State::kComplete);
+    CHECK(reader.command().name == "exclude");
+    CHECK(reader.command().argument == "s-1");
   }
   for (const std::string invalid_line : {"\n", "a b c\n", "a\tb\n"}) {
-    CallReader reader;
+    CommandReader reader;
     reader.Feed(invalid_line);
-    CHECK(reader.state() == CallReader::State::kBad);
+    CHECK(reader.state() == CommandReader::State::kInvalid);
   }
-  CallReader reader;
-  CHECK(reader.Feed(std::string(10000, 'x')) <= CallReader::kLongest + 1);
-  CHECK(reader.state() == CallReader::State::kBad);
+  CommandReader reader;
+  CHECK(reader.Feed(std::string(10000, 'x')) <= CommandReader::kMaxLineBytes + 1);
+  CHECK(reader.state() == CommandReader::State::kInvalid);
 }
 
 TEST_CASE("an excluded host stays draining whatever discovery lists for it") {
