--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -479,8 +479,8 @@
           Micros(kReturnEstimate * Seconds(now_ - std::max(endpoint.failed_at, now_ - settings_.warm_up)));
       endpoint.warm_at = now_ + settings_.warm_up;
       endpoint.route->cold_until = endpoint.cold_since + settings_.warm_up;
-      endpoint.route->next_trial_at =
-          now_ + ColdInterval(endpoint, ColdCapacity(endpoint)) / 2;  // the trial counts as a call
+      // The trial itself counts as a call.
+      endpoint.route->next_trial_at = now_ + ColdInterval(endpoint, ColdCapacity(endpoint)) / 2;
       actions_.push_back(Log{"returning " + endpoint.info.id});
     }
     endpoint.consecutive_failures = 0;
@@ -999,8 +999,8 @@
     pending.risk_zone = history.risk_zone;
     Route unlisted;
     const auto last = endpoints_.find(history.last_endpoint);
-    if (history.in_flight &&
-        last != endpoints_.end()) {  // already sent: all is recorded, but the Send is taken back
+    // The earlier process has sent it: everything is recorded here, but the Send action is taken back.
+    if (history.in_flight && last != endpoints_.end()) {
       pending.sends -= 1;
       CountCall(last->second);
       SendMessage(pending, last->second, false);
@@ -1122,9 +1122,8 @@
     const auto it = endpoints_.find(belief.endpoint);
     if (it == endpoints_.end()) return;
     static_cast<EndpointBelief&>(it->second) = belief.health;
-    if (belief.health.warm_at == 0us)
-      it->second.warm_at =
-          belief.health.cold_since + settings_.warm_up;  // from a process that did not give it
+    // An older process does not give warm_at.
+    if (belief.health.warm_at == 0us) it->second.warm_at = belief.health.cold_since + settings_.warm_up;
     static_cast<RouteBelief&>(*it->second.route) = belief.route;
     Touch(*it->second.destination);
   }
