--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -93,7 +93,7 @@
             loop_, endpoints_,
             [this](const std::string& host, relay::Time wait) { endpoints_.ToldWait(host, wait); },
             [this](const std::string& word, const std::string& argument) {
-              return HandleManagementCall({word, argument}).value_or("");
+              return HandleManagementCommand({word, argument}).value_or("");
             }),
         discovery_(loop_, {discovery_address_, config.discovery}, NamesOf(config), counters_),
         notices_(loop_, discovery_address_, config.discovery, counters_),
@@ -111,7 +111,7 @@
     counters_.journal_cut_bytes = journal_.cut_bytes();
     if (!config_.mgmt.empty()) {
       management_.emplace(loop_, RequireAddress("mgmt", config_.mgmt),
-                          [this](const door::Call& call) { return HandleManagementCall(call); });
+                          [this](const door::Call& command) { return HandleManagementCommand(command); });
     }
     if (!options_.control.empty()) {
       control_server_.emplace(loop_, options_.control,
@@ -190,7 +190,7 @@
         std::cout << config_.name << ": " << relay::NameOf(phase) << std::endl;
         break;
       case Phase::kPaused:
-        listener_closed_ = clients_sent_away_ = false;
+        listener_closed_ = clients_closing_ = false;
         [[fallthrough]];
       case Phase::kDraining:
         drain_started_at_ = net::Loop::Now();
@@ -219,10 +219,11 @@
     drain_ms_ = elapsed / 1ms;
     if (!std::exchange(listener_closed_, true)) clients_->CloseDoor();
     if (phases_.now() == Phase::kPaused) return CheckPaused(elapsed);
-    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->quiet_since());
-    const bool empty = relay_.done() && relay_.out() == 0 && quiet_time >= kDoorOpen;
+    const net::Time idle_time = net::Loop::Now() - std::max(drain_started_at_, clients_->quiet_since());
+    const bool empty = relay_.done() && relay_.out() == 0 && idle_time >= kDoorOpen;
     if (empty || elapsed >= kSettleAt) phases_.Enter(Phase::kSettling);
-    // Requests that clients have begun are still answered, and the answers are still written, until kStopAt.
+    // Waits until all clients have disconnected, at most until kStopAt: requests that they have begun are
+    // still answered, and the answers are still written.
     const bool settled = phases_.now() == Phase::kSettling && relay_.out() == 0 && clients_->clients() == 0;
     if (settled || elapsed >= kStopAt) return FinishAndStop();
     progress_timer_.After(kLookEach);
@@ -237,17 +238,17 @@
 
   // An operator's drain: clients are disconnected as before an exit, but held messages keep their full time.
   void CheckPaused(net::Time elapsed) {
-    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->quiet_since());
-    if (elapsed >= kSettleAt || quiet_time >= kDoorOpen) {
-      clients_sent_away_ = true;
+    const net::Time idle_time = net::Loop::Now() - std::max(drain_started_at_, clients_->quiet_since());
+    if (elapsed >= kSettleAt || idle_time >= kDoorOpen) {
+      clients_closing_ = true;
       clients_->SendAway();  // repeated: a client that was waiting for an answer may be idle by now
     }
     progress_timer_.After(kPausedCheckInterval);
   }
   // Whether a drain is complete: no client can hand in messages, and no work is left.
   bool settled() const {
-    return phases_.now() == Phase::kPaused && clients_sent_away_ && clients_->clients() == 0 &&
-           relay_.done() && relay_.out() == 0;
+    return phases_.now() == Phase::kPaused && clients_closing_ && clients_->clients() == 0 && relay_.done() &&
+           relay_.out() == 0;
   }
 
   // ---- handover to the next process ----
@@ -262,7 +263,7 @@
   }
   std::optional<std::string> Unable() const override {
     if (phases_.now() == Phase::kServing) return std::nullopt;
-    return "the process that has it is " + std::string(relay::NameOf(phases_.now()));
+    return "the process that holds the state folder is " + std::string(relay::NameOf(phases_.now()));
   }
   relay::Estate Freeze() override {
     relay::Estate estate = relay_.Freeze();
@@ -293,6 +294,7 @@
     std::cerr << config_.name << ": cannot start anew from /proc/self/exe" << std::endl;
     phases_.Enter(Phase::kStopped);
   }
+  // On SIGTERM or SIGINT. After a handover, only the attempts that are still pending here delay the exit.
   void OnTerminate() {
     if (phases_.now() == Phase::kGiven && exit_deadline_ == net::Time(0))
       exit_deadline_ = net::Loop::Now() + kStopAt;
@@ -304,27 +306,27 @@
     progress_timer_.After(kLookEach);
   }
 
-  // ---- management calls ----
+  // ---- management commands ----
 
-  std::optional<std::string> HandleManagementCall(const door::Call& call) {
-    const bool takes_host = call.word == "exclude" || call.word == "include";
-    if (call.word != "readyz" && !takes_host)
-      return "no call " + call.word + ": readyz, exclude ID, include ID";
-    if (takes_host == call.argument.empty())
-      return call.word + (takes_host ? " takes a host's id" : " takes nothing");
+  std::optional<std::string> HandleManagementCommand(const door::Call& command) {
+    const bool takes_host = command.word == "exclude" || command.word == "include";
+    if (command.word != "readyz" && !takes_host)
+      return "no call " + command.word + ": readyz, exclude ID, include ID";
+    if (takes_host == command.argument.empty())
+      return command.word + (takes_host ? " takes a host's id" : " takes nothing");
     if (!takes_host) {
       if (phases_.now() == Phase::kServing) return std::nullopt;
       return std::string(relay::NameOf(phases_.now()));
     }
-    if (phases_.now() == Phase::kGiven) return handover_->Operate(call.word, call.argument);
-    const bool excludes = call.word == "exclude";
-    const auto why = excludes ? relay_.TakeOut(call.argument) : relay_.PutBack(call.argument);
-    std::cout << config_.name << ": " << call.word << " " << call.argument << ": " << why.value_or("done")
-              << std::endl;
+    if (phases_.now() == Phase::kGiven) return handover_->Operate(command.word, command.argument);
+    const bool excludes = command.word == "exclude";
+    const auto why = excludes ? relay_.TakeOut(command.argument) : relay_.PutBack(command.argument);
+    std::cout << config_.name << ": " << command.word << " " << command.argument << ": "
+              << why.value_or("done") << std::endl;
     return why;
   }
 
-  // ---- the control socket ----
+  // ---- requests over the control socket ----
 
   control::Json HandleControlRequest(const control::Json& request) {
     const std::string op = control::TextOf(request, "op");
@@ -439,7 +441,7 @@
   net::Time exit_deadline_{0};  // when to exit at the latest after a handover; 0: not asked to exit
   std::int64_t drain_ms_ = 0;
   bool listener_closed_ = false;
-  bool clients_sent_away_ = false;
+  bool clients_closing_ = false;
   std::optional<control::Server> control_server_;
   std::optional<door::Door> management_;
   std::optional<handover::OldProcess> handover_;
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -36,8 +36,8 @@
   std::vector<std::string> zones;  // zone names, in the order of the settings
 
   // How the descriptors are shared out. Clients use a third for requests, and more connections may be about
-  // to close, so clients get two fifths. Endpoint connections get half. The rest is a reserve; the journal,
-  // the event loop, discovery and notices have their own kReservedDescriptors.
+  // to close, so clients get two fifths. Endpoint connections get half. kReservedDescriptors and the rest
+  // are for the journal, the event loop, discovery and notices, and a reserve.
   static constexpr std::size_t kReservedDescriptors = 16;
   static constexpr std::size_t kManagementDescriptors = 18;  // set aside when `mgmt` is set
   std::size_t shareable_descriptors() const {
@@ -50,9 +50,9 @@
 // Reads the file that $ROUTER_CONFIG names. The other $ROUTER_ variables override values of the file. Lowers
 // `sockets` to what the system allows. Throws Error.
 Config LoadFromEnvironment();
-// Reads the same file again while `running` is in use. Every key of the running file must be present with the
-// same type. The environment dates from the start of the process, so here the file's `discovery` takes
-// precedence over $ROUTER_DISCOVERY. Throws Error.
+// Reads the same file again while `running` is in use. Every key of the running file except a few optional
+// ones must be present with the same type. The environment dates from the start of the process, so here the
+// file's `discovery` takes precedence over $ROUTER_DISCOVERY. Throws Error.
 Config Reload(const Config& running);
 // Returns the keys that differ between the configurations and that only a restart can change.
 std::vector<std::string> KeysNeedingRestart(const Config& running, const Config& next);
--- a/src/config/shape.hpp
+++ b/src/config/shape.hpp
@@ -6,9 +6,9 @@
 
 namespace oxbowspread::config {
 
-// Checks a reloaded file against the running one: values may differ, but every key of the running file must
-// be present with the same type. Throws Error with the path of the first key at fault, such as
-// "settings.limits.send-cap".
+// Checks a reloaded file against the running one: values may differ, but every key of the running file except
+// a few optional ones must be present with the same type. Throws Error with the path of the first key at
+// fault, such as "settings.limits.send-cap".
 void CheckSameStructure(const nlohmann::json& running, const nlohmann::json& next);
 
 // Checks the settings on their own: throws Error with the path of the first key that is missing, has the
