--- a/tests/group/rig.cpp
+++ b/tests/group/rig.cpp
@@ -161,7 +161,7 @@
     const std::string leader = answer ? control::TextOf(*answer, "leader") : "";
     if (answer && answer->value("ok", false) && (!answer->contains("leader") || leader == next))
       return *answer;
-    if (net::Loop::Now() >= until) return control::Fault("no leader in time");
+    if (net::Loop::Now() >= until) return control::ErrorAnswer("no leader in time");
     next = !leader.empty() && leader != next ? leader : site.agents[i % site.agents.size()];
     Run(50ms);
   }
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -1,3 +1,5 @@
+// The relay as a process: delivery, endpoints' answers, connections, rejections, discovery, notices,
+// restarts, signals and configuration.
 #include <signal.h>
 #include <sys/resource.h>
 
@@ -615,8 +617,8 @@
 // Drain violations are judged by a call's first byte, which a slow connection writes long after the decision.
 TEST_CASE("an attempt still connecting when its host starts to drain is not sent") {
   RelayFixture fixture;
-  FullBacklogHost slow_host(fixture.stubs);
-  slow_host.FillBacklog();
+  FullBacklogHost full_host(fixture.stubs);
+  full_host.FillBacklog();
   fixture.relay.Start();
   Client client(fixture.relay);
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
@@ -627,7 +629,7 @@
   fixture.stubs.SetState("narrow", "Terminating");
   fixture.WaitForCounter(client, "list_changes", changes + 1);
   fixture.stubs.CallArrivesWithin(150ms);  // longer than the grace period of a drain
-  const Socket late = slow_host.AcceptRelayConnection();
+  const Socket late = full_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   CHECK(late.Receive(1500ms).empty());
   CHECK(client.Counters()["legs_held_back"] == 1);
@@ -637,21 +639,21 @@
 // it.
 TEST_CASE("an attempt still connecting when its host requests a wait is not sent") {
   RelayFixture fixture;
-  FullBacklogHost slow_host(fixture.stubs);
+  FullBacklogHost full_host(fixture.stubs);
   fixture.relay.Start();
   Client client(fixture.relay);
   client.Put("id-1", "hello", 8000, ",k=key1,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
-  const Socket first = slow_host.listener.Accept(5s);
+  const Socket first = full_host.listener.Accept(5s);
   REQUIRE(first.Receive(5s).find("id-1") != std::string::npos);
-  slow_host.FillBacklog();
+  full_host.FillBacklog();
   client.Put("id-2", "hello", 8000, ",k=key2,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
   fixture.WaitForCounter(client, "legs", 2);
   first.Send("HTTP/1.1 429 Full\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n");
   fixture.WaitForCounter(client, "refused", 1);
   fixture.stubs.CallArrivesWithin(100ms);  // longer than the grace period of a wait
-  const Socket late = slow_host.AcceptRelayConnection();
+  const Socket late = full_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   CHECK(late.Receive(500ms).empty());
   CHECK(client.Counters()["legs_held_back"] == 1);
