--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -93,7 +93,7 @@
             loop_, endpoints_,
             [this](const std::string& host, relay::Time wait) { endpoints_.RecordRetryAfter(host, wait); },
             [this](const std::string& word, const std::string& argument) {
-              return HandleManagementCall({word, argument}).value_or("");
+              return HandleManagementCommand({word, argument}).value_or("");
             }),
         discovery_(loop_, {discovery_address_, config.discovery}, NamesOf(config), counters_),
         notices_(loop_, discovery_address_, config.discovery, counters_),
@@ -110,8 +110,9 @@
     notices_.Attach(relay_);
     counters_.journal_cut_bytes = journal_.truncated_bytes();
     if (!config_.mgmt.empty()) {
-      management_.emplace(loop_, RequireAddress("mgmt", config_.mgmt),
-                          [this](const management::Command& call) { return HandleManagementCall(call); });
+      management_.emplace(
+          loop_, RequireAddress("mgmt", config_.mgmt),
+          [this](const management::Command& command) { return HandleManagementCommand(command); });
     }
     if (!options_.control.empty()) {
       control_server_.emplace(loop_, options_.control,
@@ -192,7 +193,7 @@
         std::cout << config_.name << ": " << relay::NameOf(phase) << std::endl;
         break;
       case Phase::kPaused:
-        listener_closed_ = clients_sent_away_ = false;
+        listener_closed_ = clients_closing_ = false;
         [[fallthrough]];
       case Phase::kDraining:
         drain_started_at_ = net::Loop::Now();
@@ -221,10 +222,11 @@
     drain_ms_ = elapsed / 1ms;
     if (!std::exchange(listener_closed_, true)) clients_->StopListening();
     if (phases_.current() == Phase::kPaused) return CheckPaused(elapsed);
-    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
-    const bool empty = relay_.done() && relay_.in_flight() == 0 && quiet_time >= kKeepAccepting;
+    const net::Time idle_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
+    const bool empty = relay_.done() && relay_.in_flight() == 0 && idle_time >= kKeepAccepting;
     if (empty || elapsed >= kStopSendingAfter) phases_.Enter(Phase::kSettling);
-    // Requests that clients have begun are still answered, and the answers are still written, until kStopAt.
+    // Waits until all clients have disconnected, at most until kStopAt: requests that they have begun are
+    // still answered, and the answers are still written.
     const bool settled =
         phases_.current() == Phase::kSettling && relay_.in_flight() == 0 && clients_->clients() == 0;
     if (settled || elapsed >= kExitAfter) return FinishAndStop();
@@ -240,16 +242,16 @@
 
   // An operator's drain: clients are disconnected as before an exit, but held messages keep their full time.
   void CheckPaused(net::Time elapsed) {
-    const net::Time quiet_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
-    if (elapsed >= kStopSendingAfter || quiet_time >= kKeepAccepting) {
-      clients_sent_away_ = true;
+    const net::Time idle_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
+    if (elapsed >= kStopSendingAfter || idle_time >= kKeepAccepting) {
+      clients_closing_ = true;
       clients_->CloseWhenIdle();  // repeated: a client that was waiting for an answer may be idle by now
     }
     progress_timer_.After(kPausedCheckInterval);
   }
   // Whether a drain is complete: no client can hand in messages, and no work is left.
   bool settled() const {
-    return phases_.current() == Phase::kPaused && clients_sent_away_ && clients_->clients() == 0 &&
+    return phases_.current() == Phase::kPaused && clients_closing_ && clients_->clients() == 0 &&
            relay_.done() && relay_.in_flight() == 0;
   }
 
@@ -265,7 +267,7 @@
   }
   std::optional<std::string> RefusalReason() const override {
     if (phases_.current() == Phase::kServing) return std::nullopt;
-    return "the process that has it is " + std::string(relay::NameOf(phases_.current()));
+    return "the process that holds the state folder is " + std::string(relay::NameOf(phases_.current()));
   }
   relay::HandoverState PrepareHandover() override {
     relay::HandoverState estate = relay_.PrepareHandover();
@@ -298,6 +300,7 @@
     std::cerr << config_.name << ": cannot start anew from /proc/self/exe" << std::endl;
     phases_.Enter(Phase::kStopped);
   }
+  // On SIGTERM or SIGINT. After a handover, only the attempts that are still pending here delay the exit.
   void OnTerminate() {
     if (phases_.current() == Phase::kHandedOver && exit_deadline_ == net::Time(0))
       exit_deadline_ = net::Loop::Now() + kExitAfter;
@@ -309,27 +312,28 @@
     progress_timer_.After(kPollInterval);
   }
 
-  // ---- management calls ----
+  // ---- management commands ----
 
-  std::optional<std::string> HandleManagementCall(const management::Command& call) {
-    const bool takes_host = call.name == "exclude" || call.name == "include";
-    if (call.name != "readyz" && !takes_host)
-      return "no call " + call.name + ": readyz, exclude ID, include ID";
-    if (takes_host == call.argument.empty())
-      return call.name + (takes_host ? " takes a host's id" : " takes nothing");
+  std::optional<std::string> HandleManagementCommand(const management::Command& command) {
+    const bool takes_host = command.name == "exclude" || command.name == "include";
+    if (command.name != "readyz" && !takes_host)
+      return "no call " + command.name + ": readyz, exclude ID, include ID";
+    if (takes_host == command.argument.empty())
+      return command.name + (takes_host ? " takes a host's id" : " takes nothing");
     if (!takes_host) {
       if (phases_.current() == Phase::kServing) return std::nullopt;
       return std::string(relay::NameOf(phases_.current()));
     }
-    if (phases_.current() == Phase::kHandedOver) return handover_->ForwardCommand(call.name, call.argument);
-    const bool excludes = call.name == "exclude";
-    const auto why = excludes ? relay_.ExcludeHost(call.argument) : relay_.IncludeHost(call.argument);
-    std::cout << config_.name << ": " << call.name << " " << call.argument << ": " << why.value_or("done")
-              << std::endl;
+    if (phases_.current() == Phase::kHandedOver)
+      return handover_->ForwardCommand(command.name, command.argument);
+    const bool excludes = command.name == "exclude";
+    const auto why = excludes ? relay_.ExcludeHost(command.argument) : relay_.IncludeHost(command.argument);
+    std::cout << config_.name << ": " << command.name << " " << command.argument << ": "
+              << why.value_or("done") << std::endl;
     return why;
   }
 
-  // ---- the control socket ----
+  // ---- requests over the control socket ----
 
   control::Json HandleControlRequest(const control::Json& request) {
     const std::string op = control::TextOf(request, "op");
@@ -446,7 +450,7 @@
   net::Time exit_deadline_{0};  // when to exit at the latest after a handover; 0: not asked to exit
   std::int64_t drain_ms_ = 0;
   bool listener_closed_ = false;
-  bool clients_sent_away_ = false;
+  bool clients_closing_ = false;
   std::optional<control::Server> control_server_;
   std::optional<management::ManagementServer> management_;
   std::optional<handover::HandoverServer> handover_;
