--- a/src/endpoint/hosts.hpp
+++ b/src/endpoint/hosts.hpp
@@ -56,6 +56,7 @@
   // Restores a wait that another process recorded.
   void RestoreWait(const relay::HostWait& wait);
   void RestoreWait(const relay::AddressWait& wait);
+  // The waits that have not ended at `now`, for the handover to another process.
   std::vector<relay::HostWait> HostWaits(net::Time now) const;
   std::vector<relay::AddressWait> AddressWaits(net::Time now) const;
   // No call may be written at `moment` or later, because the routing table is too old then.
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -15,6 +15,7 @@
 
 using Time = std::chrono::microseconds;
 
+// The event loop; one for each thread. Must outlive all timers, signal watchers and sockets that use it.
 class Loop {
  public:
   Loop();
@@ -57,6 +58,7 @@
   static constexpr Time kLateThreshold{20'000};
 
   Timer(Loop& loop, std::function<void()> callback);
+  // Fires once after the delay; a negative delay counts as 0.
   void After(Time delay);
   void At(Time moment) { After(moment - Loop::Now()); }
   void Stop() { timer_.stop(); }
--- a/src/proto/http.hpp
+++ b/src/proto/http.hpp
@@ -26,6 +26,7 @@
  public:
   enum class State { kIncomplete, kComplete, kInvalid };
 
+  // Called from Feed and Finish.
   class Handler {
    public:
     virtual ~Handler() = default;
