--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -44,7 +44,7 @@
     if (entry.message.class_settings && !entry.ending) classes.FindOrAdd(*entry.message.class_settings);
   }
   settings.classes = classes.all();
-  settings.must_request_list = false;  // not by the module: see Do(SubscribeToList)
+  settings.must_request_list = false;  // lists arrive without request: see Execute(SubscribeToList)
   return settings;
 }
 
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 
-// A discovery that lags tells what was: hosts that drain would come back by it. One that stays behind for so
-// long has begun to count anew. What it says drains or is gone binds meanwhile: see
-// Relay::StaleRoutingReceived.
+// A list with an older version than the known one comes from a lagging discovery; applying it would bring
+// draining hosts back. If only older versions arrive for this long, discovery has restarted its version
+// count. Until then only the drains and removals of such lists are applied: see relay::Relay.
 constexpr net::Time kMaxStaleTime = 10s;
 constexpr std::size_t kMaxObjectBytes = 4u << 20;
 // Discovery closes its old connections 1.5 s after its address has changed; what it has written to them by
