--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -236,7 +236,7 @@
     Json one = {{"instance", name},
                 {"want", NameOf(hand->keeper().desired().want)},
                 {"wanted_stamp", hand->keeper().desired().stamp},
-                {"deaths", hand->keeper().deaths()}};
+                {"deaths", hand->keeper().unexpected_exits()}};
     if (const auto belief = hand->Tell()) {
       one["belief"] = ToJson(*belief);
       one["age_ms"] = (now - belief->at) / 1ms;
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -1,5 +1,5 @@
 // The agent of a host: keeps its relays, takes part in choosing who leads, and, when it leads, runs the
-// group's change. Thin: what is decided is decided by lead::Lead, change::Engine and supervise::Keeper.
+// group's change. Thin: what is decided is decided by lead::Lead, change::Engine and supervise::Supervisor.
 #pragma once
 
 #include <deque>
--- a/src/agent/hand.cpp
+++ b/src/agent/hand.cpp
@@ -70,7 +70,7 @@
   }
   if (desired == keeper_.desired()) return;
   store_.PutDesired(instance_, {NameOf(desired.want), desired.stamp, desired.reload});
-  Step({supervise::Desire{std::move(desired)}});
+  Step({supervise::DesiredChanged{std::move(desired)}});
 }
 
 void Hand::Step(std::vector<supervise::Event> events) {
@@ -82,14 +82,14 @@
 }
 
 // Found only when all that can be asked agrees; Nobody only when nothing speaks for anybody.
-void Hand::Do(const supervise::Look&) {
+void Hand::Do(const supervise::FindProcess&) {
   const auto holder = journal::FolderLock::HolderOf(StateFolder());
   const bool recorded = running_.pid > 0 && running_.started != 0 &&
-                        supervise::StartedAt(static_cast<pid_t>(running_.pid)) == running_.started;
+                        supervise::ProcessStartTicks(static_cast<pid_t>(running_.pid)) == running_.started;
   if (recorded && holder && *holder == running_.pid) return Adopt(running_.pid);
   if (!recorded && !holder) {
     wake_.After(net::Time(0));
-    return Step({supervise::Nobody{}});
+    return Step({supervise::NoProcessFound{}});
   }
   LookAtSocket(holder ? *holder : running_.pid);
 }
@@ -98,7 +98,7 @@
 void Hand::LookAtSocket(std::int64_t holder) {
   relay_.Call(
       {{"op", "status"}}, kAnswerWithin, [this, holder](const control::Json* answer, const std::string&) {
-        if (keeper_.life() != supervise::Keeper::Life::kLooking) return;
+        if (keeper_.state() != supervise::Supervisor::State::kSearching) return;
         if (answer != nullptr && control::NumberOf(*answer, "pid") == holder) return Adopt(holder);
         const std::string text = "waits: process " + std::to_string(holder) + " holds its state folder and " +
                                  (answer == nullptr ? "does not answer" : "is not the one that answers");
@@ -107,14 +107,15 @@
 }
 
 void Hand::Adopt(std::int64_t pid) {
-  if (supervise::StartedAt(static_cast<pid_t>(pid)) == 0) return;  // ended just now: the next look will see
+  if (supervise::ProcessStartTicks(static_cast<pid_t>(pid)) == 0)
+    return;  // ended just now: the next look will see
   told_.clear();
   Remember(pid, false);
-  Step({supervise::Found{pid}});
+  Step({supervise::ProcessFound{pid}});
 }
 
 void Hand::Remember(std::int64_t pid, bool child) {
-  running_ = {pid, supervise::StartedAt(static_cast<pid_t>(pid))};
+  running_ = {pid, supervise::ProcessStartTicks(static_cast<pid_t>(pid))};
   child_ = child;
   try {
     store_.PutRunning(instance_, running_);
@@ -156,48 +157,49 @@
         {"--control", path(".sock"), "--stamp", spawn.stamp},
         {{"ROUTER_CONFIG", path(".json")}, {"ROUTER_NAME", instance_}, {"ROUTER_STATE", state}},
         path(".log")};
-    pid = supervise::Start(program, &why);
+    pid = supervise::SpawnProcess(program, &why);
   } catch (const std::exception& e) {
     why = e.what();
   }
-  if (pid == 0) return Step({supervise::CantSpawn{why}});
+  if (pid == 0) return Step({supervise::SpawnFailed{why}});
   relay_.Disconnect("started anew");
   Remember(pid, true);
   Step({supervise::Spawned{pid}});
 }
 
-void Hand::Do(const supervise::Poll&) {
+void Hand::Do(const supervise::QueryStatus&) {
   if (std::exchange(polling_, true)) return;
   relay_.Call({{"op", "status"}}, kAnswerWithin, [this](const control::Json* answer, const std::string&) {
     polling_ = false;
-    if (answer == nullptr || !answer->value("ok", false)) return Step({supervise::Silent{}});
+    if (answer == nullptr || !answer->value("ok", false)) return Step({supervise::StatusUnavailable{}});
     Step({StatusFrom(*answer)});
   });
 }
 
-void Hand::Do(const supervise::Ask& ask) {
+void Hand::Do(const supervise::SendCommand& ask) {
   control::Json request = {{"op", ask.op}};
   const bool reload = ask.op == "reload";
   try {
     if (reload) WriteConfig(ask.stamp);
   } catch (const std::exception& e) {
-    return Step({supervise::Reloaded{ask.stamp, e.what()}});
+    return Step({supervise::ReloadAnswered{ask.stamp, e.what()}});
   }
   if (reload) request["stamp"] = ask.stamp;
   relay_.Call(std::move(request), kAnswerWithin,
               [this, ask, reload](const control::Json* answer, const std::string&) {
                 if (answer == nullptr) return;  // asked again while nothing shows it
                 const std::string why = control::TextOf(*answer, "error");
-                if (reload) return Step({supervise::Reloaded{ask.stamp, why}});
+                if (reload) return Step({supervise::ReloadAnswered{ask.stamp, why}});
                 if (!why.empty()) note_(instance_, ask.op + ": " + why);
               });
 }
 
-void Hand::Do(const supervise::Signal& signal) {
+void Hand::Do(const supervise::SendSignal& signal) {
   // Never to whoever has come by that pid since, and never to 0, which would be our whole process group.
   const auto pid = static_cast<pid_t>(signal.pid);
   if (pid <= 0 || running_.started == 0) return;
-  if (signal.pid == running_.pid && supervise::StartedAt(pid) == running_.started) kill(pid, signal.number);
+  if (signal.pid == running_.pid && supervise::ProcessStartTicks(pid) == running_.started)
+    kill(pid, signal.signal_number);
 }
 
 void Hand::CheckAlive() {
@@ -206,14 +208,14 @@
   int code = 0, status = 0;
   if (child_ && waitpid(pid, &status, WNOHANG) == pid) {
     code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
-  } else if (running_.started != 0 && supervise::StartedAt(pid) == running_.started) {
+  } else if (running_.started != 0 && supervise::ProcessStartTicks(pid) == running_.started) {
     alive_.After(kAliveEach);
     return;
   }
   running_ = {};
   alive_.Stop();
   relay_.Disconnect("the relay has ended");
-  Step({supervise::Gone{code}});
+  Step({supervise::ProcessExited{code}});
 }
 
 }  // namespace oxbowspread::agent
--- a/src/agent/hand.hpp
+++ b/src/agent/hand.hpp
@@ -34,19 +34,19 @@
   // On disk when it returns. Throws store::Error, and then nothing has changed. An empty stamp leaves the one
   // there is.
   void Order(supervise::Desired desired);
-  std::optional<change::Belief> Tell() const { return keeper_.Tell(instance_, net::Loop::Now()); }
-  const supervise::Keeper& keeper() const { return keeper_; }
+  std::optional<change::Belief> Tell() const { return keeper_.CurrentBelief(instance_, net::Loop::Now()); }
+  const supervise::Supervisor& keeper() const { return keeper_; }
   // The process may have ended: a child of ours told so, or it is time to look.
   void CheckAlive();
 
  private:
   void Step(std::vector<supervise::Event> events);
-  void Do(const supervise::Look&);
+  void Do(const supervise::FindProcess&);
   void Do(const supervise::Spawn& spawn);
-  void Do(const supervise::Poll&);
-  void Do(const supervise::Ask& ask);
-  void Do(const supervise::Signal& signal);
-  void Do(const supervise::Note& note) { note_(instance_, note.text); }
+  void Do(const supervise::QueryStatus&);
+  void Do(const supervise::SendCommand& ask);
+  void Do(const supervise::SendSignal& signal);
+  void Do(const supervise::RecordEvent& note) { note_(instance_, note.text); }
   void LookAtSocket(std::int64_t holder);
   void Adopt(std::int64_t pid);
   // On record as far as the store takes it: lock and control socket speak for it too.
@@ -61,7 +61,7 @@
   Places places_;
   store::Store& store_;
   Note note_;
-  supervise::Keeper keeper_;
+  supervise::Supervisor keeper_;
   store::Running running_;
   bool child_ = false;
   bool polling_ = false;
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -230,11 +230,11 @@
     supervise::Program program;
     program.path = options_.relay;
     program.environment["ROUTER_CONFIG"] = folder + "/config.json";
-    program.log = folder + "/log";
+    program.log_path = folder + "/log";
     std::string why;
     relay.expected = relay.answers = false;
     relay.kill_at = Time(0);
-    relay.pid = supervise::Start(program, &why);
+    relay.pid = supervise::SpawnProcess(program, &why);
     if (relay.pid <= 0) throw std::runtime_error(options_.relay + ": " + why);
   }
 
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -21,7 +21,7 @@
 
 struct Running {
   std::int64_t pid = 0;
-  std::uint64_t started = 0;  // by the system's own count, see supervise::StartedAt
+  std::uint64_t started = 0;  // by the system's own count, see supervise::ProcessStartTicks
 };
 
 struct Happened {
--- a/src/supervise/keeper.cpp
+++ b/src/supervise/keeper.cpp
@@ -10,257 +10,258 @@
 using change::Belief;
 using change::Want;
 
-constexpr Time kLookEach = 200ms;
-constexpr Time kPollStarting = 50ms, kPollUp = 250ms;
-constexpr Time kAskEach = 1s;       // what was asked for and isn't seen yet
-constexpr Time kStartWithin = 10s;  // no word from a process of ours: it is ended and started anew
-constexpr Time kEndWithin = 5s;     // after SIGTERM; a relay ends by itself in 3.55 s
-constexpr Time kFirstBackoff = 100ms, kMostBackoff = 10s;
-constexpr Time kStable = 10s;      // a life that long makes the next death a first one
-constexpr Time kLoopWithin = 60s;  // more deaths than kLoopDeaths in that span are a crash loop,
-constexpr int kLoopDeaths = 5;     // which is tried again
-constexpr Time kLoopRest = 30s;    // only so often
-constexpr int kEarlyEnds = 3;      // in a row before it served: a fault
-constexpr Time kSilence = 1500ms;  // what was heard longer ago is not told any more
+constexpr Time kSearchInterval = 200ms;
+constexpr Time kStartingQueryInterval = 50ms, kRunningQueryInterval = 250ms;
+constexpr Time kCommandRetryInterval = 1s;  // repeats a command whose effect doesn't show yet
+constexpr Time kStartTimeout = 10s;       // a spawned process without status by then is killed and restarted
+constexpr Time kTerminationTimeout = 5s;  // from SIGTERM to SIGKILL; a relay takes up to 3.55 s to exit
+constexpr Time kMinBackoff = 100ms, kMaxBackoff = 10s;
+constexpr Time kStableRunTime = 10s;    // after running this long, earlier exits no longer count
+constexpr Time kCrashLoopWindow = 60s;  // period in which unexpected exits are counted
+constexpr int kCrashLoopThreshold = 5;  // more exits than this in the window are a crash loop
+constexpr Time kCrashLoopDelay = 30s;   // between two starts in a crash loop
+constexpr int kFailedStartsLimit = 3;   // this many consecutive exits before serving are a fault
+constexpr Time kMaxStatusAge = 1500ms;  // an older status is reported as unknown
 
-std::string Ended(int code) {
-  if (code == 0) return "has ended";
-  if (code < 0) return "was ended by signal " + std::to_string(-code);
-  return "ended with code " + std::to_string(code);
+std::string DescribeExit(int exit_code) {
+  if (exit_code == 0) return "has ended";
+  if (exit_code < 0) return "was ended by signal " + std::to_string(-exit_code);
+  return "ended with code " + std::to_string(exit_code);
 }
 
 }  // namespace
 
-std::vector<Action> Keeper::Step(Time now, const std::vector<Event>& events) {
+std::vector<Action> Supervisor::Step(Time now, const std::vector<Event>& events) {
   std::vector<Action> actions;
   wake_at_ = Time::max();
-  for (const Event& event : events) Take(now, event, &actions);
-  Pursue(now, &actions);
+  for (const Event& event : events) HandleEvent(now, event, &actions);
+  Reconcile(now, &actions);
   return actions;
 }
 
-void Keeper::Take(Time now, const Event& event, std::vector<Action>* actions) {
-  if (const auto* found = std::get_if<Found>(&event)) {
-    if (life_ != Life::kLooking) return;
-    life_ = Life::kStarting;
+void Supervisor::HandleEvent(Time now, const Event& event, std::vector<Action>* actions) {
+  if (const auto* found = std::get_if<ProcessFound>(&event)) {
+    if (state_ != State::kSearching) return;
+    state_ = State::kStarting;
     adopted_ = true;
     pid_ = found->pid;
-    since_ = now;
-    poll_at_ = now;
+    state_since_ = now;
+    next_query_at_ = now;
     status_.reset();
-    actions->push_back(Note{"adopted process " + std::to_string(pid_)});
-  } else if (std::holds_alternative<Nobody>(event)) {
-    if (life_ != Life::kLooking) return;
-    life_ = Life::kDown;
-    since_ = now;
-    next_try_ = std::max(next_try_, now);
+    actions->push_back(RecordEvent{"adopted process " + std::to_string(pid_)});
+  } else if (std::holds_alternative<NoProcessFound>(event)) {
+    if (state_ != State::kSearching) return;
+    state_ = State::kDown;
+    state_since_ = now;
+    next_spawn_at_ = std::max(next_spawn_at_, now);
   } else if (const auto* status = std::get_if<Status>(&event)) {
-    TakeStatus(now, *status, actions);
-  } else if (const auto* gone = std::get_if<Gone>(&event)) {
-    TakeGone(now, *gone, actions);
+    HandleStatus(now, *status, actions);
+  } else if (const auto* exited = std::get_if<ProcessExited>(&event)) {
+    HandleExit(now, *exited, actions);
   } else if (const auto* spawned = std::get_if<Spawned>(&event)) {
     pid_ = spawned->pid;
-    poll_at_ = now + kPollStarting;
-  } else if (const auto* cant = std::get_if<CantSpawn>(&event)) {
-    SetFault("can't be started: " + cant->why, actions);
-    life_ = Life::kDown;
-    next_try_ = now + kMostBackoff;
-  } else if (const auto* desire = std::get_if<Desire>(&event)) {
+    next_query_at_ = now + kStartingQueryInterval;
+  } else if (const auto* failed = std::get_if<SpawnFailed>(&event)) {
+    SetFault("can't be started: " + failed->reason, actions);
+    state_ = State::kDown;
+    next_spawn_at_ = now + kMaxBackoff;
+  } else if (const auto* desire = std::get_if<DesiredChanged>(&event)) {
     if (desire->desired == desired_) return;
-    const bool anew = desire->desired.stamp != desired_.stamp;
+    const bool new_stamp = desire->desired.stamp != desired_.stamp;
     desired_ = desire->desired;
-    ask_at_ = now;
-    if (!anew) return;
-    // What failed before says nothing of what is ordered now.
+    next_command_at_ = now;
+    if (!new_stamp) return;
+    // Earlier failures say nothing about the newly ordered stamp.
     fault_.clear();
     fault_stamp_.clear();
-    reload_refused_.clear();
-    recent_deaths_.clear();
-    early_ends_ = 0;
-    backoff_ = Time(0);
-    next_try_ = now;
-  } else if (const auto* reloaded = std::get_if<Reloaded>(&event)) {
-    if (reloaded->why.empty() || reloaded->stamp != desired_.stamp) return;
-    reload_refused_ = reloaded->stamp;
-    SetFault("refused the configuration: " + reloaded->why, actions);
+    refused_reload_stamp_.clear();
+    recent_unexpected_exits_.clear();
+    failed_starts_ = 0;
+    restart_backoff_ = Time(0);
+    next_spawn_at_ = now;
+  } else if (const auto* reloaded = std::get_if<ReloadAnswered>(&event)) {
+    if (reloaded->reason.empty() || reloaded->stamp != desired_.stamp) return;
+    refused_reload_stamp_ = reloaded->stamp;
+    SetFault("refused the configuration: " + reloaded->reason, actions);
   }
 }
 
-void Keeper::TakeStatus(Time now, const Status& status, std::vector<Action>* actions) {
-  if (life_ != Life::kStarting && life_ != Life::kUp) return;
+void Supervisor::HandleStatus(Time now, const Status& status, std::vector<Action>* actions) {
+  if (state_ != State::kStarting && state_ != State::kRunning) return;
   if (status.pid != pid_) {
-    // The folder's holder is another one than we think: who holds it now is looked up, nothing is started.
+    // Another process than the known one answers. Search for the holder of the state folder before anything
+    // is started.
     actions->push_back(
-        Note{"process " + std::to_string(status.pid) + " answers instead of " + std::to_string(pid_)});
-    life_ = Life::kLooking;
+        RecordEvent{"process " + std::to_string(status.pid) + " answers instead of " + std::to_string(pid_)});
+    state_ = State::kSearching;
     return;
   }
   const bool ready = status.phase == Belief::Phase::kServing || status.phase == Belief::Phase::kPaused;
-  if (life_ == Life::kStarting && ready) {
-    life_ = Life::kUp;
-    since_ = now;
-    early_ends_ = 0;
+  if (state_ == State::kStarting && ready) {
+    state_ = State::kRunning;
+    state_since_ = now;
+    failed_starts_ = 0;
     actions->push_back(
-        Note{std::string("is ") + change::NameOf(status.phase) + ", process " + std::to_string(pid_)});
+        RecordEvent{std::string("is ") + change::NameOf(status.phase) + ", process " + std::to_string(pid_)});
   }
   if (ready && status.stamp == desired_.stamp && fault_stamp_ == status.stamp) {
     fault_.clear();
     fault_stamp_.clear();
   }
-  if (status_ && status_->phase != status.phase && life_ == Life::kUp) {
-    actions->push_back(Note{std::string("is ") + change::NameOf(status.phase)});
+  if (status_ && status_->phase != status.phase && state_ == State::kRunning) {
+    actions->push_back(RecordEvent{std::string("is ") + change::NameOf(status.phase)});
   }
   status_ = status;
-  status_at_ = now;
+  status_received_at_ = now;
 }
 
-void Keeper::TakeGone(Time now, const Gone& gone, std::vector<Action>* actions) {
-  if (life_ == Life::kLooking || life_ == Life::kDown) return;
-  const bool ordered = life_ == Life::kStopping;
-  const bool served = life_ == Life::kUp;
+void Supervisor::HandleExit(Time now, const ProcessExited& exited, std::vector<Action>* actions) {
+  if (state_ == State::kSearching || state_ == State::kDown) return;
+  const bool was_stopping = state_ == State::kStopping;
+  const bool was_running = state_ == State::kRunning;
   pid_ = 0;
   status_.reset();
-  if (gone.code == kFolderLocked && !served && !ordered) {
-    actions->push_back(Note{"found its state folder held by another process"});
-    life_ = Life::kLooking;
-    looked_at_ = now;  // not at once: the holder may be about to end
+  if (exited.exit_code == kFolderLocked && !was_running && !was_stopping) {
+    actions->push_back(RecordEvent{"found its state folder held by another process"});
+    state_ = State::kSearching;
+    searched_at_ = now;  // delays the search: the holder may be about to exit
     return;
   }
-  life_ = Life::kDown;
-  if (ordered) {
-    next_try_ = now;
-    since_ = now;
+  state_ = State::kDown;
+  if (was_stopping) {
+    next_spawn_at_ = now;
+    state_since_ = now;
     return;
   }
-  ++deaths_;
-  actions->push_back(Note{Ended(gone.code)});
-  if (served && now - since_ >= kStable) {
-    backoff_ = Time(0);
-    recent_deaths_.clear();
+  ++unexpected_exits_;
+  actions->push_back(RecordEvent{DescribeExit(exited.exit_code)});
+  if (was_running && now - state_since_ >= kStableRunTime) {
+    restart_backoff_ = Time(0);
+    recent_unexpected_exits_.clear();
   }
-  since_ = now;
-  early_ends_ = served ? 0 : early_ends_ + 1;
-  recent_deaths_.push_back(now);
-  while (now - recent_deaths_.front() > kLoopWithin) recent_deaths_.pop_front();
-  next_try_ = now + backoff_;
-  backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kMostBackoff);
-  const bool loop = static_cast<int>(recent_deaths_.size()) > kLoopDeaths;
-  if (loop) next_try_ = now + kLoopRest;
-  if (early_ends_ >= kEarlyEnds) {
-    SetFault("does not come up: it " + Ended(gone.code), actions);
-  } else if (loop) {
-    SetFault(
-        "died " + std::to_string(recent_deaths_.size()) + " times in a minute, last it " + Ended(gone.code),
-        actions);
+  state_since_ = now;
+  failed_starts_ = was_running ? 0 : failed_starts_ + 1;
+  recent_unexpected_exits_.push_back(now);
+  while (now - recent_unexpected_exits_.front() > kCrashLoopWindow) recent_unexpected_exits_.pop_front();
+  next_spawn_at_ = now + restart_backoff_;
+  restart_backoff_ = std::clamp(restart_backoff_ * 2, kMinBackoff, kMaxBackoff);
+  const bool crash_loop = static_cast<int>(recent_unexpected_exits_.size()) > kCrashLoopThreshold;
+  if (crash_loop) next_spawn_at_ = now + kCrashLoopDelay;
+  if (failed_starts_ >= kFailedStartsLimit) {
+    SetFault("does not come up: it " + DescribeExit(exited.exit_code), actions);
+  } else if (crash_loop) {
+    SetFault("died " + std::to_string(recent_unexpected_exits_.size()) + " times in a minute, last it " +
+                 DescribeExit(exited.exit_code),
+             actions);
   }
 }
 
-void Keeper::SetFault(const std::string& why, std::vector<Action>* actions) {
-  if (fault_ != why) actions->push_back(Note{"fault: " + why});
-  fault_ = why;
+void Supervisor::SetFault(const std::string& reason, std::vector<Action>* actions) {
+  if (fault_ != reason) actions->push_back(RecordEvent{"fault: " + reason});
+  fault_ = reason;
   fault_stamp_ = desired_.stamp;
 }
 
-void Keeper::Pursue(Time now, std::vector<Action>* actions) {
+void Supervisor::Reconcile(Time now, std::vector<Action>* actions) {
   const auto wake = [this](Time at) { wake_at_ = std::min(wake_at_, at); };
-  switch (life_) {
-    case Life::kLooking:
-      if (now - looked_at_ >= kLookEach) {
-        looked_at_ = now;
-        actions->push_back(Look{});
+  switch (state_) {
+    case State::kSearching:
+      if (now - searched_at_ >= kSearchInterval) {
+        searched_at_ = now;
+        actions->push_back(FindProcess{});
       }
-      return wake(looked_at_ + kLookEach);
-    case Life::kDown:
-      if (now < next_try_) return wake(next_try_);
-      life_ = Life::kStarting;
+      return wake(searched_at_ + kSearchInterval);
+    case State::kDown:
+      if (now < next_spawn_at_) return wake(next_spawn_at_);
+      state_ = State::kStarting;
       adopted_ = false;
-      since_ = now;
-      poll_at_ = now + kPollStarting;
+      state_since_ = now;
+      next_query_at_ = now + kStartingQueryInterval;
       actions->push_back(Spawn{desired_.stamp});
-      return wake(poll_at_);
-    case Life::kStarting:
-      if (now >= poll_at_) {
-        poll_at_ = now + kPollStarting;
-        actions->push_back(Poll{});
+      return wake(next_query_at_);
+    case State::kStarting:
+      if (now >= next_query_at_) {
+        next_query_at_ = now + kStartingQueryInterval;
+        actions->push_back(QueryStatus{});
       }
-      // One that we did not start is left alone: it may be serving, and only its control socket is not.
-      if (!adopted_ && pid_ != 0 && now - since_ >= kStartWithin) {
-        SetFault("says nothing " + std::to_string(kStartWithin / 1s) + " s after its start", actions);
-        actions->push_back(Signal{pid_, SIGKILL});
-        since_ = now;
+      // An adopted process isn't killed: it may be serving messages while only its control socket fails.
+      if (!adopted_ && pid_ != 0 && now - state_since_ >= kStartTimeout) {
+        SetFault("says nothing " + std::to_string(kStartTimeout / 1s) + " s after its start", actions);
+        actions->push_back(SendSignal{pid_, SIGKILL});
+        state_since_ = now;
       }
-      return wake(poll_at_);
-    case Life::kUp:
-      if (now >= poll_at_) {
-        poll_at_ = now + kPollUp;
-        actions->push_back(Poll{});
+      return wake(next_query_at_);
+    case State::kRunning:
+      if (now >= next_query_at_) {
+        next_query_at_ = now + kRunningQueryInterval;
+        actions->push_back(QueryStatus{});
       }
-      PursueUp(now, actions);
-      return wake(life_ == Life::kStopping ? kill_at_ : poll_at_);
-    case Life::kStopping:
+      ReconcileRunning(now, actions);
+      return wake(state_ == State::kStopping ? kill_at_ : next_query_at_);
+    case State::kStopping:
       if (now >= kill_at_) {
-        kill_at_ = now + kEndWithin;
-        actions->push_back(Signal{pid_, SIGKILL});
+        kill_at_ = now + kTerminationTimeout;
+        actions->push_back(SendSignal{pid_, SIGKILL});
       }
       return wake(kill_at_);
   }
 }
 
-void Keeper::PursueUp(Time now, std::vector<Action>* actions) {
+void Supervisor::ReconcileRunning(Time now, std::vector<Action>* actions) {
   if (!status_) return;
   if (!desired_.stamp.empty() && status_->stamp != desired_.stamp) {
-    if (!desired_.reload) return StopIt(now, actions, "restarted by order " + desired_.stamp);
-    if (reload_refused_ != desired_.stamp && now >= ask_at_) {
-      ask_at_ = now + kAskEach;
-      actions->push_back(Ask{"reload", desired_.stamp});
+    if (!desired_.reload) return StopProcess(now, actions, "restarted by order " + desired_.stamp);
+    if (refused_reload_stamp_ != desired_.stamp && now >= next_command_at_) {
+      next_command_at_ = now + kCommandRetryInterval;
+      actions->push_back(SendCommand{"reload", desired_.stamp});
     }
     return;
   }
   const bool pause = desired_.want == Want::kPaused && status_->phase == Belief::Phase::kServing;
   const bool resume = desired_.want == Want::kServing && status_->phase == Belief::Phase::kPaused;
-  if ((!pause && !resume) || now < ask_at_) return;
-  ask_at_ = now + kAskEach;
-  actions->push_back(Ask{pause ? "drain" : "resume", {}});
+  if ((!pause && !resume) || now < next_command_at_) return;
+  next_command_at_ = now + kCommandRetryInterval;
+  actions->push_back(SendCommand{pause ? "drain" : "resume", {}});
 }
 
-void Keeper::StopIt(Time now, std::vector<Action>* actions, const std::string& why) {
-  life_ = Life::kStopping;
-  since_ = now;
-  kill_at_ = now + kEndWithin;
-  actions->push_back(Note{why});
-  actions->push_back(Signal{pid_, SIGTERM});
+void Supervisor::StopProcess(Time now, std::vector<Action>* actions, const std::string& reason) {
+  state_ = State::kStopping;
+  state_since_ = now;
+  kill_at_ = now + kTerminationTimeout;
+  actions->push_back(RecordEvent{reason});
+  actions->push_back(SendSignal{pid_, SIGTERM});
 }
 
-std::optional<change::Belief> Keeper::Tell(const std::string& instance, Time now) const {
-  Belief b;
-  b.instance = instance;
-  b.at = now;
-  b.pid = pid_;
-  b.fault = fault_;
-  b.fault_stamp = fault_stamp_;
-  switch (life_) {
-    case Life::kLooking:
+std::optional<change::Belief> Supervisor::CurrentBelief(const std::string& instance, Time now) const {
+  Belief belief;
+  belief.instance = instance;
+  belief.at = now;
+  belief.pid = pid_;
+  belief.fault = fault_;
+  belief.fault_stamp = fault_stamp_;
+  switch (state_) {
+    case State::kSearching:
       return std::nullopt;
-    case Life::kDown:
-      b.phase = Belief::Phase::kDown;
-      return b;
-    case Life::kStopping:
-      b.phase = Belief::Phase::kEnding;
-      return b;
-    case Life::kStarting:
-      // Of one that was adopted nothing is known until it speaks.
+    case State::kDown:
+      belief.phase = Belief::Phase::kDown;
+      return belief;
+    case State::kStopping:
+      belief.phase = Belief::Phase::kEnding;
+      return belief;
+    case State::kStarting:
+      // Nothing is known of an adopted process until it reports its status.
       if (adopted_) return std::nullopt;
-      b.phase = Belief::Phase::kStarting;
-      return b;
-    case Life::kUp:
-      if (!status_ || now - status_at_ > kSilence) return std::nullopt;
-      b.at = status_at_;
-      b.phase = status_->phase;
-      b.settled = status_->settled;
-      b.stamp = status_->stamp;
-      b.held = status_->held;
-      b.counts = status_->counts;
-      return b;
+      belief.phase = Belief::Phase::kStarting;
+      return belief;
+    case State::kRunning:
+      if (!status_ || now - status_received_at_ > kMaxStatusAge) return std::nullopt;
+      belief.at = status_received_at_;
+      belief.phase = status_->phase;
+      belief.settled = status_->settled;
+      belief.stamp = status_->stamp;
+      belief.held = status_->held;
+      belief.counts = status_->counts;
+      return belief;
   }
   return std::nullopt;
 }
--- a/src/supervise/keeper.hpp
+++ b/src/supervise/keeper.hpp
@@ -1,8 +1,10 @@
-// Keeps one relay in the state that was ordered: starts it, adopts one that runs already, pauses, reloads,
-// restarts and stops it, and starts one that died. No process, socket or clock: fed what happened.
+// Decides how to bring one relay process to its desired state: starts it, adopts one that already runs,
+// pauses, reloads, restarts and stops it, and restarts it after an unexpected exit. This is a state machine
+// without I/O or a clock of its own: the caller passes in events and carries out the returned actions.
 //
-// It never starts a second copy: it spawns only after a look that found nobody, or after the process it knew
-// has ended; and a copy that finds the state folder locked ends by itself, which leads to a new look.
+// At most one relay runs for an instance: a process is spawned only after a search found none or after the
+// known process exited. A process that finds the state folder locked exits by itself (kFolderLocked), and
+// the search starts again.
 #pragma once
 
 #include <cstdint>
@@ -16,108 +18,122 @@
 
 namespace oxbowspread::supervise {
 
-using Time = std::chrono::microseconds;  // monotonic
+using Time = std::chrono::microseconds;  // monotonic clock
 
+// The state that the relay is to be brought to.
 struct Desired {
   change::Want want = change::Want::kServing;
-  std::string stamp;    // by which it is to run
-  bool reload = false;  // a running one gets there by a reload
+  std::string stamp;    // names the order and the configuration version that the relay is to run by
+  bool reload = false;  // a running relay takes the new stamp by a reload instead of a restart
 
   bool operator==(const Desired&) const = default;
 };
 
 // ---- events ----
-struct Found {
+// The process is alive and is known for certain to hold the state folder.
+struct ProcessFound {
   std::int64_t pid = 0;
-};                 // alive, and surely the one that holds the state folder
-struct Nobody {};  // surely
-struct Status {    // from its control socket
+};
+// It is certain that no relay process runs for the instance.
+struct NoProcessFound {};
+// Status that the relay reported on its control socket.
+struct Status {
   change::Belief::Phase phase = change::Belief::Phase::kStarting;
   bool settled = false;
   std::string stamp;
   std::int64_t pid = 0, held = 0;
   change::Counts counts;
 };
-struct Silent {};  // its control socket gave no answer
-struct Gone {
-  int code = 0;
-};  // its exit code, or minus the signal; 0 where nobody can tell
+// The relay did not answer a status request on its control socket.
+struct StatusUnavailable {};
+struct ProcessExited {
+  int exit_code = 0;  // or minus the number of the signal that ended the process; 0 if unknown
+};
 struct Spawned {
   std::int64_t pid = 0;
 };
-struct CantSpawn {
-  std::string why;
+struct SpawnFailed {
+  std::string reason;
 };
-struct Desire {
+struct DesiredChanged {
   Desired desired;
 };
-struct Reloaded {
-  std::string stamp, why;
-};  // `why` empty: done
-using Event = std::variant<Found, Nobody, Status, Silent, Gone, Spawned, CantSpawn, Desire, Reloaded>;
+// The relay's answer to a reload; `reason` says why it was refused and is empty after a success.
+struct ReloadAnswered {
+  std::string stamp, reason;
+};
+using Event = std::variant<ProcessFound, NoProcessFound, Status, StatusUnavailable, ProcessExited, Spawned,
+                           SpawnFailed, DesiredChanged, ReloadAnswered>;
 
 // ---- actions ----
-struct Look {};  // leads to Found or Nobody, or to nothing while it can't be told
+// Leads to ProcessFound or NoProcessFound, or to no event as long as neither is certain.
+struct FindProcess {};
+// Leads to Spawned or SpawnFailed.
 struct Spawn {
   std::string stamp;
-};               // leads to Spawned or CantSpawn
-struct Poll {};  // leads to Status or Silent
-struct Ask {
+};
+// Leads to Status or StatusUnavailable.
+struct QueryStatus {};
+// Sends "drain", "resume" or "reload"; only a reload leads to an event, ReloadAnswered.
+struct SendCommand {
   std::string op, stamp;
-};  // drain, resume, reload; only the last leads to an event
-struct Signal {
+};
+struct SendSignal {
   std::int64_t pid = 0;
-  int number = 0;
+  int signal_number = 0;
 };
-struct Note {
+// Writes the text to the log and to the history.
+struct RecordEvent {
   std::string text;
 };
-using Action = std::variant<Look, Spawn, Poll, Ask, Signal, Note>;
+using Action = std::variant<FindProcess, Spawn, QueryStatus, SendCommand, SendSignal, RecordEvent>;
 
-// Exit code of a relay that found its state folder locked.
+// Exit code of a relay that found its state folder locked by another process.
 constexpr int kFolderLocked = 3;
 
-class Keeper {
+// State machine for one relay process. Not thread-safe.
+class Supervisor {
  public:
-  enum class Life { kLooking, kDown, kStarting, kUp, kStopping };
+  enum class State { kSearching, kDown, kStarting, kRunning, kStopping };
 
-  explicit Keeper(Desired desired) : desired_(std::move(desired)) {}
+  explicit Supervisor(Desired desired) : desired_(std::move(desired)) {}
 
-  // Events in the order in which they happened; actions to be carried out in order. Never fails: what goes
-  // wrong comes as an event. To be called again at wake_at() at the latest, Time::max() meaning never.
+  // Takes events in the order in which they happened and returns actions, which are to be carried out in
+  // order. Doesn't fail: a failed action is reported by an event. Must be called again at wake_at() at the
+  // latest; Time::max() means that no call is needed without an event.
   std::vector<Action> Step(Time now, const std::vector<Event>& events);
   Time wake_at() const { return wake_at_; }
 
-  Life life() const { return life_; }
+  State state() const { return state_; }
   std::int64_t pid() const { return pid_; }
   const Desired& desired() const { return desired_; }
-  std::int64_t deaths() const { return deaths_; }
-  // What can honestly be said of it, as of `at`; nothing while that is nothing.
-  std::optional<change::Belief> Tell(const std::string& instance, Time now) const;
+  std::int64_t unexpected_exits() const { return unexpected_exits_; }
+  // What is known of the instance, valid as of the belief's `at`; nullopt while its state is unknown.
+  std::optional<change::Belief> CurrentBelief(const std::string& instance, Time now) const;
 
  private:
-  void Take(Time now, const Event& event, std::vector<Action>* actions);
-  void TakeStatus(Time now, const Status& status, std::vector<Action>* actions);
-  void TakeGone(Time now, const Gone& gone, std::vector<Action>* actions);
-  void Pursue(Time now, std::vector<Action>* actions);
-  void PursueUp(Time now, std::vector<Action>* actions);
-  void StopIt(Time now, std::vector<Action>* actions, const std::string& why);
-  void SetFault(const std::string& why, std::vector<Action>* actions);
+  void HandleEvent(Time now, const Event& event, std::vector<Action>* actions);
+  void HandleStatus(Time now, const Status& status, std::vector<Action>* actions);
+  void HandleExit(Time now, const ProcessExited& exited, std::vector<Action>* actions);
+  void Reconcile(Time now, std::vector<Action>* actions);
+  void ReconcileRunning(Time now, std::vector<Action>* actions);
+  void StopProcess(Time now, std::vector<Action>* actions, const std::string& reason);
+  void SetFault(const std::string& reason, std::vector<Action>* actions);
 
   Desired desired_;
-  Life life_ = Life::kLooking;
+  State state_ = State::kSearching;
   std::int64_t pid_ = 0;
   std::optional<Status> status_;
-  Time status_at_{0};
-  Time since_{0};  // of the life it has now
-  Time poll_at_{0}, ask_at_{0}, next_try_{0}, kill_at_{0}, looked_at_{Time::min() / 2};
-  Time backoff_{0};
-  std::deque<Time> recent_deaths_;
-  int early_ends_ = 0;  // in a row, before it served
+  Time status_received_at_{0};
+  Time state_since_{0};  // when state_ was entered; later if a started process had to be killed
+  Time next_query_at_{0}, next_command_at_{0}, next_spawn_at_{0}, kill_at_{0}, searched_at_{Time::min() / 2};
+  Time restart_backoff_{0};
+  std::deque<Time> recent_unexpected_exits_;
+  int failed_starts_ = 0;  // consecutive processes that exited before they served
   bool adopted_ = false;
-  std::int64_t deaths_ = 0;  // that nobody ordered
+  std::int64_t unexpected_exits_ = 0;  // exits that no order caused, since construction
   std::string fault_, fault_stamp_;
-  std::string reload_refused_;  // the stamp of which
+  std::string refused_reload_stamp_;  // stamp of the last refused reload, not asked for again
   Time wake_at_{0};
 };
 
--- a/src/supervise/process.hpp
+++ b/src/supervise/process.hpp
@@ -1,4 +1,4 @@
-// Processes of the system, as little of them as supervision needs.
+// Starts processes and identifies them across reuse of a pid.
 #pragma once
 
 #include <sys/types.h>
@@ -9,19 +9,22 @@
 
 namespace oxbowspread::supervise {
 
-// What tells a process from a later one with the same pid: the moment of its start in clock ticks since the
-// system's (proc(5), field 22). 0 if there is no such process, or it has ended and only waits to be reaped.
-std::uint64_t StartedAt(pid_t pid);
+// Start time of the process in clock ticks since the system was booted (field 22 of /proc/PID/stat, see
+// proc(5)). Together with the pid it tells a process from a later one with the same pid. 0 if there is no
+// such process, or if it has exited and is not reaped yet.
+std::uint64_t ProcessStartTicks(pid_t pid);
 
+// What to run and how.
 struct Program {
   std::string path;
-  std::vector<std::string> arguments;              // after the program's own name
-  std::map<std::string, std::string> environment;  // beside the starter's; $ROUTER_... of that are left out
-  std::string log;                                 // standard output and error are appended to it
+  std::vector<std::string> arguments;  // without the program's name
+  std::map<std::string, std::string>
+      environment;       // added to the caller's, whose ROUTER_* variables are dropped
+  std::string log_path;  // file to which standard output and standard error are appended
 };
 
-// Starts it in a session of its own, with no descriptor of ours but the log: it lives on when we end. The
-// pid, or 0 and why not.
-pid_t Start(const Program& program, std::string* why);
+// Starts the program in a new session, so that it outlives the caller. The caller's descriptors are not
+// closed here: they have to be close-on-exec. Returns the pid, or 0 with an error text in `reason`.
+pid_t SpawnProcess(const Program& program, std::string* reason);
 
 }  // namespace oxbowspread::supervise
--- a/tests/group/keeper_test.cpp
+++ b/tests/group/keeper_test.cpp
@@ -32,14 +32,14 @@
     for (const Action& action : keeper.Step(now, events)) Do(action);
   }
   void Do(const Action& action) {
-    if (std::holds_alternative<Look>(action)) {
-      if (pid != 0) pending.push_back(Found{pid});
-      if (pid == 0 && !unclear) pending.push_back(Nobody{});
+    if (std::holds_alternative<FindProcess>(action)) {
+      if (pid != 0) pending.push_back(ProcessFound{pid});
+      if (pid == 0 && !unclear) pending.push_back(NoProcessFound{});
     } else if (const auto* spawn = std::get_if<Spawn>(&action)) {
       ++spawns;
       spawned_at.push_back(now);
       if (spawn_fails) {
-        pending.push_back(CantSpawn{"no such file"});
+        pending.push_back(SpawnFailed{"no such file"});
         return;
       }
       CHECK(pid == 0);  // never a second copy
@@ -49,39 +49,39 @@
       ready_at = now + 200ms;
       pending.push_back(Spawned{pid});
       if (ends_at_once) End(*ends_at_once);
-    } else if (std::holds_alternative<Poll>(action)) {
+    } else if (std::holds_alternative<QueryStatus>(action)) {
       if (pid == 0 || silent) {
-        pending.push_back(Silent{});
+        pending.push_back(StatusUnavailable{});
       } else {
         pending.push_back(Status{phase, false, stamp, pid, 0, {}});
       }
-    } else if (const auto* ask = std::get_if<Ask>(&action)) {
+    } else if (const auto* ask = std::get_if<SendCommand>(&action)) {
       asked.push_back(ask->op);
       if (ask->op == "drain") phase = Phase::kPaused;
       if (ask->op == "resume") phase = Phase::kServing;
       if (ask->op == "reload") {
         if (reload_fault.empty()) stamp = ask->stamp;
-        pending.push_back(Reloaded{ask->stamp, reload_fault});
+        pending.push_back(ReloadAnswered{ask->stamp, reload_fault});
       }
-    } else if (const auto* signal = std::get_if<Signal>(&action)) {
-      signals.push_back(signal->number);
-      if (signal->number == SIGTERM && !deaf) {
+    } else if (const auto* signal = std::get_if<SendSignal>(&action)) {
+      signals.push_back(signal->signal_number);
+      if (signal->signal_number == SIGTERM && !deaf) {
         phase = Phase::kEnding;
         end_at = now + 300ms;
       }
-      if (signal->number == SIGKILL) End(-SIGKILL);
+      if (signal->signal_number == SIGKILL) End(-SIGKILL);
     }
   }
   void End(int code) {
     pid = 0;
-    pending.push_back(Gone{code});
+    pending.push_back(ProcessExited{code});
   }
   Phase told() const {
-    const auto b = keeper.Tell("n1", now);
+    const auto b = keeper.CurrentBelief("n1", now);
     return b ? b->phase : Phase::kDown;
   }
 
-  Keeper keeper;
+  Supervisor keeper;
   Time now{1'000'000'000};
   std::vector<Event> pending;
   std::int64_t pid = 0, pids = 100;
@@ -101,7 +101,7 @@
   h.Run(2s);
   CHECK(h.spawns == 1);
   CHECK(h.told() == Phase::kServing);
-  CHECK(h.keeper.Tell("n1", h.now)->stamp == "v1@first");
+  CHECK(h.keeper.CurrentBelief("n1", h.now)->stamp == "v1@first");
 }
 
 TEST_CASE("one that runs already is adopted, not started and not restarted") {
@@ -121,7 +121,7 @@
   h.unclear = true;
   h.Run(20s);
   CHECK(h.spawns == 0);
-  CHECK_FALSE(h.keeper.Tell("n1", h.now).has_value());
+  CHECK_FALSE(h.keeper.CurrentBelief("n1", h.now).has_value());
   h.unclear = false;
   h.Run(2s);
   CHECK(h.spawns == 1);
@@ -134,13 +134,13 @@
   h.Run(500ms);
   CHECK(h.spawns == 2);
   CHECK(h.told() == Phase::kServing);
-  CHECK(h.keeper.deaths() == 1);
+  CHECK(h.keeper.unexpected_exits() == 1);
   for (int i = 0; i < 5; ++i) {
     h.End(-SIGKILL);
     h.Run(5s);
   }
   const int before = h.spawns;
-  CHECK(h.keeper.Tell("n1", h.now)->fault.find("died 6 times in a minute") == 0);
+  CHECK(h.keeper.CurrentBelief("n1", h.now)->fault.find("died 6 times in a minute") == 0);
   h.Run(20s);
   CHECK(h.spawns == before);  // a crash loop rests for 30 s
   h.Run(15s);
@@ -151,7 +151,7 @@
   Host h;
   h.ends_at_once = 1;
   h.Run(2s);
-  const auto b = h.keeper.Tell("n1", h.now);
+  const auto b = h.keeper.CurrentBelief("n1", h.now);
   REQUIRE(b);
   CHECK(b->fault == "does not come up: it ended with code 1");
   CHECK(b->fault_stamp == "v1@first");
@@ -159,17 +159,17 @@
   CHECK(h.spawns <= 6);
   // Another order makes a fresh start of it at once.
   h.ends_at_once.reset();
-  h.Step({Desire{{Want::kServing, "v0@c1.1u", false}}});
+  h.Step({DesiredChanged{{Want::kServing, "v0@c1.1u", false}}});
   h.Run(1s);
   CHECK(h.told() == Phase::kServing);
-  CHECK(h.keeper.Tell("n1", h.now)->fault.empty());
+  CHECK(h.keeper.CurrentBelief("n1", h.now)->fault.empty());
 }
 
 TEST_CASE("a copy that finds the folder locked leads to a look, not to a count of deaths") {
   Host h;
   h.ends_at_once = kFolderLocked;
   h.Run(150ms);
-  CHECK(h.keeper.deaths() == 0);
+  CHECK(h.keeper.unexpected_exits() == 0);
   h.ends_at_once.reset();
   h.pid = 55;
   h.phase = Phase::kServing;
@@ -181,13 +181,13 @@
 TEST_CASE("another stamp restarts it by SIGTERM, and by SIGKILL only where that is not heeded") {
   Host h;
   h.Run(1s);
-  h.Step({Desire{{Want::kServing, "v2@c1.1", false}}});
+  h.Step({DesiredChanged{{Want::kServing, "v2@c1.1", false}}});
   h.Run(2s);
   CHECK(h.signals == std::vector<int>{SIGTERM});
   CHECK(h.stamp == "v2@c1.1");
-  CHECK(h.keeper.deaths() == 0);
+  CHECK(h.keeper.unexpected_exits() == 0);
   h.deaf = true;
-  h.Step({Desire{{Want::kServing, "v3@c2.1", false}}});
+  h.Step({DesiredChanged{{Want::kServing, "v3@c2.1", false}}});
   h.Run(4s);
   CHECK(h.signals.size() == 2);
   h.Run(3s);
@@ -199,15 +199,15 @@
   Host h;
   h.Run(1s);
   const auto pid = h.pid;
-  h.Step({Desire{{Want::kServing, "v2@c1.1", true}}});
+  h.Step({DesiredChanged{{Want::kServing, "v2@c1.1", true}}});
   h.Run(1s);
   CHECK(h.pid == pid);
   CHECK(h.stamp == "v2@c1.1");
   h.reload_fault = "limits.sockets: must be at least 48";
-  h.Step({Desire{{Want::kServing, "v3@c2.1", true}}});
+  h.Step({DesiredChanged{{Want::kServing, "v3@c2.1", true}}});
   h.Run(3s);
   CHECK(h.pid == pid);
-  CHECK(h.keeper.Tell("n1", h.now)->fault ==
+  CHECK(h.keeper.CurrentBelief("n1", h.now)->fault ==
         "refused the configuration: limits.sockets: must be at least 48");
   CHECK(std::count(h.asked.begin(), h.asked.end(), "reload") == 2);
 }
@@ -219,7 +219,7 @@
   h.End(-SIGKILL);
   h.Run(2s);
   CHECK(h.told() == Phase::kPaused);
-  h.Step({Desire{{Want::kServing, "v1@first", false}}});
+  h.Step({DesiredChanged{{Want::kServing, "v1@first", false}}});
   h.Run(1s);
   CHECK(h.told() == Phase::kServing);
 }
@@ -229,7 +229,7 @@
   h.Run(1s);
   h.silent = true;
   h.Run(30s);
-  CHECK_FALSE(h.keeper.Tell("n1", h.now).has_value());
+  CHECK_FALSE(h.keeper.CurrentBelief("n1", h.now).has_value());
   CHECK(h.spawns == 1);
   CHECK(h.signals.empty());
 }
@@ -248,7 +248,7 @@
   Host h;
   h.spawn_fails = true;
   h.Run(25s);
-  CHECK(h.keeper.Tell("n1", h.now)->fault == "can't be started: no such file");
+  CHECK(h.keeper.CurrentBelief("n1", h.now)->fault == "can't be started: no such file");
   CHECK(h.spawns == 3);
 }
 
@@ -266,15 +266,15 @@
           break;
         case 1:
           last = {dice() % 2 == 0 ? Want::kPaused : Want::kServing, last.stamp, last.reload};
-          h.Step({Desire{last}});
+          h.Step({DesiredChanged{last}});
           break;
         case 2:
           last = {Want::kServing, "v" + std::to_string(i) + "@c" + std::to_string(i) + ".1", dice() % 2 == 0};
-          h.Step({Desire{last}});
+          h.Step({DesiredChanged{last}});
           break;
         case 3: {  // the agent dies: the next keeper knows what was ordered, and nothing else
           h.pending.clear();
-          h.keeper = Keeper(last);
+          h.keeper = Supervisor(last);
           break;
         }
         default:
@@ -282,7 +282,7 @@
       }
     }
     h.Run(60s);
-    REQUIRE(h.keeper.Tell("n1", h.now).has_value());
+    REQUIRE(h.keeper.CurrentBelief("n1", h.now).has_value());
     CHECK(h.told() == (last.want == Want::kPaused ? Phase::kPaused : Phase::kServing));
     CHECK(h.stamp == last.stamp);
   }
--- a/tests/group/rig.cpp
+++ b/tests/group/rig.cpp
@@ -236,7 +236,7 @@
     std::ifstream file(entry.path() / "cmdline");
     std::string program, word;
     std::getline(file, program, '\0');
-    if (program != OXBOWSPREAD || supervise::StartedAt(std::stoi(name)) == 0) continue;
+    if (program != OXBOWSPREAD || supervise::ProcessStartTicks(std::stoi(name)) == 0) continue;
     while (std::getline(file, word, '\0')) {
       if (word.rfind(folder + "/", 0) != 0) continue;
       all[std::filesystem::path(word).stem()].push_back(std::stoi(name));
