--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -107,7 +107,7 @@
 void Agent::Note(const std::string& change, const std::string& instance, const std::string& text,
                  const std::string& step) {
   log_.Say(info, change, instance, text, step);
-  store_->Tell({0, UnixMs(), change, instance, text});
+  store_->AppendHistory({0, UnixMs(), change, instance, text});
 }
 
 change::Moment Agent::NowMoment() const {
@@ -289,7 +289,7 @@
     return never;
   }
   if (!stamp.empty()) {
-    const auto text = store_->Config(instance, change::VersionOf(stamp));
+    const auto text = store_->GetConfig(instance, change::VersionOf(stamp));
     try {
       if (!text) throw std::runtime_error("the configuration " + change::VersionOf(stamp) + " is not here");
       config::ParseAndValidate(*text);
@@ -321,7 +321,7 @@
   const std::string version = group::VersionOfText(text);
   const std::string from = change::VersionOf(hand->second->keeper().desired().stamp);
   bool reload = false;
-  if (const auto running = store_->Config(instance, from)) {
+  if (const auto running = store_->GetConfig(instance, from)) {
     reload = config::KeysNeedingRestart(config::ParseAndValidate(*running), next).empty();
   }
   if (!request.value("dry_run", false)) store_->PutConfig(instance, version, text);
@@ -331,7 +331,7 @@
 control::Json Agent::TellHistory(const Json& request) {
   Json all = Json::array();
   const auto most = static_cast<int>(std::clamp<std::int64_t>(NumberOf(request, "most", 100), 1, 1000));
-  for (const store::Happened& h : store_->History(NumberOf(request, "after", 0), most)) {
+  for (const store::HistoryEntry& h : store_->History(NumberOf(request, "after", 0), most)) {
     all.push_back({{"number", h.number},
                    {"unix_ms", h.unix_ms},
                    {"agent", options_.name},
--- a/src/agent/hand.cpp
+++ b/src/agent/hand.cpp
@@ -59,7 +59,7 @@
              }),
       wake_(loop, [this] { Step({}); }),
       alive_(loop, [this] { CheckAlive(); }) {
-  if (const auto running = store_.RunningOf(instance_)) running_ = *running;
+  if (const auto running = store_.GetRunning(instance_)) running_ = *running;
   wake_.After(net::Time(0));
 }
 
@@ -84,8 +84,9 @@
 // Found only when all that can be asked agrees; Nobody only when nothing speaks for anybody.
 void Hand::Do(const supervise::FindProcess&) {
   const auto holder = journal::FolderLock::HolderOf(StateFolder());
-  const bool recorded = running_.pid > 0 && running_.started != 0 &&
-                        supervise::ProcessStartTicks(static_cast<pid_t>(running_.pid)) == running_.started;
+  const bool recorded =
+      running_.pid > 0 && running_.start_ticks != 0 &&
+      supervise::ProcessStartTicks(static_cast<pid_t>(running_.pid)) == running_.start_ticks;
   if (recorded && holder && *holder == running_.pid) return Adopt(running_.pid);
   if (!recorded && !holder) {
     wake_.After(net::Time(0));
@@ -127,7 +128,7 @@
 
 std::string Hand::StateFolder() const {
   std::string folder;
-  if (const auto text = store_.Config(instance_, change::VersionOf(keeper_.desired().stamp))) {
+  if (const auto text = store_.GetConfig(instance_, change::VersionOf(keeper_.desired().stamp))) {
     const control::Json json = control::Json::parse(*text, nullptr, false);
     if (json.is_object()) folder = control::TextOf(json, "state");
   }
@@ -135,7 +136,7 @@
 }
 
 void Hand::WriteConfig(const std::string& stamp) {
-  const auto text = store_.Config(instance_, change::VersionOf(stamp));
+  const auto text = store_.GetConfig(instance_, change::VersionOf(stamp));
   if (!text) throw std::runtime_error("the store has no configuration " + change::VersionOf(stamp));
   const std::string file = path(".json"), next = file + ".next";
   std::ofstream out(next, std::ios::trunc);
@@ -197,8 +198,8 @@
 void Hand::Do(const supervise::SendSignal& signal) {
   // Never to whoever has come by that pid since, and never to 0, which would be our whole process group.
   const auto pid = static_cast<pid_t>(signal.pid);
-  if (pid <= 0 || running_.started == 0) return;
-  if (signal.pid == running_.pid && supervise::ProcessStartTicks(pid) == running_.started)
+  if (pid <= 0 || running_.start_ticks == 0) return;
+  if (signal.pid == running_.pid && supervise::ProcessStartTicks(pid) == running_.start_ticks)
     kill(pid, signal.signal_number);
 }
 
@@ -208,7 +209,7 @@
   int code = 0, status = 0;
   if (child_ && waitpid(pid, &status, WNOHANG) == pid) {
     code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
-  } else if (running_.started != 0 && supervise::ProcessStartTicks(pid) == running_.started) {
+  } else if (running_.start_ticks != 0 && supervise::ProcessStartTicks(pid) == running_.start_ticks) {
     alive_.After(kAliveEach);
     return;
   }
--- a/src/agent/hand.hpp
+++ b/src/agent/hand.hpp
@@ -62,7 +62,7 @@
   store::Store& store_;
   Note note_;
   supervise::Supervisor keeper_;
-  store::Running running_;
+  store::RunningProcess running_;
   bool child_ = false;
   bool polling_ = false;
   std::string told_;  // what the last look found in the way
--- a/src/sqlite/database.cpp
+++ b/src/sqlite/database.cpp
@@ -6,37 +6,37 @@
 
 namespace oxbowspread::sqlite {
 namespace {
-constexpr int kPage = 4096;
+constexpr int kPageBytes = 4096;
 }  // namespace
 
-Database::Database(const std::string& path, const Options& options) : what_(options.what) {
+Database::Database(const std::string& path, const Options& options) : label_(options.label) {
   const int flags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE;
   if (sqlite3_open_v2(path.c_str(), &db_, flags, nullptr) != SQLITE_OK) {
-    const std::string why = sqlite3_errmsg(db_);
+    const std::string reason = sqlite3_errmsg(db_);
     sqlite3_close(db_);
-    throw Error(what_ + ": " + path + ": " + why);
+    throw Error(label_ + ": " + path + ": " + reason);
   }
   try {
-    Do(options.synced ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=NORMAL");
-    // One process uses it, so no log beside it.
-    Do("PRAGMA locking_mode=EXCLUSIVE");
-    if (options.most_kb > 0) {
-      Do("PRAGMA max_page_count=" + std::to_string(std::max(16, options.most_kb * 1024 / kPage)));
+    Execute(options.durable ? "PRAGMA synchronous=FULL" : "PRAGMA synchronous=NORMAL");
+    // Only one process uses the file, so a write-ahead log is not needed.
+    Execute("PRAGMA locking_mode=EXCLUSIVE");
+    if (options.max_kb > 0) {
+      Execute("PRAGMA max_page_count=" + std::to_string(std::max(16, options.max_kb * 1024 / kPageBytes)));
     }
     int version = 0;
     {
-      Statement s(*this, "PRAGMA user_version");
-      if (s.Step()) version = static_cast<int>(s.Number(0));
+      Statement statement(*this, "PRAGMA user_version");
+      if (statement.Step()) version = static_cast<int>(statement.Number(0));
     }
     if (version > options.version) {
-      throw Error(what_ + ": " + path + " is of version " + std::to_string(version) +
+      throw Error(label_ + ": " + path + " is of version " + std::to_string(version) +
                   ", this program knows " + std::to_string(options.version));
     }
     if (version < options.version) {
-      Transaction all(*this);
-      Do(options.schema);
-      Do("PRAGMA user_version=" + std::to_string(options.version));
-      all.Commit();
+      Transaction transaction(*this);
+      Execute(options.schema);
+      Execute("PRAGMA user_version=" + std::to_string(options.version));
+      transaction.Commit();
     }
   } catch (...) {
     sqlite3_close(db_);
@@ -46,48 +46,48 @@
 
 Database::~Database() { sqlite3_close(db_); }
 
-void Database::Fail() const { throw Error(what_ + ": " + sqlite3_errmsg(db_)); }
+void Database::ThrowError() const { throw Error(label_ + ": " + sqlite3_errmsg(db_)); }
 
-void Database::Do(const std::string& sql) {
-  if (sqlite3_exec(db_, sql.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) Fail();
+void Database::Execute(const std::string& sql) {
+  if (sqlite3_exec(db_, sql.c_str(), nullptr, nullptr, nullptr) != SQLITE_OK) ThrowError();
 }
 
-std::int64_t Database::last_row() const { return sqlite3_last_insert_rowid(db_); }
+std::int64_t Database::last_insert_row_id() const { return sqlite3_last_insert_rowid(db_); }
 
 Transaction::~Transaction() {
   if (!open_) return;
   try {
-    database_.Do("ROLLBACK");
+    database_.Execute("ROLLBACK");
   } catch (const Error&) {
-    // SQLite has rolled back by itself.
+    // SQLite has already rolled the transaction back.
   }
 }
 
 void Transaction::Commit() {
-  database_.Do("COMMIT");
+  database_.Execute("COMMIT");
   open_ = false;
 }
 
 Statement::Statement(Database& database, const char* sql) : database_(database) {
-  if (sqlite3_prepare_v2(database_.db_, sql, -1, &statement_, nullptr) != SQLITE_OK) database_.Fail();
+  if (sqlite3_prepare_v2(database_.db_, sql, -1, &statement_, nullptr) != SQLITE_OK) database_.ThrowError();
 }
 
 Statement::~Statement() { sqlite3_finalize(statement_); }
 
 Statement& Statement::Bind(const std::string& text) {
-  sqlite3_bind_text(statement_, ++bound_, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
+  sqlite3_bind_text(statement_, ++bound_count_, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
   return *this;
 }
 
 Statement& Statement::Bind(std::int64_t number) {
-  sqlite3_bind_int64(statement_, ++bound_, number);
+  sqlite3_bind_int64(statement_, ++bound_count_, number);
   return *this;
 }
 
 bool Statement::Step() {
-  const int code = sqlite3_step(statement_);
-  if (code == SQLITE_ROW) return true;
-  if (code != SQLITE_DONE) database_.Fail();
+  const int result = sqlite3_step(statement_);
+  if (result == SQLITE_ROW) return true;
+  if (result != SQLITE_DONE) database_.ThrowError();
   return false;
 }
 
--- a/src/sqlite/database.hpp
+++ b/src/sqlite/database.hpp
@@ -1,4 +1,5 @@
-// One SQLite file, and statements on it. Whoever uses it holds it alone. Not for two threads at once.
+// RAII wrappers around one SQLite database file and its statements. The process that has the file open locks
+// it exclusively. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -10,42 +11,45 @@
 
 namespace oxbowspread::sqlite {
 
-// The disk is full, the file is damaged, ...: "WHAT: ", then in SQLite's words.
+// An SQLite error, such as a full disk or a damaged file. The text is "LABEL: " and SQLite's message.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// An open database file.
 class Database {
  public:
   struct Options {
-    std::string what;         // begins each error
-    int version = 1;          // of the schema; a file of a later one is refused
-    const char* schema = "";  // statements for a file of an earlier version, or a new one
-    int most_kb = 0;          // a file that is full refuses what would make it larger; 0: no bound
-    bool synced = true;       // on disk, through a loss of power too, when a call returns
+    std::string label;        // first part of each error text
+    int version = 1;          // of the schema; a file with a later version is refused
+    const char* schema = "";  // SQL that is run on a new file or one with an earlier version
+    int max_kb = 0;           // size limit in KiB, at least 64; writes beyond it fail; 0: unlimited
+    bool durable = true;      // writes survive a power failure once the call returns
   };
 
-  // Makes the file if it isn't there. Throws Error.
+  // Opens the file and creates it if it doesn't exist. Throws Error.
   Database(const std::string& path, const Options& options);
   ~Database();
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
 
-  void Do(const std::string& sql);  // throws Error
-  std::int64_t last_row() const;
-  [[noreturn]] void Fail() const;
+  // Runs statements that return no rows. Throws Error.
+  void Execute(const std::string& sql);
+  std::int64_t last_insert_row_id() const;
+  // Throws Error with the message of the latest failed SQLite call.
+  [[noreturn]] void ThrowError() const;
 
  private:
   friend class Statement;
-  std::string what_;
+  std::string label_;
   sqlite3* db_ = nullptr;
 };
 
-// BEGIN; rolled back at its end unless Commit was called.
+// Begins a transaction; the destructor rolls it back unless Commit was called.
 class Transaction {
  public:
-  explicit Transaction(Database& database) : database_(database) { database_.Do("BEGIN"); }
+  explicit Transaction(Database& database) : database_(database) { database_.Execute("BEGIN"); }
   ~Transaction();
   Transaction(const Transaction&) = delete;
   Transaction& operator=(const Transaction&) = delete;
@@ -56,6 +60,7 @@
   bool open_ = true;
 };
 
+// A prepared statement; the database must outlive it.
 class Statement {
  public:
   Statement(Database& database, const char* sql);  // throws Error
@@ -63,19 +68,19 @@
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  // The next parameter, from the first on.
+  // Binds the next parameter; the first call binds the first one.
   Statement& Bind(const std::string& text);
   Statement& Bind(std::int64_t number);
-  // Runs on; whether there is a row. Throws Error.
+  // Runs the statement up to its next row. Returns whether there is one. Throws Error.
   bool Step();
-  // Of the present row, columns from 0.
+  // Values of the current row; columns count from 0. A NULL reads as an empty text or 0.
   std::string Text(int column);
   std::int64_t Number(int column);
 
  private:
   Database& database_;
   sqlite3_stmt* statement_ = nullptr;
-  int bound_ = 0;
+  int bound_count_ = 0;
 };
 
 }  // namespace oxbowspread::sqlite
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kVersion = 1;
+constexpr int kSchemaVersion = 1;
 constexpr const char* kSchema = R"(
   CREATE TABLE IF NOT EXISTS value (key TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
   CREATE TABLE IF NOT EXISTS desired (instance TEXT PRIMARY KEY, want TEXT NOT NULL, stamp TEXT NOT NULL,
@@ -21,12 +21,12 @@
 
 }  // namespace
 
-Store::Store(const std::string& path, int most_kb)
-    : database_(path, {"store", kVersion, kSchema, most_kb, true}) {}
+Store::Store(const std::string& path, int max_kb)
+    : database_(path, {"store", kSchemaVersion, kSchema, max_kb, true}) {}
 
 std::optional<std::string> Store::Get(const std::string& key) {
-  Statement s(database_, "SELECT value FROM value WHERE key = ?");
-  return s.Bind(key).Step() ? std::optional(s.Text(0)) : std::nullopt;
+  Statement statement(database_, "SELECT value FROM value WHERE key = ?");
+  return statement.Bind(key).Step() ? std::optional(statement.Text(0)) : std::nullopt;
 }
 
 void Store::Put(const std::string& key, const std::string& value) {
@@ -35,42 +35,43 @@
 
 std::map<std::string, Desired> Store::AllDesired() {
   std::map<std::string, Desired> all;
-  Statement s(database_, "SELECT instance, want, stamp, reload FROM desired");
-  while (s.Step()) all[s.Text(0)] = {s.Text(1), s.Text(2), s.Number(3) != 0};
+  Statement statement(database_, "SELECT instance, want, stamp, reload FROM desired");
+  while (statement.Step())
+    all[statement.Text(0)] = {statement.Text(1), statement.Text(2), statement.Number(3) != 0};
   return all;
 }
 
-void Store::PutDesired(const std::string& instance, const Desired& d) {
+void Store::PutDesired(const std::string& instance, const Desired& desired) {
   Statement(database_, "INSERT OR REPLACE INTO desired VALUES (?, ?, ?, ?)")
       .Bind(instance)
-      .Bind(d.want)
-      .Bind(d.stamp)
-      .Bind(std::int64_t{d.reload})
+      .Bind(desired.want)
+      .Bind(desired.stamp)
+      .Bind(std::int64_t{desired.reload})
       .Step();
 }
 
-std::optional<Running> Store::RunningOf(const std::string& instance) {
-  Statement s(database_, "SELECT pid, started FROM running WHERE instance = ?");
-  if (!s.Bind(instance).Step()) return std::nullopt;
-  return Running{s.Number(0), static_cast<std::uint64_t>(s.Number(1))};
+std::optional<RunningProcess> Store::GetRunning(const std::string& instance) {
+  Statement statement(database_, "SELECT pid, started FROM running WHERE instance = ?");
+  if (!statement.Bind(instance).Step()) return std::nullopt;
+  return RunningProcess{statement.Number(0), static_cast<std::uint64_t>(statement.Number(1))};
 }
 
-void Store::PutRunning(const std::string& instance, const Running& r) {
+void Store::PutRunning(const std::string& instance, const RunningProcess& running) {
   Statement(database_, "INSERT OR REPLACE INTO running VALUES (?, ?, ?)")
       .Bind(instance)
-      .Bind(r.pid)
-      .Bind(static_cast<std::int64_t>(r.started))
+      .Bind(running.pid)
+      .Bind(static_cast<std::int64_t>(running.start_ticks))
       .Step();
 }
 
-std::optional<std::string> Store::Config(const std::string& instance, const std::string& version) {
-  Statement s(database_, "SELECT text FROM config WHERE instance = ? AND version = ?");
-  return s.Bind(instance).Bind(version).Step() ? std::optional(s.Text(0)) : std::nullopt;
+std::optional<std::string> Store::GetConfig(const std::string& instance, const std::string& version) {
+  Statement statement(database_, "SELECT text FROM config WHERE instance = ? AND version = ?");
+  return statement.Bind(instance).Bind(version).Step() ? std::optional(statement.Text(0)) : std::nullopt;
 }
 
 void Store::PutConfig(const std::string& instance, const std::string& version, const std::string& text) {
-  // Dropped before it is written again, so that the number says which is the latest.
-  sqlite::Transaction all(database_);
+  // Deletes and inserts instead of updating, so that the version stored last has the highest number.
+  sqlite::Transaction transaction(database_);
   Statement(database_, "DELETE FROM config WHERE instance = ? AND version = ?")
       .Bind(instance)
       .Bind(version)
@@ -85,29 +86,32 @@
             "instance = ?1 ORDER BY number DESC LIMIT ?2) AND NOT EXISTS (SELECT 1 FROM desired WHERE "
             "desired.instance = ?1 AND substr(stamp, 1, instr(stamp, '@') - 1) = version)")
       .Bind(instance)
-      .Bind(std::int64_t{kVersions})
+      .Bind(std::int64_t{kMaxVersions})
       .Step();
-  all.Commit();
+  transaction.Commit();
 }
 
-void Store::Tell(const Happened& h) noexcept {
+void Store::AppendHistory(const HistoryEntry& entry) noexcept {
   try {
     Statement insert(database_, "INSERT INTO history (unix_ms, change, instance, text) VALUES (?, ?, ?, ?)");
-    insert.Bind(h.unix_ms).Bind(h.change).Bind(h.instance).Bind(h.text).Step();
-    const std::int64_t number = database_.last_row();
+    insert.Bind(entry.unix_ms).Bind(entry.change).Bind(entry.instance).Bind(entry.text).Step();
+    const std::int64_t number = database_.last_insert_row_id();
     if (number % 100 != 0) return;
-    Statement(database_, "DELETE FROM history WHERE number <= ?").Bind(number - kHistory).Step();
+    Statement(database_, "DELETE FROM history WHERE number <= ?").Bind(number - kMaxHistoryEntries).Step();
   } catch (const std::exception&) {
   }
 }
 
-std::vector<Happened> Store::History(std::int64_t after, int most) {
-  std::vector<Happened> all;
-  Statement s(database_,
-              "SELECT * FROM (SELECT number, unix_ms, change, instance, text FROM history WHERE number > ? "
-              "ORDER BY number DESC LIMIT ?) ORDER BY number");
-  s.Bind(after).Bind(std::int64_t{most});
-  while (s.Step()) all.push_back({s.Number(0), s.Number(1), s.Text(2), s.Text(3), s.Text(4)});
+std::vector<HistoryEntry> Store::History(std::int64_t after, int limit) {
+  std::vector<HistoryEntry> all;
+  Statement statement(
+      database_,
+      "SELECT * FROM (SELECT number, unix_ms, change, instance, text FROM history WHERE number > ? "
+      "ORDER BY number DESC LIMIT ?) ORDER BY number");
+  statement.Bind(after).Bind(std::int64_t{limit});
+  while (statement.Step())
+    all.push_back(
+        {statement.Number(0), statement.Number(1), statement.Text(2), statement.Text(3), statement.Text(4)});
   return all;
 }
 
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,5 +1,5 @@
-// What an agent must remember: an SQLite database in its folder. Every call that changes something is on disk
-// when it returns, and has changed nothing when it throws.
+// The durable state of an agent, in an SQLite database in the agent's folder. A call that changes the state
+// has written it to disk when it returns, and has changed nothing when it throws.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,33 @@
 
 namespace oxbowspread::store {
 
-using sqlite::Error;  // "store: ...": the disk is full, the file is damaged
+using sqlite::Error;  // the text begins with "store: "
 
+// The state that an instance is to be brought to, see supervise::Desired.
 struct Desired {
   std::string want, stamp;
   bool reload = false;
 };
 
-struct Running {
+// The last known process of an instance.
+struct RunningProcess {
   std::int64_t pid = 0;
-  std::uint64_t started = 0;  // by the system's own count, see supervise::ProcessStartTicks
+  std::uint64_t start_ticks = 0;  // see supervise::ProcessStartTicks
 };
 
-struct Happened {
-  std::int64_t number = 0;  // rising
+// An event in the history of the agent and its instances.
+struct HistoryEntry {
+  std::int64_t number = 0;  // assigned by the store, increasing
   std::int64_t unix_ms = 0;
   std::string change, instance, text;
 };
 
+// The agent's database. All functions but AppendHistory throw Error.
 class Store {
  public:
-  // Makes the file if it isn't there. `most_kb` bounds it; a store that is full refuses what would make it
-  // larger. Throws Error, also for a file of a later version.
-  Store(const std::string& path, int most_kb);
+  // Opens the file and creates it if it doesn't exist. A write that would make the file larger than `max_kb`
+  // KiB fails. Throws Error, also for a file with a later schema version.
+  Store(const std::string& path, int max_kb);
 
   std::optional<std::string> Get(const std::string& key);
   void Put(const std::string& key, const std::string& value);
@@ -42,19 +46,21 @@
   std::map<std::string, Desired> AllDesired();
   void PutDesired(const std::string& instance, const Desired& desired);
 
-  std::optional<Running> RunningOf(const std::string& instance);
-  void PutRunning(const std::string& instance, const Running& running);
+  std::optional<RunningProcess> GetRunning(const std::string& instance);
+  void PutRunning(const std::string& instance, const RunningProcess& running);
 
-  std::optional<std::string> Config(const std::string& instance, const std::string& version);
-  // Keeps the latest kVersions of each instance, and always those that Desired names.
+  std::optional<std::string> GetConfig(const std::string& instance, const std::string& version);
+  // Keeps the latest kMaxVersions of each instance, and always the version that its Desired names.
   void PutConfig(const std::string& instance, const std::string& version, const std::string& text);
 
-  // Keeps the latest kHistory. Never throws: that something can't be told must not stop it.
-  void Tell(const Happened& happened) noexcept;
-  std::vector<Happened> History(std::int64_t after, int most);  // the latest, oldest first
+  // Ignores `entry.number`. Keeps about the latest kMaxHistoryEntries. Never throws: an event that can't be
+  // recorded must not stop the operation that it describes.
+  void AppendHistory(const HistoryEntry& entry) noexcept;
+  // The latest entries with a number above `after`, at most `limit` of them, oldest first.
+  std::vector<HistoryEntry> History(std::int64_t after, int limit);
 
-  static constexpr int kVersions = 10;
-  static constexpr int kHistory = 20'000;
+  static constexpr int kMaxVersions = 10;
+  static constexpr int kMaxHistoryEntries = 20'000;
 
  private:
   sqlite::Database database_;
--- a/tests/group/files_test.cpp
+++ b/tests/group/files_test.cpp
@@ -106,14 +106,14 @@
     s.PutDesired("n1", {"serving", "v1@c1.1", true});
     s.PutRunning("n1", {42, 99});
     s.PutConfig("n1", "v1", "{\"a\":1}");
-    s.Tell({0, 5, "c1", "n1", "paused"});
+    s.AppendHistory({0, 5, "c1", "n1", "paused"});
   }
   store::Store s(path, 1024);
   CHECK(s.Get("lead") == "{}");
   CHECK_FALSE(s.Get("other").has_value());
   CHECK(s.AllDesired().at("n1").stamp == "v1@c1.1");
-  CHECK(s.RunningOf("n1")->started == 99);
-  CHECK(s.Config("n1", "v1") == "{\"a\":1}");
+  CHECK(s.GetRunning("n1")->start_ticks == 99);
+  CHECK(s.GetConfig("n1", "v1") == "{\"a\":1}");
   CHECK(s.History(0, 10).at(0).text == "paused");
 }
 
@@ -123,9 +123,9 @@
   s.PutConfig("n1", "v0", "zero");
   s.PutDesired("n1", {"serving", "v0@first", false});
   for (int i = 1; i <= 30; ++i) s.PutConfig("n1", "v" + std::to_string(i), "text");
-  CHECK(s.Config("n1", "v0") == "zero");
-  CHECK(s.Config("n1", "v30").has_value());
-  CHECK_FALSE(s.Config("n1", "v5").has_value());
+  CHECK(s.GetConfig("n1", "v0") == "zero");
+  CHECK(s.GetConfig("n1", "v30").has_value());
+  CHECK_FALSE(s.GetConfig("n1", "v5").has_value());
 }
 
 TEST_CASE("a full store refuses plainly and keeps what it has") {
@@ -133,7 +133,7 @@
   store::Store s(f.path + "/agent.db", 64);
   s.PutDesired("n1", {"serving", "v1@first", false});
   CHECK_THROWS_WITH(s.PutConfig("n1", "v1", std::string(200'000, 'x')), Catch::Matchers::Contains("full"));
-  CHECK_FALSE(s.Config("n1", "v1").has_value());
+  CHECK_FALSE(s.GetConfig("n1", "v1").has_value());
   CHECK(s.AllDesired().at("n1").stamp == "v1@first");
   s.PutDesired("n1", {"paused", "v1@first", false});
   CHECK(s.AllDesired().at("n1").want == "paused");
