--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -21,10 +21,10 @@
 using spdlog::level::info;
 using spdlog::level::warn;
 
-constexpr net::Time kLookWithin = 2s;  // of an agent that is out of reach if it says nothing then
-constexpr net::Time kGatherEach = 300ms;
-constexpr net::Time kGroupLookEach = 1s;
-constexpr net::Time kLookAround = 1s;  // more, for a new leader to hear of every instance
+constexpr net::Time kRecheckTimeout = 2s;  // of an agent that is out of reach if it says nothing then
+constexpr net::Time kCollectInterval = 300ms;
+constexpr net::Time kGroupFileInterval = 1s;
+constexpr net::Time kNewLeaderGrace = 1s;  // more, for a new leader to hear of every instance
 constexpr const char* kLeadKey = "lead";
 
 std::int64_t UnixMs() { return net::Loop::UnixNow() / 1ms; }
@@ -55,69 +55,72 @@
       group_(group::Read(options.group_file)),
       group_text_(group::ReadFile(options.group_file)),
       log_(options.name, options.json_log),
-      store_(std::make_unique<store::Store>(MakeFolders(options.folder) + "/agent.db", options.store_kb)),
-      lead_wake_(loop, [this] { StepLead({}); }),
-      gather_(loop, [this] { Gather(); }),
-      group_look_(loop, [this] { LookAtGroup(); }),
-      child_(loop, SIGCHLD, [this] {
-        for (auto& [name, hand] : hands_) hand->CheckAlive();
+      store_(std::make_unique<store::Store>(MakeFolders(options.folder) + "/agent.db", options.max_store_kb)),
+      lead_timer_(loop, [this] { StepLead({}); }),
+      collect_timer_(loop, [this] { CollectStatus(); }),
+      group_file_timer_(loop, [this] { CheckGroupFile(); }),
+      child_signal_(loop, SIGCHLD, [this] {
+        for (auto& [name, controller] : controllers_) controller->CheckAlive();
       }) {
   const group::Agent* const own = group_.FindAgent(options_.name);
   if (own == nullptr) throw group::Error(group_.path + ": agents: none is named '" + options_.name + "'");
   if (!group_.keys.empty()) identity_.emplace(group_.keys, options_.name);
-  std::random_device dice;
-  lead_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), dice());
+  std::random_device random;
+  lead_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), random());
   for (const group::Agent& agent : group_.agents) {
     if (agent.name == options_.name) continue;
     const auto address = net::ParseAddress(agent.address);
     callers_[agent.name] = std::make_unique<control::Caller>(
         loop_, [this, name = agent.name, address](control::Peer::Callbacks calls) {
-          CheckKeys();
+          RefreshKeys();
           return control::Peer::ConnectTcp(loop_, *address, identity_->ToServer(name), std::move(calls));
         });
   }
-  KeepHands();
+  UpdateControllers();
   const auto handler = [this](const Json& request, const control::Answer& answer) {
-    Handle(request, answer);
+    HandleRequest(request, answer);
   };
-  local_ = std::make_unique<control::Server>(loop_, options_.folder + "/agent.sock", handler);
+  local_server_ = std::make_unique<control::Server>(loop_, options_.folder + "/agent.sock", handler);
   if (identity_) {
-    remote_ = std::make_unique<control::Server>(
+    remote_server_ = std::make_unique<control::Server>(
         loop_, *net::ParseAddress(own->address),
         [this] {
-          CheckKeys();
+          RefreshKeys();
           return identity_->ToClient();
         },
         handler,
-        [this](const std::string& why) {
+        [this](const std::string& reason) {
           ++refused_connections_;
-          log_.Say(warn, {}, {}, "refused a connection: " + why);
+          log_.Write(warn, {}, {}, "refused a connection: " + reason);
         });
   }
-  Note({}, {},
-       "agent begun, process " + std::to_string(getpid()) + ", " + std::to_string(hands_.size()) +
-           " instances, epoch " + std::to_string(lead_->epoch()));
-  lead_wake_.After(net::Time(0));
-  gather_.After(kGatherEach);
-  group_look_.After(kGroupLookEach);
+  RecordEvent({}, {},
+              "agent begun, process " + std::to_string(getpid()) + ", " +
+                  std::to_string(controllers_.size()) + " instances, epoch " +
+                  std::to_string(lead_->epoch()));
+  lead_timer_.After(net::Time(0));
+  collect_timer_.After(kCollectInterval);
+  group_file_timer_.After(kGroupFileInterval);
 }
 
-void Agent::Leave(const std::string& why) { Note({}, {}, "agent ends: " + why + "; its relays run on"); }
+void Agent::RecordShutdown(const std::string& reason) {
+  RecordEvent({}, {}, "agent ends: " + reason + "; its relays run on");
+}
 
-void Agent::Note(const std::string& change, const std::string& instance, const std::string& text,
-                 const std::string& step) {
-  log_.Say(info, change, instance, text, step);
+void Agent::RecordEvent(const std::string& change, const std::string& instance, const std::string& text,
+                        const std::string& step) {
+  log_.Write(info, change, instance, text, step);
   store_->AppendHistory({0, UnixMs(), change, instance, text});
 }
 
-change::Moment Agent::NowMoment() const {
-  const std::time_t t = std::time(nullptr);
-  std::tm local{};
-  localtime_r(&t, &local);
-  return {net::Loop::Now(), local.tm_wday, local.tm_hour * 60 + local.tm_min};
+change::Moment Agent::CurrentMoment() const {
+  const std::time_t unix_time = std::time(nullptr);
+  std::tm local_time{};
+  localtime_r(&unix_time, &local_time);
+  return {net::Loop::Now(), local_time.tm_wday, local_time.tm_hour * 60 + local_time.tm_min};
 }
 
-std::optional<change::Record> Agent::KeptRecord() const {
+std::optional<change::Record> Agent::StoredRecord() const {
   const std::string& value = lead_->durable().kept.value;
   if (value.empty()) return std::nullopt;
   return change::RecordFrom(Json::parse(value));
@@ -125,51 +128,52 @@
 
 // ---- instances, group file, keys ----
 
-void Agent::KeepHands() {
+void Agent::UpdateControllers() {
   const auto desired = store_->AllDesired();
-  std::set<std::string> named;
+  std::set<std::string> configured_names;
   for (const group::Instance& instance : group_.instances) {
     if (instance.agent != options_.name) continue;
-    named.insert(instance.name);
-    if (hands_.count(instance.name) > 0) continue;
-    supervise::Desired wish;
+    configured_names.insert(instance.name);
+    if (controllers_.count(instance.name) > 0) continue;
+    supervise::Desired initial;
     if (const auto it = desired.find(instance.name); it != desired.end()) {
-      wish = {change::WantFrom(it->second.want), it->second.stamp, it->second.reload};
+      initial = {change::WantFrom(it->second.want), it->second.stamp, it->second.reload};
     } else {
       // Seen for the first time: as its file says it now.
       const std::string text = group::ReadFile(instance.config_path);
       config::ParseAndValidate(text);
-      wish = {change::Want::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
-      store_->PutConfig(instance.name, change::VersionOf(wish.stamp), text);
-      store_->PutDesired(instance.name, {NameOf(wish.want), wish.stamp, false});
+      initial = {change::Want::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
+      store_->PutConfig(instance.name, change::VersionOf(initial.stamp), text);
+      store_->PutDesired(instance.name, {NameOf(initial.want), initial.stamp, false});
     }
-    hands_[instance.name] = std::make_unique<Hand>(
-        loop_, instance.name, Places{options_.folder, options_.relay}, *store_, wish,
-        [this](const std::string& name, const std::string& text) { Note({}, name, text); });
+    controllers_[instance.name] = std::make_unique<RelayController>(
+        loop_, instance.name, Paths{options_.folder, options_.relay_program}, *store_, initial,
+        [this](const std::string& name, const std::string& text) { RecordEvent({}, name, text); });
   }
-  for (auto it = hands_.begin(); it != hands_.end();) {
-    if (named.count(it->first) > 0) {
+  for (auto it = controllers_.begin(); it != controllers_.end();) {
+    if (configured_names.count(it->first) > 0) {
       ++it;
       continue;
     }
-    Note({}, it->first, "is not in the group file any more; what runs runs on, unwatched");
+    RecordEvent({}, it->first, "is not in the group file any more; what runs runs on, unwatched");
     loop_.DestroyLater(std::move(it->second));
-    it = hands_.erase(it);
+    it = controllers_.erase(it);
   }
 }
 
 // The file may be edited at any time: it is taken up whole or not at all, and never in the middle of a
 // change.
-void Agent::LookAtGroup() {
-  group_look_.After(kGroupLookEach);
+void Agent::CheckGroupFile() {
+  group_file_timer_.After(kGroupFileInterval);
   std::string text;
-  const auto refuse = [&](const std::string& why) {
-    if (std::exchange(group_refused_, why) != why) Note({}, {}, "group file not taken up: " + why);
+  const auto refuse = [&](const std::string& reason) {
+    if (std::exchange(group_fault_, reason) != reason)
+      RecordEvent({}, {}, "group file not taken up: " + reason);
   };
   try {
     text = group::ReadFile(options_.group_file);
-    if (text == group_text_) return group_refused_.clear();  // also a bad edit that was taken back
-    const auto record = KeptRecord();
+    if (text == group_text_) return group_fault_.clear();  // also a bad edit that was taken back
+    const auto record = StoredRecord();
     if (record && !change::Over(record->state))
       return refuse("change " + record->spec.id + " is not over yet");
     group::Group next = group::Read(options_.group_file);
@@ -183,14 +187,14 @@
     }
     std::swap(group_, next);
     try {
-      KeepHands();
+      UpdateControllers();
     } catch (...) {
       std::swap(group_, next);
       throw;
     }
     group_text_ = text;
-    group_refused_.clear();
-    Note({}, {}, "group file taken up");
+    group_fault_.clear();
+    RecordEvent({}, {}, "group file taken up");
     if (engine_) {
       auto last = engine_->record();
       engine_.emplace(group_.members(), group_.limits);
@@ -201,47 +205,47 @@
   }
 }
 
-void Agent::CheckKeys() {
+void Agent::RefreshKeys() {
   try {
-    if (identity_->Refresh()) Note({}, {}, "keys taken up, certificate " + identity_->serial());
+    if (identity_->Refresh()) RecordEvent({}, {}, "keys taken up, certificate " + identity_->serial());
     keys_fault_.clear();
   } catch (const std::exception& e) {
-    if (std::exchange(keys_fault_, e.what()) != e.what()) log_.Say(warn, {}, {}, keys_fault_);
+    if (std::exchange(keys_fault_, e.what()) != e.what()) log_.Write(warn, {}, {}, keys_fault_);
   }
 }
 
 // ---- requests ----
 
-void Agent::Handle(const Json& request, const control::Answer& answer) {
+void Agent::HandleRequest(const Json& request, const control::Answer& answer) {
   const std::string op = TextOf(request, "op"), from = TextOf(request, "from");
   try {
-    if (op == "local") return answer(Local());
-    if (op == "lead") return answer(LeadMessage(from, request));
-    if (op == "order") return answer(TakeOrder(from, request));
-    if (op == "offer") return answer(TakeOffer(request));
-    if (op == "history") return answer(TellHistory(request));
-    if (op == "change") return answer(TellChange());
+    if (op == "local") return answer(LocalStatus());
+    if (op == "lead") return answer(HandleLeadMessage(from, request));
+    if (op == "order") return answer(HandleOrder(from, request));
+    if (op == "offer") return answer(HandleOffer(request));
+    if (op == "history") return answer(HistoryAnswer(request));
+    if (op == "change") return answer(ChangeAnswer());
     if (op == "begin") return BeginChange(request, answer);
-    if (op == "say") return SayWord(request, answer);
+    if (op == "say") return HandleChangeCommand(request, answer);
     answer(ErrorAnswer("op: unknown: '" + op + "'"));
   } catch (const std::exception& e) {
     answer(ErrorAnswer(e.what()));
   }
 }
 
-control::Json Agent::Local() {
+control::Json Agent::LocalStatus() {
   const net::Time now = net::Loop::Now();
   Json instances = Json::array();
-  for (const auto& [name, hand] : hands_) {
-    Json one = {{"instance", name},
-                {"want", NameOf(hand->keeper().desired().want)},
-                {"wanted_stamp", hand->keeper().desired().stamp},
-                {"deaths", hand->keeper().unexpected_exits()}};
-    if (const auto belief = hand->Tell()) {
-      one["belief"] = ToJson(*belief);
-      one["age_ms"] = (now - belief->at) / 1ms;
+  for (const auto& [name, controller] : controllers_) {
+    Json status = {{"instance", name},
+                   {"want", NameOf(controller->supervisor().desired().want)},
+                   {"wanted_stamp", controller->supervisor().desired().stamp},
+                   {"deaths", controller->supervisor().unexpected_exits()}};
+    if (const auto belief = controller->CurrentBelief()) {
+      status["belief"] = ToJson(*belief);
+      status["age_ms"] = (now - belief->at) / 1ms;
     }
-    instances.push_back(std::move(one));
+    instances.push_back(std::move(status));
   }
   Json local = {{"ok", true},
                 {"agent", options_.name},
@@ -249,9 +253,9 @@
                 {"epoch", lead_->epoch()},
                 {"leader", lead_->leader(now)},
                 {"group", group::VersionOfText(group_text_)},
-                {"group_fault", group_refused_},
+                {"group_fault", group_fault_},
                 {"refused_connections", refused_connections_},
-                {"fenced_orders", fenced_},
+                {"fenced_orders", fenced_orders_},
                 {"instances", instances}};
   if (identity_) {
     local["certificate"] = identity_->serial();
@@ -261,7 +265,7 @@
   return local;
 }
 
-control::Json Agent::LeadMessage(const std::string& from, const Json& request) {
+control::Json Agent::HandleLeadMessage(const std::string& from, const Json& request) {
   if (callers_.count(from) == 0) return ErrorAnswer("'" + from + "' is no other agent of the group");
   Json reply = ErrorAnswer("not on disk");
   StepLead({lead::Got{from, lead::MessageFrom(request.at("message"))}}, from, &reply);
@@ -269,24 +273,24 @@
 }
 
 // Only from whoever this agent promised the epoch to: one who was cut off and has been replaced is fenced.
-control::Json Agent::TakeOrder(const std::string& from, const Json& request) {
+control::Json Agent::HandleOrder(const std::string& from, const Json& request) {
   const lead::Durable& durable = lead_->durable();
   const auto epoch = request.at("epoch").get<lead::Epoch>();
   if (epoch != durable.promised || from != durable.promised_to) {
-    ++fenced_;
-    Note(TextOf(request, "change"), TextOf(request, "instance"),
-         "order of " + from + " in epoch " + std::to_string(epoch) + " refused: epoch " +
-             std::to_string(durable.promised) + " is promised to " + durable.promised_to);
+    ++fenced_orders_;
+    RecordEvent(TextOf(request, "change"), TextOf(request, "instance"),
+                "order of " + from + " in epoch " + std::to_string(epoch) + " refused: epoch " +
+                    std::to_string(durable.promised) + " is promised to " + durable.promised_to);
     return ErrorAnswer("fenced: epoch " + std::to_string(durable.promised) + " is promised to " +
                        durable.promised_to);
   }
   const std::string instance = request.at("instance"), stamp = request.at("stamp");
-  const auto hand = hands_.find(instance);
-  Json never = ErrorAnswer("");
-  never["never"] = true;
-  if (hand == hands_.end()) {
-    never["error"] = options_.name + " keeps no instance '" + instance + "'";
-    return never;
+  const auto controller = controllers_.find(instance);
+  Json permanent_error = ErrorAnswer("");
+  permanent_error["never"] = true;
+  if (controller == controllers_.end()) {
+    permanent_error["error"] = options_.name + " keeps no instance '" + instance + "'";
+    return permanent_error;
   }
   if (!stamp.empty()) {
     const auto text = store_->GetConfig(instance, change::VersionOf(stamp));
@@ -294,19 +298,20 @@
       if (!text) throw std::runtime_error("the configuration " + change::VersionOf(stamp) + " is not here");
       config::ParseAndValidate(*text);
     } catch (const std::exception& e) {
-      never["error"] = e.what();
-      return never;
+      permanent_error["error"] = e.what();
+      return permanent_error;
     }
   }
-  hand->second->Order({change::WantFrom(request.at("want")), stamp, request.at("reload")});
+  controller->second->SetDesired({change::WantFrom(request.at("want")), stamp, request.at("reload")});
   return {{"ok", true}};
 }
 
 // A configuration that an instance may be ordered to run by later. Nothing runs by it yet.
-control::Json Agent::TakeOffer(const Json& request) {
+control::Json Agent::HandleOffer(const Json& request) {
   const std::string instance = request.at("instance"), text = request.at("text");
-  const auto hand = hands_.find(instance);
-  if (hand == hands_.end()) return ErrorAnswer(options_.name + " keeps no instance '" + instance + "'");
+  const auto controller = controllers_.find(instance);
+  if (controller == controllers_.end())
+    return ErrorAnswer(options_.name + " keeps no instance '" + instance + "'");
   config::Config next;
   try {
     next = config::ParseAndValidate(text);
@@ -319,7 +324,7 @@
     return ErrorAnswer(instance + ": " + e.what());
   }
   const std::string version = group::VersionOfText(text);
-  const std::string from = change::VersionOf(hand->second->keeper().desired().stamp);
+  const std::string from = change::VersionOf(controller->second->supervisor().desired().stamp);
   bool reload = false;
   if (const auto running = store_->GetConfig(instance, from)) {
     reload = config::KeysNeedingRestart(config::ParseAndValidate(*running), next).empty();
@@ -328,35 +333,35 @@
   return {{"ok", true}, {"instance", instance}, {"from", from}, {"to", version}, {"reload", reload}};
 }
 
-control::Json Agent::TellHistory(const Json& request) {
+control::Json Agent::HistoryAnswer(const Json& request) {
   Json all = Json::array();
-  const auto most = static_cast<int>(std::clamp<std::int64_t>(NumberOf(request, "most", 100), 1, 1000));
-  for (const store::HistoryEntry& h : store_->History(NumberOf(request, "after", 0), most)) {
-    all.push_back({{"number", h.number},
-                   {"unix_ms", h.unix_ms},
+  const auto limit = static_cast<int>(std::clamp<std::int64_t>(NumberOf(request, "most", 100), 1, 1000));
+  for (const store::HistoryEntry& entry : store_->History(NumberOf(request, "after", 0), limit)) {
+    all.push_back({{"number", entry.number},
+                   {"unix_ms", entry.unix_ms},
                    {"agent", options_.name},
-                   {"change", h.change},
-                   {"instance", h.instance},
-                   {"text", h.text}});
+                   {"change", entry.change},
+                   {"instance", entry.instance},
+                   {"text", entry.text}});
   }
   return {{"ok", true}, {"history", all}};
 }
 
-control::Json Agent::TellChange() {
+control::Json Agent::ChangeAnswer() {
   Json answer = {{"ok", true}, {"leader", lead_->leader(net::Loop::Now())}, {"epoch", lead_->epoch()}};
   if (engine_) {
     // Not the engine's own, which may be ahead: a next leader may know nothing of what only we have.
-    if (!on_record_) return answer;
-    answer["change"] = ToJson(*on_record_);
+    if (!stored_record_) return answer;
+    answer["change"] = ToJson(*stored_record_);
     answer["held_back"] = engine_->held_back();
     answer["rate"] = engine_->Rate();
-  } else if (const auto record = KeptRecord()) {
+  } else if (const auto record = StoredRecord()) {
     answer["change"] = ToJson(*record);
   }
   return answer;
 }
 
-control::Json Agent::NotLeading() {
+control::Json Agent::NotLeadingAnswer() {
   const std::string leader = lead_->leader(net::Loop::Now());
   Json answer = ErrorAnswer(leader.empty() ? "no agent leads just now" : leader + " leads");
   answer["leader"] = leader;
@@ -366,23 +371,23 @@
 // ---- changes ----
 
 void Agent::BeginChange(const Json& request, const control::Answer& answer,
-                        const std::set<std::string>* deaf) {
-  if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeading());
+                        const std::set<std::string>* unreachable) {
+  if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeadingAnswer());
   const std::string kind = TextOf(request, "kind");
   if (const std::string name = TextOf(request, "request"); !name.empty() && engine_->record()) {
     // Whoever lost our answer, or that of a leader before us, repeats the request: it has been taken.
-    if (engine_->record()->spec.request == name) return AnswerWhenKept(answer);
+    if (engine_->record()->spec.request == name) return AnswerWhenStored(answer);
   }
   if (const auto& record = engine_->record(); record && !change::Over(record->state)) {
     if (kind == "rollback") {
       StepEngine({change::Say{change::Word::kRollBack}});
-      return AnswerWhenKept(answer);
+      return AnswerWhenStored(answer);
     }
-    change::Spec any;
-    any.targets.emplace_back();
-    return answer(ErrorAnswer(engine_->Objection(any)));
+    change::Spec placeholder;
+    placeholder.targets.emplace_back();
+    return answer(ErrorAnswer(engine_->Objection(placeholder)));
   }
-  if (kind == "reconfigure") return Offer(request, answer);
+  if (kind == "reconfigure") return OfferConfigs(request, answer);
   change::Spec spec;
   const Json instances = request.value("instances", Json::array());
   if (kind == "restart" || kind == "drain" || kind == "resume") {
@@ -390,26 +395,27 @@
                 : kind == "drain" ? change::Kind::kDrain
                                   : change::Kind::kResume;
     const net::Time now = net::Loop::Now();  // one moment for both looks: a belief may end between them
-    std::set<std::string> silent;
+    std::set<std::string> agents_without_status;
     for (const Json& name : instances) {
       const group::Instance* const instance = group_.Find(name);
       if (kind != "restart" || instance == nullptr) continue;
-      if (engine_->Fresh(now, name) == nullptr) silent.insert(instance->agent);
+      if (engine_->Fresh(now, name) == nullptr) agents_without_status.insert(instance->agent);
     }
-    if (!silent.empty() && deaf == nullptr) {
+    if (!agents_without_status.empty() && unreachable == nullptr) {
       // It may be us who didn't look for a while, held up by a disk or stopped: an agent is out of reach only
       // if it doesn't answer now.
-      return LookAgain(silent, [this, request, answer](const std::set<std::string>& none) {
-        BeginChange(request, answer, &none);
-      });
+      return RecheckAgents(agents_without_status,
+                           [this, request, answer](const std::set<std::string>& no_answer) {
+                             BeginChange(request, answer, &no_answer);
+                           });
     }
     for (const Json& name : instances) {
-      const change::Belief* b = engine_->Fresh(now, name);
+      const change::Belief* belief = engine_->Fresh(now, name);
       if (group_.Find(name) == nullptr)
         return answer(ErrorAnswer("the group has no instance '" + name.get<std::string>() + "'"));
-      if (b == nullptr && kind == "restart") {
-        const bool new_here = now - leads_since_ < group_.limits.belief_age + kLookAround;
-        if (!new_here && deaf->count(group_.Find(name)->agent) > 0)
+      if (belief == nullptr && kind == "restart") {
+        const bool recently_elected = now - leading_since_ < group_.limits.belief_age + kNewLeaderGrace;
+        if (!recently_elected && unreachable->count(group_.Find(name)->agent) > 0)
           return answer(ErrorAnswer(name.get<std::string>() + " is unknown: its agent is out of reach"));
         // A new leader, or an agent that is there and has not heard of its relay: whoever asks comes again,
         // as where nobody leads.
@@ -418,7 +424,7 @@
         return answer(later);
       }
       // One that is down runs by nothing: its agent says by which version it would.
-      const std::string version = wanted_[name];
+      const std::string version = desired_versions_[name];
       spec.targets.push_back({name, version, version, false});
     }
   } else if (kind == "rollback") {
@@ -433,26 +439,26 @@
   } else {
     return answer(ErrorAnswer("kind: unknown: '" + kind + "'"));
   }
-  Launch(std::move(spec), request, answer);
+  StartChange(std::move(spec), request, answer);
 }
 
 // Every agent first takes and checks what is offered; one that can't or won't ends it before it began.
-void Agent::Offer(const Json& request, const control::Answer& answer) {
-  struct Round {
-    std::size_t open = 0;
+void Agent::OfferConfigs(const Json& request, const control::Answer& answer) {
+  struct OfferRound {
+    std::size_t pending = 0;
     std::string fault;
     std::map<std::string, change::Target> targets;
   };
-  auto round = std::make_shared<Round>();
+  auto round = std::make_shared<OfferRound>();
   const Json configs = request.value("configs", Json::object());
   if (configs.empty()) return answer(ErrorAnswer("names no instance"));
   for (const auto& [name, text] : configs.items()) {
     if (group_.Find(name) == nullptr) return answer(ErrorAnswer("the group has no instance '" + name + "'"));
   }
-  round->open = configs.size();
+  round->pending = configs.size();
   const auto finish = [this, round, request, answer] {
     if (!round->fault.empty()) return answer(ErrorAnswer(round->fault));
-    if (!engine_) return answer(NotLeading());
+    if (!engine_) return answer(NotLeadingAnswer());
     change::Spec spec;
     spec.kind = change::Kind::kReconfigure;
     for (const group::Instance& i : group_.instances) {
@@ -460,38 +466,40 @@
       if (it != round->targets.end() && it->second.from != it->second.to) spec.targets.push_back(it->second);
     }
     if (spec.targets.empty()) return answer({{"ok", true}, {"nothing", true}});
-    Launch(std::move(spec), request, answer);
+    StartChange(std::move(spec), request, answer);
   };
   for (const auto& [name, text] : configs.items()) {
     const Json offer = {
         {"op", "offer"}, {"instance", name}, {"text", text}, {"dry_run", request.value("dry_run", false)}};
-    AskAgent(group_.Find(name)->agent, offer,
-             [round, finish, n = name](const Json* reply, const std::string& why) {
-               if (reply == nullptr || !reply->value("ok", false)) {
-                 round->fault = reply == nullptr ? n + ": its agent: " + why : TextOf(*reply, "error");
-               } else {
-                 round->targets[n] = {n, TextOf(*reply, "from"), TextOf(*reply, "to"),
-                                      reply->value("reload", false)};
-               }
-               if (--round->open == 0) finish();
-             });
+    CallAgent(group_.Find(name)->agent, offer,
+              [round, finish, instance_name = name](const Json* reply, const std::string& reason) {
+                if (reply == nullptr || !reply->value("ok", false)) {
+                  round->fault =
+                      reply == nullptr ? instance_name + ": its agent: " + reason : TextOf(*reply, "error");
+                } else {
+                  round->targets[instance_name] = {instance_name, TextOf(*reply, "from"),
+                                                   TextOf(*reply, "to"), reply->value("reload", false)};
+                }
+                if (--round->pending == 0) finish();
+              });
   }
 }
 
-void Agent::Launch(change::Spec spec, const Json& request, const control::Answer& answer) {
-  if (!lead_->Leading(net::Loop::Now())) return answer(NotLeading());
+void Agent::StartChange(change::Spec spec, const Json& request, const control::Answer& answer) {
+  if (!lead_->Leading(net::Loop::Now())) return answer(NotLeadingAnswer());
   spec.id = "c" + std::to_string(lead_->epoch()) + "-" + std::to_string(lead_->proposed() + 1);
   spec.by = TextOf(request, "by");
   spec.request = TextOf(request, "request");
   if (const std::string from = TextOf(request, "from"); !from.empty()) spec.by = from;
-  if (const std::string why = engine_->Objection(spec); !why.empty()) return answer(ErrorAnswer(why));
-  if (request.value("dry_run", false)) return answer(Plan(spec));
+  if (const std::string reason = engine_->Objection(spec); !reason.empty())
+    return answer(ErrorAnswer(reason));
+  if (request.value("dry_run", false)) return answer(DescribePlan(spec));
   StepEngine({change::Begin{spec}});
-  AnswerWhenKept(answer);
+  AnswerWhenStored(answer);
 }
 
-control::Json Agent::Plan(const change::Spec& spec) {
-  Json lines = Json::array();
+control::Json Agent::DescribePlan(const change::Spec& spec) {
+  Json plan_lines = Json::array();
   for (const change::Target& t : spec.targets) {
     std::string how = "restart";
     if (spec.kind == change::Kind::kDrain) how = "drain";
@@ -499,122 +507,125 @@
     if (spec.kind == change::Kind::kReconfigure)
       how = (t.reload ? "reload " : "restart ") + t.from + " to " + t.to;
     const bool guarded = spec.kind != change::Kind::kResume && !t.reload;
-    lines.push_back({{"instance", t.instance},
-                     {"how", how},
-                     {"now", guarded ? engine_->HeldBackBy(NowMoment(), t.instance) : std::string()}});
+    plan_lines.push_back(
+        {{"instance", t.instance},
+         {"how", how},
+         {"now", guarded ? engine_->HeldBackBy(CurrentMoment(), t.instance) : std::string()}});
   }
-  return {{"ok", true}, {"plan", lines}, {"kind", NameOf(spec.kind)}, {"rate", engine_->Rate()}};
+  return {{"ok", true}, {"plan", plan_lines}, {"kind", NameOf(spec.kind)}, {"rate", engine_->Rate()}};
 }
 
-void Agent::SayWord(const Json& request, const control::Answer& answer) {
-  if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeading());
-  const std::string word = TextOf(request, "word");
+void Agent::HandleChangeCommand(const Json& request, const control::Answer& answer) {
+  if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeadingAnswer());
+  const std::string command_name = TextOf(request, "word");
   const auto& record = engine_->record();
   if (!record || change::Over(record->state)) return answer(ErrorAnswer("no change is running"));
-  change::Word w{};
-  if (word == "pause") {
-    w = change::Word::kHold;
-  } else if (word == "resume") {
-    w = change::Word::kGoOn;
-  } else if (word == "abort") {
-    w = change::Word::kAbort;
+  change::Word command{};
+  if (command_name == "pause") {
+    command = change::Word::kHold;
+  } else if (command_name == "resume") {
+    command = change::Word::kGoOn;
+  } else if (command_name == "abort") {
+    command = change::Word::kAbort;
   } else {
-    return answer(ErrorAnswer("word: unknown: '" + word + "'"));
+    return answer(ErrorAnswer("word: unknown: '" + command_name + "'"));
   }
-  StepEngine({change::Say{w}});
-  AnswerWhenKept(answer);
+  StepEngine({change::Say{command}});
+  AnswerWhenStored(answer);
 }
 
 // ---- leading ----
 
-void Agent::StepLead(const std::vector<lead::Event>& events, const std::string& asker, Json* reply) {
+void Agent::StepLead(const std::vector<lead::Event>& events, const std::string& sender, Json* reply) {
   using Kind = lead::Message::Kind;
   const net::Time now = net::Loop::Now();
   const auto actions = lead_->Step(now, events);
-  lead_wake_.At(lead_->wake_at());
+  lead_timer_.At(lead_->wake_at());
   for (const lead::Action& action : actions) {
     if (const auto* persist = std::get_if<lead::Persist>(&action)) {
       try {
         store_->Put(kLeadKey, ToJson(persist->durable).dump());
       } catch (const store::Error& e) {
-        log_.Say(warn, {}, {}, e.what());
+        log_.Write(warn, {}, {}, e.what());
         // Nobody hears of what is not on disk, and this agent is again what its disk says. It may claim again
         // later, which needs a disk that takes it.
-        LeadNoMore();
-        std::random_device dice;
-        lead_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), dice());
-        lead_wake_.After(kGatherEach);
+        StopLeading();
+        std::random_device random;
+        lead_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), random());
+        lead_timer_.After(kCollectInterval);
         return;
       }
     } else if (const auto* send = std::get_if<lead::Send>(&action)) {
-      const bool answer = send->message.kind == Kind::kPromise || send->message.kind == Kind::kDeny ||
-                          send->message.kind == Kind::kKept;
-      if (answer) {
-        if (reply != nullptr && send->to == asker)
+      const bool is_answer = send->message.kind == Kind::kPromise || send->message.kind == Kind::kDeny ||
+                             send->message.kind == Kind::kKept;
+      if (is_answer) {
+        if (reply != nullptr && send->to == sender)
           *reply = {{"ok", true}, {"message", ToJson(send->message)}};
         continue;
       }
-      AskAgent(send->to, {{"op", "lead"}, {"message", ToJson(send->message)}},
-               [this, to = send->to](const Json* got, const std::string&) {
-                 if (got == nullptr || !got->value("ok", false)) return;
-                 try {
-                   StepLead({lead::Got{to, lead::MessageFrom(got->at("message"))}});
-                 } catch (const Json::exception& e) {
-                   log_.Say(warn, {}, {}, to + " answered what can't be read: " + e.what());
-                 }
-               });
+      CallAgent(send->to, {{"op", "lead"}, {"message", ToJson(send->message)}},
+                [this, to = send->to](const Json* got, const std::string&) {
+                  if (got == nullptr || !got->value("ok", false)) return;
+                  try {
+                    StepLead({lead::Got{to, lead::MessageFrom(got->at("message"))}});
+                  } catch (const Json::exception& e) {
+                    log_.Write(warn, {}, {}, to + " answered what can't be read: " + e.what());
+                  }
+                });
     } else if (const auto* leads = std::get_if<lead::Leads>(&action)) {
-      leads_in_ = leads->epoch;
-      leads_since_ = now;
+      leading_epoch_ = leads->epoch;
+      leading_since_ = now;
       engine_.emplace(group_.members(), group_.limits);
-      on_record_.reset();
-      Note({}, {}, "leads in epoch " + std::to_string(leads_in_));
+      stored_record_.reset();
+      RecordEvent({}, {}, "leads in epoch " + std::to_string(leading_epoch_));
       try {
-        on_record_ = KeptRecord();
-        if (on_record_) StepEngine({change::Continue{*on_record_}});
+        stored_record_ = StoredRecord();
+        if (stored_record_) StepEngine({change::Continue{*stored_record_}});
       } catch (const std::exception& e) {
         // Kept whole by most, so written by another program: a person must look, and the relays run on.
-        Note({}, {}, std::string("the change on record can't be read and is not continued: ") + e.what());
+        RecordEvent({}, {},
+                    std::string("the change on record can't be read and is not continued: ") + e.what());
       }
-      Gather();
+      CollectStatus();
     } else if (const auto* stopped = std::get_if<lead::Stopped>(&action)) {
-      LeadNoMore();
-      Note({}, {}, "leads no more: " + stopped->why);
-    } else if (const auto* kept = std::get_if<lead::ValueKept>(&action)) {
+      StopLeading();
+      RecordEvent({}, {}, "leads no more: " + stopped->why);
+    } else if (const auto* stored = std::get_if<lead::ValueKept>(&action)) {
       for (Queued& queued : queue_) {
-        if (queued.seq == 0 || queued.seq > kept->seq) continue;
-        auto record = std::get<change::Keep>(std::get<change::Action>(queued.what)).record;
-        queued.what = Reply{[this, record = std::move(record)](bool led) {
-          if (led) on_record_ = record;
+        if (queued.seq == 0 || queued.seq > stored->seq) continue;
+        auto record = std::get<change::Keep>(std::get<change::Action>(queued.content)).record;
+        queued.content = Reply{[this, record = std::move(record)](bool leading) {
+          if (leading) stored_record_ = record;
         }};
       }
-      Drain();
+      ProcessQueue();
     }
   }
 }
 
-void Agent::LeadNoMore() {
+void Agent::StopLeading() {
   engine_.reset();
   for (Queued& queued : std::exchange(queue_, {})) {
-    if (const auto* reply = std::get_if<Reply>(&queued.what)) reply->send(false);
+    if (const auto* reply = std::get_if<Reply>(&queued.content)) reply->send(false);
   }
 }
 
 void Agent::StepEngine(std::vector<change::Event> events) {
-  for (change::Action& action : engine_->Step(NowMoment(), events)) queue_.push_back({std::move(action)});
-  Drain();
+  for (change::Action& action : engine_->Step(CurrentMoment(), events)) queue_.push_back({std::move(action)});
+  ProcessQueue();
 }
 
 // With the change as it stands once all that was decided so far is on record, or with who leads instead of
 // us.
-void Agent::AnswerWhenKept(const control::Answer& answer) {
-  queue_.push_back({Reply{[this, answer](bool led) { answer(led ? TellChange() : NotLeading()); }}});
-  Drain();
+void Agent::AnswerWhenStored(const control::Answer& answer) {
+  queue_.push_back(
+      {Reply{[this, answer](bool leading) { answer(leading ? ChangeAnswer() : NotLeadingAnswer()); }}});
+  ProcessQueue();
 }
 
-void Agent::Drain() {
+void Agent::ProcessQueue() {
   while (!queue_.empty()) {
-    if (const auto* first = std::get_if<change::Action>(&queue_.front().what)) {
+    if (const auto* first = std::get_if<change::Action>(&queue_.front().content)) {
       if (const auto* keep = std::get_if<change::Keep>(first)) {
         if (queue_.front().seq != 0) return;  // on its way
         queue_.front().seq = lead_->proposed() + 1;
@@ -625,93 +636,95 @@
     // Out of the queue before it is done: what is done may lead to a step of its own, and so to here.
     const Queued head = std::move(queue_.front());
     queue_.pop_front();
-    if (const auto* reply = std::get_if<Reply>(&head.what)) {
+    if (const auto* reply = std::get_if<Reply>(&head.content)) {
       reply->send(true);
       continue;
     }
-    const change::Action& action = std::get<change::Action>(head.what);
+    const change::Action& action = std::get<change::Action>(head.content);
     if (const auto* order = std::get_if<change::Order>(&action)) {
-      GiveOrder(*order);
+      SendOrder(*order);
     } else if (const auto* tell = std::get_if<change::Tell>(&action)) {
-      Note(engine_ && engine_->record() ? engine_->record()->spec.id : "", tell->instance, tell->text,
-           tell->step);
+      RecordEvent(engine_ && engine_->record() ? engine_->record()->spec.id : "", tell->instance, tell->text,
+                  tell->step);
     }
   }
 }
 
-void Agent::GiveOrder(const change::Order& order) {
+void Agent::SendOrder(const change::Order& order) {
   const group::Instance* const instance = group_.Find(order.instance);
   if (instance == nullptr || !lead_->Leading(net::Loop::Now())) return;
   Json request = {{"op", "order"},
-                  {"epoch", leads_in_},
+                  {"epoch", leading_epoch_},
                   {"instance", order.instance},
                   {"want", NameOf(order.want)},
                   {"stamp", order.stamp},
                   {"reload", order.reload}};
   if (engine_ && engine_->record()) request["change"] = engine_->record()->spec.id;
-  AskAgent(instance->agent, std::move(request), [this, order](const Json* answer, const std::string& why) {
-    if (answer != nullptr && answer->value("ok", false)) return;
-    const std::string text = answer == nullptr ? why : TextOf(*answer, "error");
-    log_.Say(warn, {}, order.instance, "order not taken: " + text);
-    if (answer != nullptr && answer->value("never", false) && engine_) {
-      StepEngine({change::Refused{order.instance, order.stamp, text}});
-    }
-  });
-}
-
-void Agent::Gather() {
-  gather_.After(kGatherEach);
+  CallAgent(instance->agent, std::move(request),
+            [this, order](const Json* answer, const std::string& reason) {
+              if (answer != nullptr && answer->value("ok", false)) return;
+              const std::string text = answer == nullptr ? reason : TextOf(*answer, "error");
+              log_.Write(warn, {}, order.instance, "order not taken: " + text);
+              if (answer != nullptr && answer->value("never", false) && engine_) {
+                StepEngine({change::Refused{order.instance, order.stamp, text}});
+              }
+            });
+}
+
+void Agent::CollectStatus() {
+  collect_timer_.After(kCollectInterval);
   if (!engine_ || !lead_->Leading(net::Loop::Now())) return;
   for (const group::Agent& agent : group_.agents) {
-    if (std::exchange(asking_[agent.name], true)) continue;
-    const net::Time asked = net::Loop::Now();
-    AskAgent(agent.name, {{"op", "local"}},
-             [this, name = agent.name, asked](const Json* answer, const std::string&) {
-               asking_[name] = false;
-               if (answer != nullptr && engine_) TakeLocal(*answer, asked);
-             });
+    if (std::exchange(status_requested_[agent.name], true)) continue;
+    const net::Time requested_at = net::Loop::Now();
+    CallAgent(agent.name, {{"op", "local"}},
+              [this, name = agent.name, requested_at](const Json* answer, const std::string&) {
+                status_requested_[name] = false;
+                if (answer != nullptr && engine_) ApplyLocalStatus(*answer, requested_at);
+              });
   }
   StepEngine({});
 }
 
-void Agent::LookAgain(const std::set<std::string>& agents,
-                      const std::function<void(const std::set<std::string>& deaf)>& then) {
-  struct Look {
-    std::size_t open;
-    std::set<std::string> deaf;
+void Agent::RecheckAgents(const std::set<std::string>& agents,
+                          const std::function<void(const std::set<std::string>& unreachable)>& then) {
+  struct Recheck {
+    std::size_t pending;
+    std::set<std::string> unreachable;
   };
-  auto look = std::make_shared<Look>(Look{agents.size(), {}});
-  const net::Time asked = net::Loop::Now();
-  const auto heard = [this, look, then, asked](const std::string& name, const Json* answer) {
-    if (answer == nullptr) look->deaf.insert(name);
-    if (answer != nullptr && engine_) TakeLocal(*answer, asked);
-    if (--look->open == 0) then(look->deaf);
+  auto recheck = std::make_shared<Recheck>(Recheck{agents.size(), {}});
+  const net::Time requested_at = net::Loop::Now();
+  const auto on_answer = [this, recheck, then, requested_at](const std::string& name, const Json* answer) {
+    if (answer == nullptr) recheck->unreachable.insert(name);
+    if (answer != nullptr && engine_) ApplyLocalStatus(*answer, requested_at);
+    if (--recheck->pending == 0) then(recheck->unreachable);
   };
   for (const std::string& name : agents) {
-    AskAgent(
+    CallAgent(
         name, {{"op", "local"}},
-        [heard, name](const Json* answer, const std::string&) { heard(name, answer); }, kLookWithin);
+        [on_answer, name](const Json* answer, const std::string&) { on_answer(name, answer); },
+        kRecheckTimeout);
   }
 }
 
-void Agent::TakeLocal(const Json& answer, net::Time asked) {
+void Agent::ApplyLocalStatus(const Json& answer, net::Time requested_at) {
   std::vector<change::Event> events;
   try {
-    for (const Json& one : answer.at("instances")) {
-      wanted_[one.at("instance")] = change::VersionOf(one.at("wanted_stamp"));
-      if (!one.contains("belief")) continue;
-      change::Belief belief = change::BeliefFrom(one.at("belief"));
+    for (const Json& status : answer.at("instances")) {
+      desired_versions_[status.at("instance")] = change::VersionOf(status.at("wanted_stamp"));
+      if (!status.contains("belief")) continue;
+      change::Belief belief = change::BeliefFrom(status.at("belief"));
       // As old as it can be: from when it was asked for, and by the agent's own count of its age.
-      belief.at = asked - std::chrono::milliseconds(one.at("age_ms").get<std::int64_t>());
+      belief.at = requested_at - std::chrono::milliseconds(status.at("age_ms").get<std::int64_t>());
       events.push_back(change::Heard{std::move(belief)});
     }
   } catch (const std::exception& e) {
-    log_.Say(warn, {}, {}, e.what());
+    log_.Write(warn, {}, {}, e.what());
   }
   StepEngine(std::move(events));
 }
 
-void Agent::AskAgent(const std::string& name, Json request, control::Caller::Done done, net::Time limit) {
+void Agent::CallAgent(const std::string& name, Json request, control::Caller::Done done, net::Time limit) {
   if (name != options_.name) {
     const auto caller = callers_.find(name);
     if (caller == callers_.end()) return done(nullptr, "no such agent");
@@ -719,7 +732,7 @@
   }
   // Ourselves, by the same door.
   request["from"] = name;
-  Handle(request, [done = std::move(done)](const Json& answer) { done(&answer, {}); });
+  HandleRequest(request, [done = std::move(done)](const Json& answer) { done(&answer, {}); });
 }
 
 }  // namespace oxbowspread::agent
--- a/src/agent/hand.cpp
+++ b/src/agent/hand.cpp
@@ -18,8 +18,8 @@
 using namespace std::chrono_literals;
 using change::Belief;
 
-constexpr net::Time kAnswerWithin = 1s;
-constexpr net::Time kAliveEach = 100ms;
+constexpr net::Time kAnswerTimeout = 1s;
+constexpr net::Time kLivenessInterval = 100ms;
 
 Belief::Phase PhaseOf(const std::string& name) {
   if (name == "serving") return Belief::Phase::kServing;
@@ -28,195 +28,203 @@
   return Belief::Phase::kEnding;
 }
 
-supervise::Status StatusFrom(const control::Json& j) {
+supervise::Status StatusFrom(const control::Json& json) {
   using control::NumberOf;
   using control::TextOf;
-  supervise::Status s;
-  s.phase = PhaseOf(TextOf(j, "phase"));
-  s.settled = j.value("settled", false);
-  s.stamp = TextOf(j, "stamp");
-  s.pid = NumberOf(j, "pid");
-  s.held = NumberOf(j, "held");
-  const control::Json c = j.value("counters", control::Json::object());
-  const std::int64_t failed = NumberOf(c, "undeliverable") + NumberOf(c, "deferred");
-  s.counts = {NumberOf(c, "authorisations"), NumberOf(c, "busy"), NumberOf(c, "delivered") + failed, failed};
-  return s;
+  supervise::Status status;
+  status.phase = PhaseOf(TextOf(json, "phase"));
+  status.settled = json.value("settled", false);
+  status.stamp = TextOf(json, "stamp");
+  status.pid = NumberOf(json, "pid");
+  status.held = NumberOf(json, "held");
+  const control::Json counters = json.value("counters", control::Json::object());
+  const std::int64_t failed = NumberOf(counters, "undeliverable") + NumberOf(counters, "deferred");
+  status.counts = {NumberOf(counters, "authorisations"), NumberOf(counters, "busy"),
+                   NumberOf(counters, "delivered") + failed, failed};
+  return status;
 }
 
 }  // namespace
 
-Hand::Hand(net::Loop& loop, std::string instance, const Places& places, store::Store& store,
-           const supervise::Desired& desired, Note note)
+RelayController::RelayController(net::Loop& loop, std::string instance, const Paths& paths,
+                                 store::Store& store, const supervise::Desired& desired,
+                                 EventRecorder record_event)
     : loop_(loop),
       instance_(std::move(instance)),
-      places_(places),
+      paths_(paths),
       store_(store),
-      note_(std::move(note)),
-      keeper_(desired),
-      relay_(loop,
-             [this](control::Peer::Callbacks calls) {
-               return control::Peer::ConnectUnix(loop_, path(".sock"), std::move(calls));
-             }),
-      wake_(loop, [this] { Step({}); }),
-      alive_(loop, [this] { CheckAlive(); }) {
+      record_event_(std::move(record_event)),
+      supervisor_(desired),
+      relay_caller_(loop,
+                    [this](control::Peer::Callbacks calls) {
+                      return control::Peer::ConnectUnix(loop_, RunPath(".sock"), std::move(calls));
+                    }),
+      step_timer_(loop, [this] { Step({}); }),
+      liveness_timer_(loop, [this] { CheckAlive(); }) {
   if (const auto running = store_.GetRunning(instance_)) running_ = *running;
-  wake_.After(net::Time(0));
+  step_timer_.After(net::Time(0));
 }
 
-void Hand::Order(supervise::Desired desired) {
+void RelayController::SetDesired(supervise::Desired desired) {
   if (desired.stamp.empty()) {
-    desired.stamp = keeper_.desired().stamp;
-    desired.reload = keeper_.desired().reload;
+    desired.stamp = supervisor_.desired().stamp;
+    desired.reload = supervisor_.desired().reload;
   }
-  if (desired == keeper_.desired()) return;
+  if (desired == supervisor_.desired()) return;
   store_.PutDesired(instance_, {NameOf(desired.want), desired.stamp, desired.reload});
   Step({supervise::DesiredChanged{std::move(desired)}});
 }
 
-void Hand::Step(std::vector<supervise::Event> events) {
-  // What an action leads to at once comes as a further step of its own.
-  for (const supervise::Action& action : keeper_.Step(net::Loop::Now(), events)) {
-    std::visit([this](const auto& a) { Do(a); }, action);
+void RelayController::Step(std::vector<supervise::Event> events) {
+  // An action may lead to an event at once, which is handled by a nested call of Step.
+  for (const supervise::Action& action : supervisor_.Step(net::Loop::Now(), events)) {
+    std::visit([this](const auto& action_value) { Execute(action_value); }, action);
   }
-  if (keeper_.wake_at() != net::Time::max()) wake_.At(keeper_.wake_at());
+  if (supervisor_.wake_at() != net::Time::max()) step_timer_.At(supervisor_.wake_at());
 }
 
-// Found only when all that can be asked agrees; Nobody only when nothing speaks for anybody.
-void Hand::Do(const supervise::FindProcess&) {
+// Compares the store's record of the process with the holder of the folder's lock. Reports a process only if
+// both agree, and no process only if there is neither; otherwise asks the relay itself.
+void RelayController::Execute(const supervise::FindProcess&) {
   const auto holder = journal::FolderLock::HolderOf(StateFolder());
   const bool recorded =
       running_.pid > 0 && running_.start_ticks != 0 &&
       supervise::ProcessStartTicks(static_cast<pid_t>(running_.pid)) == running_.start_ticks;
   if (recorded && holder && *holder == running_.pid) return Adopt(running_.pid);
   if (!recorded && !holder) {
-    wake_.After(net::Time(0));
+    step_timer_.After(net::Time(0));
     return Step({supervise::NoProcessFound{}});
   }
-  LookAtSocket(holder ? *holder : running_.pid);
+  QueryLockHolder(holder ? *holder : running_.pid);
 }
 
-// Somebody is there whom no record names, or who does not hold the folder, yet: only its own word decides.
-void Hand::LookAtSocket(std::int64_t holder) {
-  relay_.Call(
-      {{"op", "status"}}, kAnswerWithin, [this, holder](const control::Json* answer, const std::string&) {
-        if (keeper_.state() != supervise::Supervisor::State::kSearching) return;
+// Called if the lock's holder is not on record, or if the recorded process does not hold the lock yet. Adopts
+// the process only if the relay that answers on the control socket has this pid.
+void RelayController::QueryLockHolder(std::int64_t holder) {
+  relay_caller_.Call(
+      {{"op", "status"}}, kAnswerTimeout, [this, holder](const control::Json* answer, const std::string&) {
+        if (supervisor_.state() != supervise::Supervisor::State::kSearching) return;
         if (answer != nullptr && control::NumberOf(*answer, "pid") == holder) return Adopt(holder);
         const std::string text = "waits: process " + std::to_string(holder) + " holds its state folder and " +
                                  (answer == nullptr ? "does not answer" : "is not the one that answers");
-        if (std::exchange(told_, text) != text) note_(instance_, text);
+        if (std::exchange(reported_obstacle_, text) != text) record_event_(instance_, text);
       });
 }
 
-void Hand::Adopt(std::int64_t pid) {
+void RelayController::Adopt(std::int64_t pid) {
   if (supervise::ProcessStartTicks(static_cast<pid_t>(pid)) == 0)
-    return;  // ended just now: the next look will see
-  told_.clear();
-  Remember(pid, false);
+    return;  // has just exited; the next search takes account of it
+  reported_obstacle_.clear();
+  RecordProcess(pid, false);
   Step({supervise::ProcessFound{pid}});
 }
 
-void Hand::Remember(std::int64_t pid, bool child) {
+void RelayController::RecordProcess(std::int64_t pid, bool is_child) {
   running_ = {pid, supervise::ProcessStartTicks(static_cast<pid_t>(pid))};
-  child_ = child;
+  is_child_ = is_child;
   try {
     store_.PutRunning(instance_, running_);
   } catch (const store::Error& e) {
-    note_(instance_, e.what());
+    record_event_(instance_, e.what());
   }
-  alive_.After(kAliveEach);
+  liveness_timer_.After(kLivenessInterval);
 }
 
-std::string Hand::StateFolder() const {
+std::string RelayController::StateFolder() const {
   std::string folder;
-  if (const auto text = store_.GetConfig(instance_, change::VersionOf(keeper_.desired().stamp))) {
+  if (const auto text = store_.GetConfig(instance_, change::VersionOf(supervisor_.desired().stamp))) {
     const control::Json json = control::Json::parse(*text, nullptr, false);
     if (json.is_object()) folder = control::TextOf(json, "state");
   }
-  return folder.empty() ? places_.folder + "/state/" + instance_ : folder;
+  return folder.empty() ? paths_.agent_folder + "/state/" + instance_ : folder;
 }
 
-void Hand::WriteConfig(const std::string& stamp) {
+void RelayController::WriteConfig(const std::string& stamp) {
   const auto text = store_.GetConfig(instance_, change::VersionOf(stamp));
   if (!text) throw std::runtime_error("the store has no configuration " + change::VersionOf(stamp));
-  const std::string file = path(".json"), next = file + ".next";
-  std::ofstream out(next, std::ios::trunc);
-  out << *text;
-  out.close();
-  if (!out || std::rename(next.c_str(), file.c_str()) != 0)
-    throw std::runtime_error(file + ": can't be written");
+  const std::string config_path = RunPath(".json"), temporary_path = config_path + ".next";
+  std::ofstream output(temporary_path, std::ios::trunc);
+  output << *text;
+  output.close();
+  if (!output || std::rename(temporary_path.c_str(), config_path.c_str()) != 0)
+    throw std::runtime_error(config_path + ": can't be written");
 }
 
-void Hand::Do(const supervise::Spawn& spawn) {
-  std::string why;
+void RelayController::Execute(const supervise::Spawn& spawn) {
+  std::string reason;
   pid_t pid = 0;
   try {
     WriteConfig(spawn.stamp);
-    const std::string state = StateFolder();
-    std::filesystem::create_directories(state);
+    const std::string state_folder = StateFolder();
+    std::filesystem::create_directories(state_folder);
     supervise::Program program{
-        places_.relay,
-        {"--control", path(".sock"), "--stamp", spawn.stamp},
-        {{"ROUTER_CONFIG", path(".json")}, {"ROUTER_NAME", instance_}, {"ROUTER_STATE", state}},
-        path(".log")};
-    pid = supervise::SpawnProcess(program, &why);
+        paths_.relay_program,
+        {"--control", RunPath(".sock"), "--stamp", spawn.stamp},
+        {{"ROUTER_CONFIG", RunPath(".json")}, {"ROUTER_NAME", instance_}, {"ROUTER_STATE", state_folder}},
+        RunPath(".log")};
+    pid = supervise::SpawnProcess(program, &reason);
   } catch (const std::exception& e) {
-    why = e.what();
+    reason = e.what();
   }
-  if (pid == 0) return Step({supervise::SpawnFailed{why}});
-  relay_.Disconnect("started anew");
-  Remember(pid, true);
+  if (pid == 0) return Step({supervise::SpawnFailed{reason}});
+  relay_caller_.Disconnect("started anew");
+  RecordProcess(pid, true);
   Step({supervise::Spawned{pid}});
 }
 
-void Hand::Do(const supervise::QueryStatus&) {
-  if (std::exchange(polling_, true)) return;
-  relay_.Call({{"op", "status"}}, kAnswerWithin, [this](const control::Json* answer, const std::string&) {
-    polling_ = false;
-    if (answer == nullptr || !answer->value("ok", false)) return Step({supervise::StatusUnavailable{}});
-    Step({StatusFrom(*answer)});
-  });
+void RelayController::Execute(const supervise::QueryStatus&) {
+  if (std::exchange(status_pending_, true)) return;
+  relay_caller_.Call({{"op", "status"}}, kAnswerTimeout,
+                     [this](const control::Json* answer, const std::string&) {
+                       status_pending_ = false;
+                       if (answer == nullptr || !answer->value("ok", false))
+                         return Step({supervise::StatusUnavailable{}});
+                       Step({StatusFrom(*answer)});
+                     });
 }
 
-void Hand::Do(const supervise::SendCommand& ask) {
-  control::Json request = {{"op", ask.op}};
-  const bool reload = ask.op == "reload";
+void RelayController::Execute(const supervise::SendCommand& command) {
+  control::Json request = {{"op", command.op}};
+  const bool reload = command.op == "reload";
   try {
-    if (reload) WriteConfig(ask.stamp);
+    if (reload) WriteConfig(command.stamp);
   } catch (const std::exception& e) {
-    return Step({supervise::ReloadAnswered{ask.stamp, e.what()}});
+    return Step({supervise::ReloadAnswered{command.stamp, e.what()}});
   }
-  if (reload) request["stamp"] = ask.stamp;
-  relay_.Call(std::move(request), kAnswerWithin,
-              [this, ask, reload](const control::Json* answer, const std::string&) {
-                if (answer == nullptr) return;  // asked again while nothing shows it
-                const std::string why = control::TextOf(*answer, "error");
-                if (reload) return Step({supervise::ReloadAnswered{ask.stamp, why}});
-                if (!why.empty()) note_(instance_, ask.op + ": " + why);
-              });
-}
-
-void Hand::Do(const supervise::SendSignal& signal) {
-  // Never to whoever has come by that pid since, and never to 0, which would be our whole process group.
+  if (reload) request["stamp"] = command.stamp;
+  relay_caller_.Call(std::move(request), kAnswerTimeout,
+                     [this, command, reload](const control::Json* answer, const std::string&) {
+                       if (answer == nullptr)
+                         return;  // the supervisor repeats the command until it takes effect
+                       const std::string reason = control::TextOf(*answer, "error");
+                       if (reload) return Step({supervise::ReloadAnswered{command.stamp, reason}});
+                       if (!reason.empty()) record_event_(instance_, command.op + ": " + reason);
+                     });
+}
+
+void RelayController::Execute(const supervise::SendSignal& signal) {
+  // The start time is compared because the pid may have been reused. Pid 0 would signal the agent's own
+  // process group.
   const auto pid = static_cast<pid_t>(signal.pid);
   if (pid <= 0 || running_.start_ticks == 0) return;
   if (signal.pid == running_.pid && supervise::ProcessStartTicks(pid) == running_.start_ticks)
     kill(pid, signal.signal_number);
 }
 
-void Hand::CheckAlive() {
+void RelayController::CheckAlive() {
   if (running_.pid == 0) return;
   const auto pid = static_cast<pid_t>(running_.pid);
-  int code = 0, status = 0;
-  if (child_ && waitpid(pid, &status, WNOHANG) == pid) {
-    code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+  int exit_code = 0, wait_status = 0;
+  if (is_child_ && waitpid(pid, &wait_status, WNOHANG) == pid) {
+    exit_code = WIFEXITED(wait_status) ? WEXITSTATUS(wait_status) : -WTERMSIG(wait_status);
   } else if (running_.start_ticks != 0 && supervise::ProcessStartTicks(pid) == running_.start_ticks) {
-    alive_.After(kAliveEach);
+    liveness_timer_.After(kLivenessInterval);
     return;
   }
   running_ = {};
-  alive_.Stop();
-  relay_.Disconnect("the relay has ended");
-  Step({supervise::ProcessExited{code}});
+  liveness_timer_.Stop();
+  relay_caller_.Disconnect("the relay has ended");
+  Step({supervise::ProcessExited{exit_code}});
 }
 
 }  // namespace oxbowspread::agent
--- a/src/agent/hand.hpp
+++ b/src/agent/hand.hpp
@@ -1,5 +1,5 @@
-// One relay of this host: carries out what its keeper says, on processes, files and the relay's control
-// socket.
+// Controls one relay of this host: carries out the actions of its supervise::Supervisor with processes, files
+// and the relay's control socket, and feeds the results back as events.
 #pragma once
 
 #include <functional>
@@ -16,58 +16,67 @@
 
 namespace oxbowspread::agent {
 
-struct Places {
-  std::string folder;  // the agent's own: run/ and state/ stand below it
-  std::string relay;   // the relay's program
+// Where a controller finds its files and its program.
+struct Paths {
+  std::string agent_folder;   // the agent's folder, which contains run/ and state/
+  std::string relay_program;  // path of the relay's executable
 };
 
-class Hand {
+// Keeps one relay instance in its desired state. To be used on the loop's thread only.
+class RelayController {
  public:
-  using Note = std::function<void(const std::string& instance, const std::string& text)>;
+  using EventRecorder = std::function<void(const std::string& instance, const std::string& text)>;
 
-  // Looks for a relay that runs already once the loop runs; nothing is thrown or ended here or by the
-  // destructor. `desired` must be in the store; loop and store must outlive it. `note` is called from the
-  // loop.
-  Hand(net::Loop& loop, std::string instance, const Places& places, store::Store& store,
-       const supervise::Desired& desired, Note note);
+  // Searches for an already running relay as soon as the loop runs. The destructor leaves the relay running.
+  // `desired` must be in the store already. The loop and the store must outlive the controller.
+  // `record_event` is called on the loop's thread.
+  RelayController(net::Loop& loop, std::string instance, const Paths& paths, store::Store& store,
+                  const supervise::Desired& desired, EventRecorder record_event);
 
-  // On disk when it returns. Throws store::Error, and then nothing has changed. An empty stamp leaves the one
-  // there is.
-  void Order(supervise::Desired desired);
-  std::optional<change::Belief> Tell() const { return keeper_.CurrentBelief(instance_, net::Loop::Now()); }
-  const supervise::Supervisor& keeper() const { return keeper_; }
-  // The process may have ended: a child of ours told so, or it is time to look.
+  // Stores and applies a new desired state. It is on disk when the call returns; throws store::Error without
+  // any change if it can't be stored. With an empty stamp, the present stamp and reload flag stay.
+  void SetDesired(supervise::Desired desired);
+  std::optional<change::Belief> CurrentBelief() const {
+    return supervisor_.CurrentBelief(instance_, net::Loop::Now());
+  }
+  const supervise::Supervisor& supervisor() const { return supervisor_; }
+  // Checks whether the relay's process has exited. To be called after a SIGCHLD; for adopted processes, which
+  // are no children of the agent, a timer calls it too.
   void CheckAlive();
 
  private:
   void Step(std::vector<supervise::Event> events);
-  void Do(const supervise::FindProcess&);
-  void Do(const supervise::Spawn& spawn);
-  void Do(const supervise::QueryStatus&);
-  void Do(const supervise::SendCommand& ask);
-  void Do(const supervise::SendSignal& signal);
-  void Do(const supervise::RecordEvent& note) { note_(instance_, note.text); }
-  void LookAtSocket(std::int64_t holder);
+  void Execute(const supervise::FindProcess&);
+  void Execute(const supervise::Spawn& spawn);
+  void Execute(const supervise::QueryStatus&);
+  void Execute(const supervise::SendCommand& command);
+  void Execute(const supervise::SendSignal& signal);
+  void Execute(const supervise::RecordEvent& event) { record_event_(instance_, event.text); }
+  void QueryLockHolder(std::int64_t holder);
   void Adopt(std::int64_t pid);
-  // On record as far as the store takes it: lock and control socket speak for it too.
-  void Remember(std::int64_t pid, bool child);
-  // Writes the configuration that the stamp names where the relay reads it. Throws.
+  // Writes the process to the store. A failure is only reported: the process can also be found again by its
+  // folder lock and its control socket.
+  void RecordProcess(std::int64_t pid, bool is_child);
+  // Writes the configuration version named by the stamp to the file that the relay reads. Throws
+  // std::exception if the version is not in the store or the file can't be written.
   void WriteConfig(const std::string& stamp);
+  // The relay's state folder: the one that its configuration names, or the default under state/.
   std::string StateFolder() const;
-  std::string path(const char* ending) const { return places_.folder + "/run/" + instance_ + ending; }
+  // Path of a file of this instance under run/.
+  std::string RunPath(const char* ending) const { return paths_.agent_folder + "/run/" + instance_ + ending; }
 
   net::Loop& loop_;
   std::string instance_;
-  Places places_;
+  Paths paths_;
   store::Store& store_;
-  Note note_;
-  supervise::Supervisor keeper_;
+  EventRecorder record_event_;
+  supervise::Supervisor supervisor_;
   store::RunningProcess running_;
-  bool child_ = false;
-  bool polling_ = false;
-  std::string told_;  // what the last look found in the way
-  control::Caller relay_;
-  net::Timer wake_, alive_;
+  bool is_child_ = false;  // whether the process was started by this agent and must be reaped
+  bool status_pending_ = false;
+  std::string reported_obstacle_;  // last reported reason why the search has no result
+  control::Caller relay_caller_;
+  net::Timer step_timer_, liveness_timer_;
 };
 
 }  // namespace oxbowspread::agent
--- a/src/agent/log.cpp
+++ b/src/agent/log.cpp
@@ -12,8 +12,8 @@
   logger_->flush_on(spdlog::level::info);
 }
 
-void Log::Say(spdlog::level::level_enum level, const std::string& change, const std::string& instance,
-              const std::string& text, const std::string& step) {
+void Log::Write(spdlog::level::level_enum level, const std::string& change, const std::string& instance,
+                const std::string& text, const std::string& step) {
   if (!json_) {
     const std::string fields =
         (change.empty() ? "" : " change=" + change) + (instance.empty() ? "" : " instance=" + instance);
--- a/src/agent/log.hpp
+++ b/src/agent/log.hpp
@@ -13,8 +13,8 @@
  public:
   Log(std::string agent, bool json);
   // Empty fields are left out.
-  void Say(spdlog::level::level_enum level, const std::string& change, const std::string& instance,
-           const std::string& text, const std::string& step = {});
+  void Write(spdlog::level::level_enum level, const std::string& change, const std::string& instance,
+             const std::string& text, const std::string& step = {});
 
  private:
   std::string agent_;
--- a/src/apps/oxbowagent.cpp
+++ b/src/apps/oxbowagent.cpp
@@ -22,8 +22,8 @@
   app.add_option("--group", options.group_file, "the group file, YAML")->required()->envname("OXBOW_GROUP");
   app.add_option("--name", options.name, "this agent's name in the group file")->required();
   app.add_option("--folder", options.folder, "its own folder, which lasts")->required();
-  app.add_option("--relay", options.relay, "the relay's program; beside this one if absent");
-  app.add_option("--store-kb", options.store_kb, "the most its store may hold")
+  app.add_option("--relay", options.relay_program, "the relay's program; beside this one if absent");
+  app.add_option("--store-kb", options.max_store_kb, "the most its store may hold")
       ->check(CLI::Range(64, 1 << 20));
   app.add_flag("--json", options.json_log, "log one JSON object a line");
   app.set_version_flag("--version", std::string("oxbowagent " OXBOWSPREAD_VERSION));
@@ -31,25 +31,25 @@
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGHUP, SIG_IGN);
   try {
-    if (options.relay.empty()) {
-      options.relay =
+    if (options.relay_program.empty()) {
+      options.relay_program =
           (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "oxbowspread").string();
     }
-    if (access(options.relay.c_str(), X_OK) != 0) {
-      throw std::runtime_error("--relay: " + options.relay + " can't be run");
+    if (access(options.relay_program.c_str(), X_OK) != 0) {
+      throw std::runtime_error("--relay: " + options.relay_program + " can't be run");
     }
     options.folder = std::filesystem::absolute(options.folder).lexically_normal().string();
-    options.relay = std::filesystem::absolute(options.relay).string();
+    options.relay_program = std::filesystem::absolute(options.relay_program).string();
     std::filesystem::create_directories(options.folder);
     const journal::FolderLock lock(options.folder);
     net::Loop loop;
     agent::Agent agent(loop, options);
-    const auto leave = [&](const char* why) {
-      agent.Leave(why);
+    const auto shut_down = [&](const char* why) {
+      agent.RecordShutdown(why);
       loop.Stop();
     };
-    net::Signal term(loop, SIGTERM, [&] { leave("SIGTERM"); });
-    net::Signal interrupt(loop, SIGINT, [&] { leave("SIGINT"); });
+    net::Signal term(loop, SIGTERM, [&] { shut_down("SIGTERM"); });
+    net::Signal interrupt(loop, SIGINT, [&] { shut_down("SIGINT"); });
     loop.Run();
   } catch (const journal::FolderLocked& e) {
     std::cerr << "oxbowagent: " << e.what() << "\n";
