--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -21,10 +21,11 @@
 using spdlog::level::info;
 using spdlog::level::warn;
 
-constexpr net::Time kRecheckTimeout = 2s;  // of an agent that is out of reach if it says nothing then
+constexpr net::Time kRecheckTimeout = 2s;  // an agent that has not answered by then is unreachable
 constexpr net::Time kCollectInterval = 300ms;
 constexpr net::Time kGroupFileInterval = 1s;
-constexpr net::Time kNewLeaderGrace = 1s;  // more, for a new leader to hear of every instance
+// Added to belief_age: the time in which a new leader hears of every instance.
+constexpr net::Time kNewLeaderGrace = 1s;
 constexpr const char* kLeadKey = "lead";
 
 std::int64_t UnixMs() { return net::Loop::UnixNow() / 1ms; }
@@ -95,7 +96,7 @@
         });
   }
   RecordEvent({}, {},
-              "agent begun, process " + std::to_string(getpid()) + ", " +
+              "agent started, process " + std::to_string(getpid()) + ", " +
                   std::to_string(controllers_.size()) + " instances, epoch " +
                   std::to_string(lead_->epoch()));
   lead_timer_.After(net::Time(0));
@@ -104,7 +105,7 @@
 }
 
 void Agent::RecordShutdown(const std::string& reason) {
-  RecordEvent({}, {}, "agent ends: " + reason + "; its relays run on");
+  RecordEvent({}, {}, "agent stops: " + reason + "; its relays keep running");
 }
 
 void Agent::RecordEvent(const std::string& change, const std::string& instance, const std::string& text,
@@ -139,7 +140,7 @@
     if (const auto it = desired.find(instance.name); it != desired.end()) {
       initial = {change::WantFrom(it->second.want), it->second.stamp, it->second.reload};
     } else {
-      // Seen for the first time: as its file says it now.
+      // A new instance starts with the present content of its configuration file.
       const std::string text = group::ReadFile(instance.config_path);
       config::ParseAndValidate(text);
       initial = {change::Want::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
@@ -155,14 +156,14 @@
       ++it;
       continue;
     }
-    RecordEvent({}, it->first, "is not in the group file any more; what runs runs on, unwatched");
+    RecordEvent({}, it->first, "is no longer in the group file; its relay keeps running unsupervised");
     loop_.DestroyLater(std::move(it->second));
     it = controllers_.erase(it);
   }
 }
 
-// The file may be edited at any time: it is taken up whole or not at all, and never in the middle of a
-// change.
+// The group file may be edited at any time. A new version is applied as a whole or not at all, and never
+// during a change.
 void Agent::CheckGroupFile() {
   group_file_timer_.After(kGroupFileInterval);
   std::string text;
@@ -172,7 +173,7 @@
   };
   try {
     text = group::ReadFile(options_.group_file);
-    if (text == group_text_) return group_fault_.clear();  // also a bad edit that was taken back
+    if (text == group_text_) return group_fault_.clear();  // also after a rejected edit was reverted
     const auto record = StoredRecord();
     if (record && !change::Over(record->state))
       return refuse("change " + record->spec.id + " is not over yet");
@@ -272,7 +273,8 @@
   return reply;
 }
 
-// Only from whoever this agent promised the epoch to: one who was cut off and has been replaced is fenced.
+// Accepts orders only from the leader to which this agent promised the epoch. A leader that was cut off and
+// has been replaced is fenced.
 control::Json Agent::HandleOrder(const std::string& from, const Json& request) {
   const lead::Durable& durable = lead_->durable();
   const auto epoch = request.at("epoch").get<lead::Epoch>();
@@ -306,7 +308,7 @@
   return {{"ok", true}};
 }
 
-// A configuration that an instance may be ordered to run by later. Nothing runs by it yet.
+// Checks and stores a configuration that a later order may name. Doesn't apply it.
 control::Json Agent::HandleOffer(const Json& request) {
   const std::string instance = request.at("instance"), text = request.at("text");
   const auto controller = controllers_.find(instance);
@@ -350,9 +352,9 @@
 control::Json Agent::ChangeAnswer() {
   Json answer = {{"ok", true}, {"leader", lead_->leader(net::Loop::Now())}, {"epoch", lead_->epoch()}};
   if (engine_) {
-    // Not the engine's own, which may be ahead: a next leader may know nothing of what only we have.
-    if (!stored_record_) return answer;
-    answer["change"] = ToJson(*stored_record_);
+    // The engine's own record may be ahead of the committed one, and a next leader may not know it.
+    if (!committed_record_) return answer;
+    answer["change"] = ToJson(*committed_record_);
     answer["held_back"] = engine_->held_back();
     answer["rate"] = engine_->Rate();
   } else if (const auto record = StoredRecord()) {
@@ -375,13 +377,13 @@
   if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeadingAnswer());
   const std::string kind = TextOf(request, "kind");
   if (const std::string name = TextOf(request, "request"); !name.empty() && engine_->record()) {
-    // Whoever lost our answer, or that of a leader before us, repeats the request: it has been taken.
-    if (engine_->record()->spec.request == name) return AnswerWhenStored(answer);
+    // The request was accepted before: its sender lost the answer of this leader or of an earlier one.
+    if (engine_->record()->spec.request == name) return AnswerWhenCommitted(answer);
   }
   if (const auto& record = engine_->record(); record && !change::Over(record->state)) {
     if (kind == "rollback") {
       StepEngine({change::Say{change::Word::kRollBack}});
-      return AnswerWhenStored(answer);
+      return AnswerWhenCommitted(answer);
     }
     change::Spec placeholder;
     placeholder.targets.emplace_back();
@@ -394,7 +396,7 @@
     spec.kind = kind == "restart" ? change::Kind::kRestart
                 : kind == "drain" ? change::Kind::kDrain
                                   : change::Kind::kResume;
-    const net::Time now = net::Loop::Now();  // one moment for both looks: a belief may end between them
+    const net::Time now = net::Loop::Now();  // used for both checks, because a belief may expire in between
     std::set<std::string> agents_without_status;
     for (const Json& name : instances) {
       const group::Instance* const instance = group_.Find(name);
@@ -402,8 +404,8 @@
       if (engine_->Fresh(now, name) == nullptr) agents_without_status.insert(instance->agent);
     }
     if (!agents_without_status.empty() && unreachable == nullptr) {
-      // It may be us who didn't look for a while, held up by a disk or stopped: an agent is out of reach only
-      // if it doesn't answer now.
+      // This agent may have missed answers itself because a disk or a suspension held it up. Another agent
+      // counts as unreachable only if it doesn't answer now.
       return RecheckAgents(agents_without_status,
                            [this, request, answer](const std::set<std::string>& no_answer) {
                              BeginChange(request, answer, &no_answer);
@@ -417,13 +419,13 @@
         const bool recently_elected = now - leading_since_ < group_.limits.belief_age + kNewLeaderGrace;
         if (!recently_elected && unreachable->count(group_.Find(name)->agent) > 0)
           return answer(ErrorAnswer(name.get<std::string>() + " is unknown: its agent is out of reach"));
-        // A new leader, or an agent that is there and has not heard of its relay: whoever asks comes again,
-        // as where nobody leads.
+        // The leader is new, or the agent is reachable but has no status of its relay yet. The empty leader
+        // makes the client retry as it does when no agent leads.
         Json later = ErrorAnswer("the leader has yet to hear of " + name.get<std::string>());
         later["leader"] = "";
         return answer(later);
       }
-      // One that is down runs by nothing: its agent says by which version it would.
+      // An instance that is down has no running version; its agent reports the version that it would run.
       const std::string version = desired_versions_[name];
       spec.targets.push_back({name, version, version, false});
     }
@@ -442,7 +444,7 @@
   StartChange(std::move(spec), request, answer);
 }
 
-// Every agent first takes and checks what is offered; one that can't or won't ends it before it began.
+// All agents check and store the configurations first. If one fails or refuses, the change doesn't begin.
 void Agent::OfferConfigs(const Json& request, const control::Answer& answer) {
   struct OfferRound {
     std::size_t pending = 0;
@@ -495,7 +497,7 @@
     return answer(ErrorAnswer(reason));
   if (request.value("dry_run", false)) return answer(DescribePlan(spec));
   StepEngine({change::Begin{spec}});
-  AnswerWhenStored(answer);
+  AnswerWhenCommitted(answer);
 }
 
 control::Json Agent::DescribePlan(const change::Spec& spec) {
@@ -531,7 +533,7 @@
     return answer(ErrorAnswer("word: unknown: '" + command_name + "'"));
   }
   StepEngine({change::Say{command}});
-  AnswerWhenStored(answer);
+  AnswerWhenCommitted(answer);
 }
 
 // ---- leading ----
@@ -547,8 +549,8 @@
         store_->Put(kLeadKey, ToJson(persist->durable).dump());
       } catch (const store::Error& e) {
         log_.Write(warn, {}, {}, e.what());
-        // Nobody hears of what is not on disk, and this agent is again what its disk says. It may claim again
-        // later, which needs a disk that takes it.
+        // State that is not on disk must not be sent. The election state is reset to what the disk holds; a
+        // later candidacy needs a successful write.
         StopLeading();
         std::random_device random;
         lead_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), random());
@@ -564,25 +566,26 @@
         continue;
       }
       CallAgent(send->to, {{"op", "lead"}, {"message", ToJson(send->message)}},
-                [this, to = send->to](const Json* got, const std::string&) {
-                  if (got == nullptr || !got->value("ok", false)) return;
+                [this, to = send->to](const Json* response, const std::string&) {
+                  if (response == nullptr || !response->value("ok", false)) return;
                   try {
-                    StepLead({lead::Got{to, lead::MessageFrom(got->at("message"))}});
+                    StepLead({lead::Got{to, lead::MessageFrom(response->at("message"))}});
                   } catch (const Json::exception& e) {
-                    log_.Write(warn, {}, {}, to + " answered what can't be read: " + e.what());
+                    log_.Write(warn, {}, {}, to + " sent an answer that can't be read: " + e.what());
                   }
                 });
     } else if (const auto* leads = std::get_if<lead::Leads>(&action)) {
       leading_epoch_ = leads->epoch;
       leading_since_ = now;
       engine_.emplace(group_.members(), group_.limits);
-      stored_record_.reset();
+      committed_record_.reset();
       RecordEvent({}, {}, "leads in epoch " + std::to_string(leading_epoch_));
       try {
-        stored_record_ = StoredRecord();
-        if (stored_record_) StepEngine({change::Continue{*stored_record_}});
+        committed_record_ = StoredRecord();
+        if (committed_record_) StepEngine({change::Continue{*committed_record_}});
       } catch (const std::exception& e) {
-        // Kept whole by most, so written by another program: a person must look, and the relays run on.
+        // A majority stored this record intact, so another program version must have written it. An operator
+        // has to look at it; the relays keep running.
         RecordEvent({}, {},
                     std::string("the change on record can't be read and is not continued: ") + e.what());
       }
@@ -590,12 +593,12 @@
     } else if (const auto* stopped = std::get_if<lead::Stopped>(&action)) {
       StopLeading();
       RecordEvent({}, {}, "leads no more: " + stopped->why);
-    } else if (const auto* stored = std::get_if<lead::ValueKept>(&action)) {
+    } else if (const auto* committed = std::get_if<lead::ValueKept>(&action)) {
       for (Queued& queued : queue_) {
-        if (queued.seq == 0 || queued.seq > stored->seq) continue;
+        if (queued.seq == 0 || queued.seq > committed->seq) continue;
         auto record = std::get<change::Keep>(std::get<change::Action>(queued.content)).record;
         queued.content = Reply{[this, record = std::move(record)](bool leading) {
-          if (leading) stored_record_ = record;
+          if (leading) committed_record_ = record;
         }};
       }
       ProcessQueue();
@@ -615,9 +618,9 @@
   ProcessQueue();
 }
 
-// With the change as it stands once all that was decided so far is on record, or with who leads instead of
-// us.
-void Agent::AnswerWhenStored(const control::Answer& answer) {
+// Answers with the state of the change once all decisions so far are committed, or with the current leader if
+// this agent stops leading before.
+void Agent::AnswerWhenCommitted(const control::Answer& answer) {
   queue_.push_back(
       {Reply{[this, answer](bool leading) { answer(leading ? ChangeAnswer() : NotLeadingAnswer()); }}});
   ProcessQueue();
@@ -627,13 +630,13 @@
   while (!queue_.empty()) {
     if (const auto* first = std::get_if<change::Action>(&queue_.front().content)) {
       if (const auto* keep = std::get_if<change::Keep>(first)) {
-        if (queue_.front().seq != 0) return;  // on its way
+        if (queue_.front().seq != 0) return;  // proposed and not committed yet
         queue_.front().seq = lead_->proposed() + 1;
         StepLead({lead::Propose{ToJson(keep->record).dump()}});
-        return;  // StepLead has called again if it is kept by now
+        return;  // StepLead has called ProcessQueue if the record is committed already
       }
     }
-    // Out of the queue before it is done: what is done may lead to a step of its own, and so to here.
+    // Removed from the queue first, because carrying it out may call this function again.
     const Queued head = std::move(queue_.front());
     queue_.pop_front();
     if (const auto* reply = std::get_if<Reply>(&head.content)) {
@@ -664,7 +667,7 @@
             [this, order](const Json* answer, const std::string& reason) {
               if (answer != nullptr && answer->value("ok", false)) return;
               const std::string text = answer == nullptr ? reason : TextOf(*answer, "error");
-              log_.Write(warn, {}, order.instance, "order not taken: " + text);
+              log_.Write(warn, {}, order.instance, "order not accepted: " + text);
               if (answer != nullptr && answer->value("never", false) && engine_) {
                 StepEngine({change::Refused{order.instance, order.stamp, text}});
               }
@@ -714,7 +717,8 @@
       desired_versions_[status.at("instance")] = change::VersionOf(status.at("wanted_stamp"));
       if (!status.contains("belief")) continue;
       change::Belief belief = change::BeliefFrom(status.at("belief"));
-      // As old as it can be: from when it was asked for, and by the agent's own count of its age.
+      // The greatest possible age: counted back from the time of the request by the age that the agent
+      // states.
       belief.at = requested_at - std::chrono::milliseconds(status.at("age_ms").get<std::int64_t>());
       events.push_back(change::Heard{std::move(belief)});
     }
@@ -724,13 +728,13 @@
   StepEngine(std::move(events));
 }
 
-void Agent::CallAgent(const std::string& name, Json request, control::Caller::Done done, net::Time limit) {
+void Agent::CallAgent(const std::string& name, Json request, control::Caller::Done done, net::Time timeout) {
   if (name != options_.name) {
     const auto caller = callers_.find(name);
     if (caller == callers_.end()) return done(nullptr, "no such agent");
-    return caller->second->Call(std::move(request), limit, std::move(done));
+    return caller->second->Call(std::move(request), timeout, std::move(done));
   }
-  // Ourselves, by the same door.
+  // A request to this agent itself is handled like one from another agent.
   request["from"] = name;
   HandleRequest(request, [done = std::move(done)](const Json& answer) { done(&answer, {}); });
 }
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -1,5 +1,6 @@
-// The agent of a host: keeps its relays, takes part in choosing who leads, and, when it leads, runs the
-// group's change. Thin: what is decided is decided by lead::Lead, change::Engine and supervise::Supervisor.
+// The agent of a host: supervises the host's relays, takes part in the election of the leader and, as leader,
+// carries out the group's change. It only does the I/O; the decisions are made by the state machines
+// lead::Lead, change::Engine and supervise::Supervisor.
 #pragma once
 
 #include <deque>
@@ -25,36 +26,40 @@
 
 struct Options {
   std::string group_file;
-  std::string name;           // of this agent, as the group file has it
-  std::string folder;         // its own
-  std::string relay_program;  // the relay's program
+  std::string name;           // name of this agent in the group file
+  std::string folder;         // folder of this agent, for its store, sockets and default state folders
+  std::string relay_program;  // path of the relay's executable
   bool json_log = false;
-  int max_store_kb = 16 * 1024;
+  int max_store_kb = 16 * 1024;  // size limit of the store in KiB
 };
 
-// One per process. It is destroyed after its loop has ended, and leaves all relays running.
+// One per process. Must be destroyed after its loop has stopped; all relays keep running.
 class Agent {
  public:
-  // Reads the group file, opens store and sockets, and begins to keep its instances as soon as the loop runs.
-  // The loop must outlive it. Throws, in one line that names the fault: group::Error, store::Error,
-  // config::Error of an instance's file, std::runtime_error of the keys, std::system_error of a socket;
-  // nothing was started then.
+  // Reads the group file, opens the store and the sockets, and supervises its instances as soon as the loop
+  // runs. The loop must outlive the agent. If it throws, no relay was started. The error texts have one line.
+  // Throws group::Error, store::Error, config::Error for an instance's configuration file,
+  // std::runtime_error for the keys and std::system_error for a socket.
   Agent(net::Loop& loop, const Options& options);
-  // Writes in log and history that the agent ends and why; to be called before the loop is stopped.
+  // Writes to the log and the history why the agent exits. To be called before the loop is stopped.
   void RecordShutdown(const std::string& reason);
 
  private:
   using Json = control::Json;
+  // An answer that is sent once everything queued before it is done. `leading` is false if this agent stopped
+  // leading first.
   struct Reply {
     std::function<void(bool leading)> send;
   };
-  // What a step of the engine leads to, in order; a Keep holds up what is behind it.
+  // An entry of the queue of the engine's actions and pending replies, which are carried out in order. A
+  // change::Keep blocks the entries behind it until its record is committed. `seq` is the number of the
+  // proposal that holds the record, 0 before it is proposed.
   struct Queued {
     std::variant<change::Action, Reply> content;
     std::uint64_t seq = 0;
   };
 
-  // ---- requests; `from` is the certificate's name, empty at the local socket ----
+  // ---- requests; `from` is the name in the caller's certificate, empty for the local socket ----
   void HandleRequest(const Json& request, const control::Answer& answer);
   Json LocalStatus();
   Json HandleLeadMessage(const std::string& from, const Json& request);
@@ -62,7 +67,7 @@
   Json HandleOffer(const Json& request);
   Json HistoryAnswer(const Json& request);
   Json ChangeAnswer();
-  // `deaf`: the agents that didn't answer when looked for again; null if none was yet.
+  // `unreachable` holds the agents that did not answer the recheck; null if there was no recheck yet.
   void BeginChange(const Json& request, const control::Answer& answer,
                    const std::set<std::string>* unreachable = nullptr);
   void OfferConfigs(const Json& request, const control::Answer& answer);
@@ -76,22 +81,27 @@
                 Json* reply = nullptr);
   void StepEngine(std::vector<change::Event> events);
   void ProcessQueue();
-  void AnswerWhenStored(const control::Answer& answer);
+  void AnswerWhenCommitted(const control::Answer& answer);
   void StopLeading();
   void SendOrder(const change::Order& order);
   void CollectStatus();
-  // Asks these agents for their instances once more, and goes on with those that didn't answer.
+  // Requests the status of these agents' instances once more, then calls `then` with the agents that did not
+  // answer.
   void RecheckAgents(const std::set<std::string>& agents,
                      const std::function<void(const std::set<std::string>& unreachable)>& then);
   void ApplyLocalStatus(const Json& answer, net::Time requested_at);
 
+  // Sends a request to the agent, which may be this one. `done` gets null and an error text on failure.
   void CallAgent(const std::string& name, Json request, control::Caller::Done done,
-                 net::Time limit = std::chrono::seconds(1));
+                 net::Time timeout = std::chrono::seconds(1));
+  // Creates controllers for new instances of this agent and drops those that left the group file.
   void UpdateControllers();
   void CheckGroupFile();
   void RefreshKeys();
   change::Moment CurrentMoment() const;
+  // The latest record of the change on this agent's disk, which may not be committed.
   std::optional<change::Record> StoredRecord() const;
+  // Writes to the log and to the history; empty fields are left out.
   void RecordEvent(const std::string& change, const std::string& instance, const std::string& text,
                    const std::string& step = {});
 
@@ -106,13 +116,14 @@
   std::map<std::string, std::unique_ptr<control::Caller>> callers_;
   std::optional<lead::Lead> lead_;
   std::optional<change::Engine> engine_;
-  std::optional<change::Record> stored_record_;  // what most have of the engine's, while this one leads
+  std::optional<change::Record>
+      committed_record_;  // latest record that a majority has stored, while this agent leads
   lead::Epoch leading_epoch_ = 0;
   net::Time leading_since_{0};
   std::deque<Queued> queue_;
   std::map<std::string, std::string>
-      desired_versions_;  // version that each instance is to run by, as its agent says
-  std::map<std::string, bool> status_requested_;  // agents whose word on their instances is under way
+      desired_versions_;  // by instance: the configuration version that its agent is to run it by
+  std::map<std::string, bool> status_requested_;  // by agent: whether a status request is in progress
   std::uint64_t refused_connections_ = 0, fenced_orders_ = 0;
   std::string keys_fault_;
   net::Timer lead_timer_, collect_timer_, group_file_timer_;
--- a/src/agent/hand.hpp
+++ b/src/agent/hand.hpp
@@ -25,6 +25,7 @@
 // Keeps one relay instance in its desired state. To be used on the loop's thread only.
 class RelayController {
  public:
+  // Writes an event of the instance to the log and to the history.
   using EventRecorder = std::function<void(const std::string& instance, const std::string& text)>;
 
   // Searches for an already running relay as soon as the loop runs. The destructor leaves the relay running.
@@ -36,12 +37,13 @@
   // Stores and applies a new desired state. It is on disk when the call returns; throws store::Error without
   // any change if it can't be stored. With an empty stamp, the present stamp and reload flag stay.
   void SetDesired(supervise::Desired desired);
+  // See supervise::Supervisor::CurrentBelief.
   std::optional<change::Belief> CurrentBelief() const {
     return supervisor_.CurrentBelief(instance_, net::Loop::Now());
   }
   const supervise::Supervisor& supervisor() const { return supervisor_; }
-  // Checks whether the relay's process has exited. To be called after a SIGCHLD; for adopted processes, which
-  // are no children of the agent, a timer calls it too.
+  // Checks whether the relay's process has exited. To be called after a SIGCHLD; a timer calls it too,
+  // because an adopted process is not a child of the agent.
   void CheckAlive();
 
  private:
--- a/src/agent/log.hpp
+++ b/src/agent/log.hpp
@@ -1,4 +1,4 @@
-// The agent's log by spdlog: a line of text, or one JSON object a line, with the same fields.
+// The agent's log on standard output, written by spdlog: lines of text, or one JSON object per line.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -9,10 +9,11 @@
 
 namespace oxbowspread::agent {
 
+// A log whose lines carry the name of the agent. Not thread-safe.
 class Log {
  public:
   Log(std::string agent, bool json);
-  // Empty fields are left out.
+  // Writes one line; empty fields are left out. The text format has no `step`.
   void Write(spdlog::level::level_enum level, const std::string& change, const std::string& instance,
              const std::string& text, const std::string& step = {});
 
--- a/src/apps/oxbowagent.cpp
+++ b/src/apps/oxbowagent.cpp
@@ -1,4 +1,4 @@
-// oxbowagent: keeps the relays of one host and takes part in the group's changes.
+// oxbowagent: supervises the relays of one host and takes part in the changes of the group.
 #include <unistd.h>
 
 #include <csignal>
@@ -17,13 +17,16 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"oxbowagent: keeps the relays of one host, and with the other agents runs a group's changes"};
+  CLI::App app{
+      "oxbowagent: supervises the relays of one host and carries out a group's changes with the other "
+      "agents"};
   agent::Options options;
   app.add_option("--group", options.group_file, "the group file, YAML")->required()->envname("OXBOW_GROUP");
   app.add_option("--name", options.name, "this agent's name in the group file")->required();
-  app.add_option("--folder", options.folder, "its own folder, which lasts")->required();
-  app.add_option("--relay", options.relay_program, "the relay's program; beside this one if absent");
-  app.add_option("--store-kb", options.max_store_kb, "the most its store may hold")
+  app.add_option("--folder", options.folder, "folder for this agent's durable state")->required();
+  app.add_option("--relay", options.relay_program,
+                 "path of the relay's executable; by default oxbowspread beside this program");
+  app.add_option("--store-kb", options.max_store_kb, "size limit of the store in KiB")
       ->check(CLI::Range(64, 1 << 20));
   app.add_flag("--json", options.json_log, "log one JSON object a line");
   app.set_version_flag("--version", std::string("oxbowagent " OXBOWSPREAD_VERSION));
