--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -35,9 +35,9 @@
   return folder;
 }
 
-lead::Durable ReadDurable(store::Store& store) {
+lead::DurableState ReadDurable(store::Store& store) {
   const auto text = store.Get(kLeadKey);
-  return text ? lead::DurableFrom(control::Json::parse(*text)) : lead::Durable();
+  return text ? lead::DurableStateFromJson(control::Json::parse(*text)) : lead::DurableState();
 }
 
 template <typename Map>
@@ -110,7 +110,7 @@
   store_->Tell({0, UnixMs(), change, instance, text});
 }
 
-change::Moment Agent::NowMoment() const {
+change::ClockReading Agent::NowMoment() const {
   const std::time_t t = std::time(nullptr);
   std::tm local{};
   localtime_r(&t, &local);
@@ -118,9 +118,9 @@
 }
 
 std::optional<change::Record> Agent::KeptRecord() const {
-  const std::string& value = lead_->durable().kept.value;
+  const std::string& value = lead_->durable().accepted.value;
   if (value.empty()) return std::nullopt;
-  return change::RecordFrom(Json::parse(value));
+  return change::RecordFromJson(Json::parse(value));
 }
 
 // ---- instances, group file, keys ----
@@ -134,12 +134,12 @@
     if (hands_.count(instance.name) > 0) continue;
     supervise::Desired wish;
     if (const auto it = desired.find(instance.name); it != desired.end()) {
-      wish = {change::WantFrom(it->second.want), it->second.stamp, it->second.reload};
+      wish = {change::DesiredPhaseFromName(it->second.want), it->second.stamp, it->second.reload};
     } else {
       // Seen for the first time: as its file says it now.
       const std::string text = group::ReadFile(instance.config_path);
       config::ParseAndValidate(text);
-      wish = {change::Want::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
+      wish = {change::DesiredPhase::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
       store_->PutConfig(instance.name, change::VersionOf(wish.stamp), text);
       store_->PutDesired(instance.name, {NameOf(wish.want), wish.stamp, false});
     }
@@ -170,7 +170,7 @@
     text = group::ReadFile(options_.group_file);
     if (text == group_text_) return group_refused_.clear();  // also a bad edit that was taken back
     const auto record = KeptRecord();
-    if (record && !change::Over(record->state))
+    if (record && !change::IsFinished(record->state))
       return refuse("change " + record->spec.id + " is not over yet");
     group::Group next = group::Read(options_.group_file);
     const auto address = [&](const group::Group& g) {
@@ -193,8 +193,8 @@
     Note({}, {}, "group file taken up");
     if (engine_) {
       auto last = engine_->record();
-      engine_.emplace(group_.members(), group_.limits);
-      if (last) StepEngine({change::Continue{*last}});
+      engine_.emplace(group_.instance_capacities(), group_.limits);
+      if (last) StepEngine({change::TakeOverChange{*last}});
     }
   } catch (const std::exception& e) {
     refuse(e.what());
@@ -239,7 +239,7 @@
                 {"deaths", hand->keeper().deaths()}};
     if (const auto belief = hand->Tell()) {
       one["belief"] = ToJson(*belief);
-      one["age_ms"] = (now - belief->at) / 1ms;
+      one["age_ms"] = (now - belief->requested_at) / 1ms;
     }
     instances.push_back(std::move(one));
   }
@@ -264,20 +264,20 @@
 control::Json Agent::LeadMessage(const std::string& from, const Json& request) {
   if (callers_.count(from) == 0) return ErrorAnswer("'" + from + "' is no other agent of the group");
   Json reply = ErrorAnswer("not on disk");
-  StepLead({lead::Got{from, lead::MessageFrom(request.at("message"))}}, from, &reply);
+  StepLead({lead::MessageReceived{from, lead::MessageFromJson(request.at("message"))}}, from, &reply);
   return reply;
 }
 
 // Only from whoever this agent promised the epoch to: one who was cut off and has been replaced is fenced.
 control::Json Agent::TakeOrder(const std::string& from, const Json& request) {
-  const lead::Durable& durable = lead_->durable();
+  const lead::DurableState& durable = lead_->durable();
   const auto epoch = request.at("epoch").get<lead::Epoch>();
-  if (epoch != durable.promised || from != durable.promised_to) {
+  if (epoch != durable.promised_epoch || from != durable.promised_to) {
     ++fenced_;
     Note(TextOf(request, "change"), TextOf(request, "instance"),
          "order of " + from + " in epoch " + std::to_string(epoch) + " refused: epoch " +
-             std::to_string(durable.promised) + " is promised to " + durable.promised_to);
-    return ErrorAnswer("fenced: epoch " + std::to_string(durable.promised) + " is promised to " +
+             std::to_string(durable.promised_epoch) + " is promised to " + durable.promised_to);
+    return ErrorAnswer("fenced: epoch " + std::to_string(durable.promised_epoch) + " is promised to " +
                        durable.promised_to);
   }
   const std::string instance = request.at("instance"), stamp = request.at("stamp");
@@ -298,7 +298,7 @@
       return never;
     }
   }
-  hand->second->Order({change::WantFrom(request.at("want")), stamp, request.at("reload")});
+  hand->second->Order({change::DesiredPhaseFromName(request.at("want")), stamp, request.at("reload")});
   return {{"ok", true}};
 }
 
@@ -348,8 +348,8 @@
     // Not the engine's own, which may be ahead: a next leader may know nothing of what only we have.
     if (!on_record_) return answer;
     answer["change"] = ToJson(*on_record_);
-    answer["held_back"] = engine_->held_back();
-    answer["rate"] = engine_->Rate();
+    answer["held_back"] = engine_->blocked_reason();
+    answer["rate"] = engine_->MessageRate();
   } else if (const auto record = KeptRecord()) {
     answer["change"] = ToJson(*record);
   }
@@ -367,20 +367,20 @@
 
 void Agent::BeginChange(const Json& request, const control::Answer& answer,
                         const std::set<std::string>* deaf) {
-  if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeading());
+  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return answer(NotLeading());
   const std::string kind = TextOf(request, "kind");
   if (const std::string name = TextOf(request, "request"); !name.empty() && engine_->record()) {
     // Whoever lost our answer, or that of a leader before us, repeats the request: it has been taken.
-    if (engine_->record()->spec.request == name) return AnswerWhenKept(answer);
+    if (engine_->record()->spec.request_id == name) return AnswerWhenKept(answer);
   }
-  if (const auto& record = engine_->record(); record && !change::Over(record->state)) {
+  if (const auto& record = engine_->record(); record && !change::IsFinished(record->state)) {
     if (kind == "rollback") {
-      StepEngine({change::Say{change::Word::kRollBack}});
+      StepEngine({change::OperatorRequest{change::OperatorCommand::kRollBack}});
       return AnswerWhenKept(answer);
     }
     change::Spec any;
     any.targets.emplace_back();
-    return answer(ErrorAnswer(engine_->Objection(any)));
+    return answer(ErrorAnswer(engine_->RejectionReason(any)));
   }
   if (kind == "reconfigure") return Offer(request, answer);
   change::Spec spec;
@@ -394,7 +394,7 @@
     for (const Json& name : instances) {
       const group::Instance* const instance = group_.Find(name);
       if (kind != "restart" || instance == nullptr) continue;
-      if (engine_->Fresh(now, name) == nullptr) silent.insert(instance->agent);
+      if (engine_->FreshBelief(now, name) == nullptr) silent.insert(instance->agent);
     }
     if (!silent.empty() && deaf == nullptr) {
       // It may be us who didn't look for a while, held up by a disk or stopped: an agent is out of reach only
@@ -404,11 +404,11 @@
       });
     }
     for (const Json& name : instances) {
-      const change::Belief* b = engine_->Fresh(now, name);
+      const change::Belief* b = engine_->FreshBelief(now, name);
       if (group_.Find(name) == nullptr)
         return answer(ErrorAnswer("the group has no instance '" + name.get<std::string>() + "'"));
       if (b == nullptr && kind == "restart") {
-        const bool new_here = now - leads_since_ < group_.limits.belief_age + kLookAround;
+        const bool new_here = now - leads_since_ < group_.limits.max_belief_age + kLookAround;
         if (!new_here && deaf->count(group_.Find(name)->agent) > 0)
           return answer(ErrorAnswer(name.get<std::string>() + " is unknown: its agent is out of reach"));
         // A new leader, or an agent that is there and has not heard of its relay: whoever asks comes again,
@@ -479,14 +479,14 @@
 }
 
 void Agent::Launch(change::Spec spec, const Json& request, const control::Answer& answer) {
-  if (!lead_->Leading(net::Loop::Now())) return answer(NotLeading());
-  spec.id = "c" + std::to_string(lead_->epoch()) + "-" + std::to_string(lead_->proposed() + 1);
-  spec.by = TextOf(request, "by");
-  spec.request = TextOf(request, "request");
-  if (const std::string from = TextOf(request, "from"); !from.empty()) spec.by = from;
-  if (const std::string why = engine_->Objection(spec); !why.empty()) return answer(ErrorAnswer(why));
+  if (!lead_->IsLeader(net::Loop::Now())) return answer(NotLeading());
+  spec.id = "c" + std::to_string(lead_->epoch()) + "-" + std::to_string(lead_->proposed_seq() + 1);
+  spec.requested_by = TextOf(request, "by");
+  spec.request_id = TextOf(request, "request");
+  if (const std::string from = TextOf(request, "from"); !from.empty()) spec.requested_by = from;
+  if (const std::string why = engine_->RejectionReason(spec); !why.empty()) return answer(ErrorAnswer(why));
   if (request.value("dry_run", false)) return answer(Plan(spec));
-  StepEngine({change::Begin{spec}});
+  StepEngine({change::StartChange{spec}});
   AnswerWhenKept(answer);
 }
 
@@ -501,27 +501,27 @@
     const bool guarded = spec.kind != change::Kind::kResume && !t.reload;
     lines.push_back({{"instance", t.instance},
                      {"how", how},
-                     {"now", guarded ? engine_->HeldBackBy(NowMoment(), t.instance) : std::string()}});
+                     {"now", guarded ? engine_->BlockedBy(NowMoment(), t.instance) : std::string()}});
   }
-  return {{"ok", true}, {"plan", lines}, {"kind", NameOf(spec.kind)}, {"rate", engine_->Rate()}};
+  return {{"ok", true}, {"plan", lines}, {"kind", NameOf(spec.kind)}, {"rate", engine_->MessageRate()}};
 }
 
 void Agent::SayWord(const Json& request, const control::Answer& answer) {
-  if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeading());
+  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return answer(NotLeading());
   const std::string word = TextOf(request, "word");
   const auto& record = engine_->record();
-  if (!record || change::Over(record->state)) return answer(ErrorAnswer("no change is running"));
-  change::Word w{};
+  if (!record || change::IsFinished(record->state)) return answer(ErrorAnswer("no change is running"));
+  change::OperatorCommand w{};
   if (word == "pause") {
-    w = change::Word::kHold;
+    w = change::OperatorCommand::kPause;
   } else if (word == "resume") {
-    w = change::Word::kGoOn;
+    w = change::OperatorCommand::kResume;
   } else if (word == "abort") {
-    w = change::Word::kAbort;
+    w = change::OperatorCommand::kAbort;
   } else {
     return answer(ErrorAnswer("word: unknown: '" + word + "'"));
   }
-  StepEngine({change::Say{w}});
+  StepEngine({change::OperatorRequest{w}});
   AnswerWhenKept(answer);
 }
 
@@ -547,8 +547,8 @@
         return;
       }
     } else if (const auto* send = std::get_if<lead::Send>(&action)) {
-      const bool answer = send->message.kind == Kind::kPromise || send->message.kind == Kind::kDeny ||
-                          send->message.kind == Kind::kKept;
+      const bool answer = send->message.kind == Kind::kPromise || send->message.kind == Kind::kReject ||
+                          send->message.kind == Kind::kAccepted;
       if (answer) {
         if (reply != nullptr && send->to == asker)
           *reply = {{"ok", true}, {"message", ToJson(send->message)}};
@@ -558,32 +558,32 @@
                [this, to = send->to](const Json* got, const std::string&) {
                  if (got == nullptr || !got->value("ok", false)) return;
                  try {
-                   StepLead({lead::Got{to, lead::MessageFrom(got->at("message"))}});
+                   StepLead({lead::MessageReceived{to, lead::MessageFromJson(got->at("message"))}});
                  } catch (const Json::exception& e) {
                    log_.Say(warn, {}, {}, to + " answered what can't be read: " + e.what());
                  }
                });
-    } else if (const auto* leads = std::get_if<lead::Leads>(&action)) {
+    } else if (const auto* leads = std::get_if<lead::BecameLeader>(&action)) {
       leads_in_ = leads->epoch;
       leads_since_ = now;
-      engine_.emplace(group_.members(), group_.limits);
+      engine_.emplace(group_.instance_capacities(), group_.limits);
       on_record_.reset();
       Note({}, {}, "leads in epoch " + std::to_string(leads_in_));
       try {
         on_record_ = KeptRecord();
-        if (on_record_) StepEngine({change::Continue{*on_record_}});
+        if (on_record_) StepEngine({change::TakeOverChange{*on_record_}});
       } catch (const std::exception& e) {
         // Kept whole by most, so written by another program: a person must look, and the relays run on.
         Note({}, {}, std::string("the change on record can't be read and is not continued: ") + e.what());
       }
       Gather();
-    } else if (const auto* stopped = std::get_if<lead::Stopped>(&action)) {
+    } else if (const auto* stopped = std::get_if<lead::LostLeadership>(&action)) {
       LeadNoMore();
-      Note({}, {}, "leads no more: " + stopped->why);
-    } else if (const auto* kept = std::get_if<lead::ValueKept>(&action)) {
+      Note({}, {}, "leads no more: " + stopped->reason);
+    } else if (const auto* kept = std::get_if<lead::ValueCommitted>(&action)) {
       for (Queued& queued : queue_) {
         if (queued.seq == 0 || queued.seq > kept->seq) continue;
-        auto record = std::get<change::Keep>(std::get<change::Action>(queued.what)).record;
+        auto record = std::get<change::PersistRecord>(std::get<change::Action>(queued.what)).record;
         queued.what = Reply{[this, record = std::move(record)](bool led) {
           if (led) on_record_ = record;
         }};
@@ -615,9 +615,9 @@
 void Agent::Drain() {
   while (!queue_.empty()) {
     if (const auto* first = std::get_if<change::Action>(&queue_.front().what)) {
-      if (const auto* keep = std::get_if<change::Keep>(first)) {
+      if (const auto* keep = std::get_if<change::PersistRecord>(first)) {
         if (queue_.front().seq != 0) return;  // on its way
-        queue_.front().seq = lead_->proposed() + 1;
+        queue_.front().seq = lead_->proposed_seq() + 1;
         StepLead({lead::Propose{ToJson(keep->record).dump()}});
         return;  // StepLead has called again if it is kept by now
       }
@@ -632,7 +632,7 @@
     const change::Action& action = std::get<change::Action>(head.what);
     if (const auto* order = std::get_if<change::Order>(&action)) {
       GiveOrder(*order);
-    } else if (const auto* tell = std::get_if<change::Tell>(&action)) {
+    } else if (const auto* tell = std::get_if<change::AddHistory>(&action)) {
       Note(engine_ && engine_->record() ? engine_->record()->spec.id : "", tell->instance, tell->text,
            tell->step);
     }
@@ -641,11 +641,11 @@
 
 void Agent::GiveOrder(const change::Order& order) {
   const group::Instance* const instance = group_.Find(order.instance);
-  if (instance == nullptr || !lead_->Leading(net::Loop::Now())) return;
+  if (instance == nullptr || !lead_->IsLeader(net::Loop::Now())) return;
   Json request = {{"op", "order"},
                   {"epoch", leads_in_},
                   {"instance", order.instance},
-                  {"want", NameOf(order.want)},
+                  {"want", NameOf(order.desired_phase)},
                   {"stamp", order.stamp},
                   {"reload", order.reload}};
   if (engine_ && engine_->record()) request["change"] = engine_->record()->spec.id;
@@ -654,14 +654,14 @@
     const std::string text = answer == nullptr ? why : TextOf(*answer, "error");
     log_.Say(warn, {}, order.instance, "order not taken: " + text);
     if (answer != nullptr && answer->value("never", false) && engine_) {
-      StepEngine({change::Refused{order.instance, order.stamp, text}});
+      StepEngine({change::OrderRejected{order.instance, order.stamp, text}});
     }
   });
 }
 
 void Agent::Gather() {
   gather_.After(kGatherEach);
-  if (!engine_ || !lead_->Leading(net::Loop::Now())) return;
+  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return;
   for (const group::Agent& agent : group_.agents) {
     if (std::exchange(asking_[agent.name], true)) continue;
     const net::Time asked = net::Loop::Now();
@@ -700,10 +700,10 @@
     for (const Json& one : answer.at("instances")) {
       wanted_[one.at("instance")] = change::VersionOf(one.at("wanted_stamp"));
       if (!one.contains("belief")) continue;
-      change::Belief belief = change::BeliefFrom(one.at("belief"));
+      change::Belief belief = change::BeliefFromJson(one.at("belief"));
       // As old as it can be: from when it was asked for, and by the agent's own count of its age.
-      belief.at = asked - std::chrono::milliseconds(one.at("age_ms").get<std::int64_t>());
-      events.push_back(change::Heard{std::move(belief)});
+      belief.requested_at = asked - std::chrono::milliseconds(one.at("age_ms").get<std::int64_t>());
+      events.push_back(change::BeliefReceived{std::move(belief)});
     }
   } catch (const std::exception& e) {
     log_.Say(warn, {}, {}, e.what());
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -1,5 +1,6 @@
 // The agent of a host: keeps its relays, takes part in choosing who leads, and, when it leads, runs the
-// group's change. Thin: what is decided is decided by lead::Lead, change::Engine and supervise::Keeper.
+// group's change. Thin: what is decided is decided by lead::LeaderElection, change::Engine and
+// supervise::Keeper.
 #pragma once
 
 #include <deque>
@@ -89,7 +90,7 @@
   void KeepHands();
   void LookAtGroup();
   void CheckKeys();
-  change::Moment NowMoment() const;
+  change::ClockReading NowMoment() const;
   std::optional<change::Record> KeptRecord() const;
   void Note(const std::string& change, const std::string& instance, const std::string& text,
             const std::string& step = {});
@@ -103,7 +104,7 @@
   std::optional<tls::Identity> identity_;
   std::map<std::string, std::unique_ptr<Hand>> hands_;
   std::map<std::string, std::unique_ptr<control::Caller>> callers_;
-  std::optional<lead::Lead> lead_;
+  std::optional<lead::LeaderElection> lead_;
   std::optional<change::Engine> engine_;
   std::optional<change::Record> on_record_;  // what most have of the engine's, while this one leads
   lead::Epoch leads_in_ = 0;
--- a/src/apps/oxbowctl.cpp
+++ b/src/apps/oxbowctl.cpp
@@ -57,7 +57,7 @@
     const net::Time until = Until();
     while (true) {
       const auto answers = Locals();
-      const Json status = ctl::StatusOf(group_, answers, group_.limits.belief_age / 1ms);
+      const Json status = ctl::StatusOf(group_, answers, group_.limits.max_belief_age / 1ms);
       if (options_.json) {
         std::cout << status.dump() << std::endl;
       } else {
@@ -85,7 +85,7 @@
     if (group_.Find(options_.instance) == nullptr)
       throw group::Error("the group has no instance '" + options_.instance + "'");
     const auto answers = Locals();
-    for (const Json& one : ctl::StatusOf(group_, answers, group_.limits.belief_age / 1ms)) {
+    for (const Json& one : ctl::StatusOf(group_, answers, group_.limits.max_belief_age / 1ms)) {
       if (control::TextOf(one, "instance") != options_.instance) continue;
       if (options_.json) {
         std::cout << one.dump() << "\n";
--- a/src/change/engine.cpp
+++ b/src/change/engine.cpp
@@ -7,8 +7,10 @@
 namespace oxbowspread::change {
 namespace {
 
-constexpr Time kOrderAgain = std::chrono::seconds(2);  // while nothing shows that it was carried out
-constexpr Time kWindow = std::chrono::seconds(10);     // of which rate and shares are taken
+// Time after which an order is given again if nothing shows that it was carried out.
+constexpr Time kOrderRetryInterval = std::chrono::seconds(2);
+// Length of the history from which rates and shares are computed.
+constexpr Time kSampleWindow = std::chrono::seconds(10);
 
 std::string Percent(double share) {
   char text[32];
@@ -28,457 +30,472 @@
 
 }  // namespace
 
-Engine::Engine(std::vector<Member> members, Limits limits) : limits_(std::move(limits)) {
-  for (Member& m : members) known_[m.instance].capacity = m.capacity;
+Engine::Engine(std::vector<InstanceCapacity> instances, Limits limits) : limits_(std::move(limits)) {
+  for (InstanceCapacity& entry : instances) instances_[entry.instance].capacity = entry.capacity;
 }
 
-std::vector<Action> Engine::Step(const Moment& now, const std::vector<Event>& events) {
-  if (!observing_since_) observing_since_ = now.now;
-  changed_ = false;
+std::vector<Action> Engine::Step(const ClockReading& clock, const std::vector<Event>& events) {
+  if (!observing_since_) observing_since_ = clock.now;
+  record_changed_ = false;
   orders_.clear();
-  tells_.clear();
-  for (const Event& event : events) Take(now, event);
-  if (record_ && !Over(record_->state)) {
-    held_back_.clear();
-    for (std::size_t i = 0; i < work_.size(); ++i) Advance(now, i);
-    BeginNext(now);
-    EndIfOver(now);
+  history_.clear();
+  for (const Event& event : events) HandleEvent(clock, event);
+  if (record_ && !IsFinished(record_->state)) {
+    blocked_reason_.clear();
+    for (std::size_t index = 0; index < work_.size(); ++index) Advance(clock, index);
+    StartNext(clock);
+    FinishIfComplete(clock);
   }
   std::vector<Action> actions;
-  if (changed_) actions.push_back(Keep{*record_});
+  if (record_changed_) actions.push_back(PersistRecord{*record_});
   std::move(orders_.begin(), orders_.end(), std::back_inserter(actions));
-  std::move(tells_.begin(), tells_.end(), std::back_inserter(actions));
+  std::move(history_.begin(), history_.end(), std::back_inserter(actions));
   return actions;
 }
 
-void Engine::Take(const Moment& now, const Event& event) {
-  if (const auto* heard = std::get_if<Heard>(&event)) {
-    Hear(heard->belief);
-  } else if (const auto* begin = std::get_if<Begin>(&event)) {
-    if (!Objection(begin->spec).empty()) return;
-    record_ = Record{begin->spec, State::kRunning, {}, std::vector<Progress>(begin->spec.targets.size())};
-    work_.assign(begin->spec.targets.size(), Work{});
-    changed_ = true;
-    Note({}, std::string(NameOf(begin->spec.kind)) + " of " + std::to_string(work_.size()) +
-                 " instances begun by " + begin->spec.by);
-  } else if (const auto* on = std::get_if<Continue>(&event)) {
-    record_ = on->record;
-    work_.assign(record_->spec.targets.size(), Work{});
-    for (Work& work : work_) work.since = now.now;
-    changed_ = true;
-    if (!Over(record_->state)) Note({}, "taken over");
-  } else if (const auto* say = std::get_if<Say>(&event)) {
-    if (!record_ || Over(record_->state)) return;
-    switch (say->word) {
-      case Word::kHold:
-        if (record_->state == State::kRunning) SetState(State::kHeld, "by an operator");
+void Engine::HandleEvent(const ClockReading& clock, const Event& event) {
+  if (const auto* received = std::get_if<BeliefReceived>(&event)) {
+    UpdateBelief(received->belief);
+  } else if (const auto* start = std::get_if<StartChange>(&event)) {
+    if (!RejectionReason(start->spec).empty()) return;
+    record_ = Record{start->spec, State::kRunning, {}, std::vector<Progress>(start->spec.targets.size())};
+    work_.assign(start->spec.targets.size(), TargetWork{});
+    record_changed_ = true;
+    AddNote({}, std::string(NameOf(start->spec.kind)) + " of " + std::to_string(work_.size()) +
+                    " instances begun by " + start->spec.requested_by);
+  } else if (const auto* take_over = std::get_if<TakeOverChange>(&event)) {
+    record_ = take_over->record;
+    work_.assign(record_->spec.targets.size(), TargetWork{});
+    for (TargetWork& work : work_) work.stage_since = clock.now;
+    record_changed_ = true;
+    if (!IsFinished(record_->state)) AddNote({}, "taken over");
+  } else if (const auto* request = std::get_if<OperatorRequest>(&event)) {
+    if (!record_ || IsFinished(record_->state)) return;
+    switch (request->command) {
+      case OperatorCommand::kPause:
+        if (record_->state == State::kRunning) SetState(State::kPaused, "by an operator");
         break;
-      case Word::kGoOn:
-        if (record_->state == State::kHeld) SetState(State::kRunning, {});
+      case OperatorCommand::kResume:
+        if (record_->state == State::kPaused) SetState(State::kRunning, {});
         break;
-      case Word::kAbort:
+      case OperatorCommand::kAbort:
         if (record_->state != State::kRollingBack) SetState(State::kAborting, "by an operator");
         break;
-      case Word::kRollBack:
-        RollBack(now, "by an operator");
+      case OperatorCommand::kRollBack:
+        RollBack(clock, "by an operator");
         break;
     }
-  } else if (const auto* refused = std::get_if<Refused>(&event)) {
-    for (std::size_t i = 0; i < work_.size(); ++i) {
-      const bool meant =
-          record_->spec.targets[i].instance == refused->instance && StampOf(i) == refused->stamp;
-      if (meant && Active(i) && !Over(record_->state)) Fail(now, i, "refused: " + refused->why);
+  } else if (const auto* rejected = std::get_if<OrderRejected>(&event)) {
+    for (std::size_t index = 0; index < work_.size(); ++index) {
+      const bool is_target =
+          record_->spec.targets[index].instance == rejected->instance && StampOf(index) == rejected->stamp;
+      if (is_target && IsActive(index) && !IsFinished(record_->state))
+        Fail(clock, index, "refused: " + rejected->reason);
     }
   }
 }
 
-void Engine::Hear(const Belief& belief) {
-  const auto it = known_.find(belief.instance);
-  if (it == known_.end()) return;
-  Known& known = it->second;
-  if (known.belief && known.belief->at >= belief.at) return;
-  known.belief = belief;
-  auto& samples = known.samples;
+void Engine::UpdateBelief(const Belief& belief) {
+  const auto it = instances_.find(belief.instance);
+  if (it == instances_.end()) return;
+  InstanceState& state = it->second;
+  if (state.belief && state.belief->requested_at >= belief.requested_at) return;
+  state.belief = belief;
+  auto& samples = state.samples;
   if (!samples.empty() && samples.back().pid != belief.pid) samples.clear();
-  samples.push_back({belief.at, belief.pid, belief.counts});
-  while (samples.size() > 2 && samples.back().at - samples[1].at >= kWindow) samples.pop_front();
+  samples.push_back({belief.requested_at, belief.pid, belief.counts});
+  while (samples.size() > 2 && samples.back().at - samples[1].at >= kSampleWindow) samples.pop_front();
 }
 
-const Belief* Engine::Fresh(Time now, const std::string& instance) const {
-  const auto it = known_.find(instance);
-  if (it == known_.end() || !it->second.belief) return nullptr;
-  return now - it->second.belief->at <= limits_.belief_age ? &*it->second.belief : nullptr;
+const Belief* Engine::FreshBelief(Time now, const std::string& instance) const {
+  const auto it = instances_.find(instance);
+  if (it == instances_.end() || !it->second.belief) return nullptr;
+  return now - it->second.belief->requested_at <= limits_.max_belief_age ? &*it->second.belief : nullptr;
 }
 
-// An instance that isn't heard of any more counts with what it was asked last: its clients are still there.
-double Engine::Rate() const {
+// An instance that no longer reports counts with its last known rate, since its clients still send messages.
+double Engine::MessageRate() const {
   double rate = 0;
-  for (const auto& [name, known] : known_) {
-    if (known.samples.size() < 2) continue;
-    const Sample &first = known.samples.front(), &last = known.samples.back();
+  for (const auto& [name, state] : instances_) {
+    if (state.samples.size() < 2) continue;
+    const Sample &first = state.samples.front(), &last = state.samples.back();
     const double seconds = static_cast<double>((last.at - first.at).count()) * 1e-6;
-    if (seconds > 0) rate += static_cast<double>(last.counts.asked - first.counts.asked) / seconds;
+    if (seconds > 0) rate += static_cast<double>(last.counts.received - first.counts.received) / seconds;
   }
   return rate;
 }
 
-Engine::Share Engine::ShareOf(const Counts& from, const Counts& to) const {
-  Share share;
-  share.asked = to.asked - from.asked;
-  share.ended = to.ended - from.ended;
-  const auto of = [](std::int64_t part, std::int64_t all) {
-    return all > 0 ? static_cast<double>(part) / static_cast<double>(all) : 0.0;
+Engine::OutcomeShares Engine::OutcomeSharesBetween(const Counts& from, const Counts& to) const {
+  OutcomeShares shares;
+  shares.received = to.received - from.received;
+  shares.ended = to.ended - from.ended;
+  const auto share_of = [](std::int64_t part, std::int64_t total) {
+    return total > 0 ? static_cast<double>(part) / static_cast<double>(total) : 0.0;
   };
-  share.refused = of(to.refused - from.refused, share.asked);
-  share.failed = of(to.failed - from.failed, share.ended);
-  return share;
+  shares.rejected = share_of(to.rejected - from.rejected, shares.received);
+  shares.failed = share_of(to.failed - from.failed, shares.ended);
+  return shares;
 }
 
-bool Engine::Frozen(const Moment& now, std::string* which) const {
-  for (const Freeze& f : limits_.freezes) {
-    const bool over_night = f.until <= f.from;
-    const auto on = [&](int day) { return (f.days >> (static_cast<unsigned>(day + 7) % 7) & 1u) != 0; };
-    const bool in = over_night ? (on(now.weekday) && now.minute >= f.from) ||
-                                     (on(now.weekday - 1) && now.minute < f.until)
-                               : on(now.weekday) && now.minute >= f.from && now.minute < f.until;
-    if (!in) continue;
-    *which = f.text;
+bool Engine::InFreeze(const ClockReading& clock, std::string* description) const {
+  for (const Freeze& freeze : limits_.freezes) {
+    const bool over_midnight = freeze.end_minute <= freeze.start_minute;
+    const auto begins_on = [&](int day) {
+      return (freeze.days >> (static_cast<unsigned>(day + 7) % 7) & 1u) != 0;
+    };
+    const bool in_effect = over_midnight
+                               ? (begins_on(clock.weekday) && clock.minute >= freeze.start_minute) ||
+                                     (begins_on(clock.weekday - 1) && clock.minute < freeze.end_minute)
+                               : begins_on(clock.weekday) && clock.minute >= freeze.start_minute &&
+                                     clock.minute < freeze.end_minute;
+    if (!in_effect) continue;
+    *description = freeze.text;
     return true;
   }
   return false;
 }
 
-std::string Engine::Objection(const Spec& spec) const {
-  if (record_ && !Over(record_->state)) {
-    return "change " + record_->spec.id + " (" + NameOf(record_->spec.kind) + " by " + record_->spec.by +
-           ") is not over yet";
+std::string Engine::RejectionReason(const Spec& spec) const {
+  if (record_ && !IsFinished(record_->state)) {
+    return "change " + record_->spec.id + " (" + NameOf(record_->spec.kind) + " by " +
+           record_->spec.requested_by + ") is not over yet";
   }
   if (spec.targets.empty()) return "names no instance";
-  for (const Target& t : spec.targets) {
-    if (known_.count(t.instance) == 0) return "the group has no instance '" + t.instance + "'";
-    const auto same = [&](const Target& other) { return other.instance == t.instance; };
-    if (std::count_if(spec.targets.begin(), spec.targets.end(), same) > 1)
-      return t.instance + " is named twice";
+  for (const Target& target : spec.targets) {
+    if (instances_.count(target.instance) == 0) return "the group has no instance '" + target.instance + "'";
+    const auto same_instance = [&](const Target& other) { return other.instance == target.instance; };
+    if (std::count_if(spec.targets.begin(), spec.targets.end(), same_instance) > 1)
+      return target.instance + " is named twice";
   }
-  if (spec.kind == Kind::kDrain && static_cast<int>(spec.targets.size()) > limits_.most_out) {
+  if (spec.kind == Kind::kDrain && static_cast<int>(spec.targets.size()) > limits_.max_unavailable) {
     return "would leave " + std::to_string(spec.targets.size()) + " instances out, and the limits allow " +
-           std::to_string(limits_.most_out);
+           std::to_string(limits_.max_unavailable);
   }
   return {};
 }
 
-std::string Engine::HeldBackBy(const Moment& now, const std::string& instance) const {
+std::string Engine::BlockedBy(const ClockReading& clock, const std::string& instance) const {
   std::string freeze;
-  if (Frozen(now, &freeze)) return "frozen: " + freeze;
-  return Guard(now, instance);
+  if (InFreeze(clock, &freeze)) return "frozen: " + freeze;
+  return AvailabilityGuard(clock, instance);
 }
 
-// Whether the rest can do without it. One that serves nobody costs nothing to take.
-std::string Engine::Guard(const Moment& now, const std::string& instance) const {
-  const Belief* own = Fresh(now.now, instance);
+// An instance that doesn't serve may always be taken out: that loses no capacity.
+std::string Engine::AvailabilityGuard(const ClockReading& clock, const std::string& instance) const {
+  const Belief* own = FreshBelief(clock.now, instance);
   if (own == nullptr) return instance + " is unknown";
   if (own->phase != Belief::Phase::kServing) return {};
-  int out = 0;
+  int unavailable = 0;
   double capacity = 0;
-  bool all_told = true;
-  std::string who;
-  for (const auto& [name, known] : known_) {
+  bool all_capacities_known = true;
+  std::string unavailable_list;
+  for (const auto& [name, state] : instances_) {
     if (name == instance) continue;
-    const Belief* b = Fresh(now.now, name);
-    const bool taken = BeingTaken(name);  // whatever was seen of it last
-    if (b == nullptr || b->phase != Belief::Phase::kServing || taken) {
-      ++out;
-      const char* how = b == nullptr ? "unknown" : taken ? "being turned" : NameOf(b->phase);
-      who += (who.empty() ? "" : ", ") + name + " " + how;
+    const Belief* belief = FreshBelief(clock.now, name);
+    // Counts as unavailable even if its last belief still shows it serving.
+    const bool taken_out = IsBeingTakenOut(name);
+    if (belief == nullptr || belief->phase != Belief::Phase::kServing || taken_out) {
+      ++unavailable;
+      const char* how = belief == nullptr ? "unknown" : taken_out ? "being turned" : NameOf(belief->phase);
+      unavailable_list += (unavailable_list.empty() ? "" : ", ") + name + " " + how;
       continue;
     }
-    capacity += known.capacity;
-    all_told = all_told && known.capacity > 0;
+    capacity += state.capacity;
+    all_capacities_known = all_capacities_known && state.capacity > 0;
   }
-  if (out + 1 > limits_.most_out) {
-    return "at most " + std::to_string(limits_.most_out) + " may be out" + (who.empty() ? "" : ": " + who);
+  if (unavailable + 1 > limits_.max_unavailable) {
+    return "at most " + std::to_string(limits_.max_unavailable) + " may be out" +
+           (unavailable_list.empty() ? "" : ": " + unavailable_list);
   }
-  const double rate = Rate();
-  if (all_told && rate > limits_.headroom * capacity) {
-    return "the rest can carry " + Number(limits_.headroom * capacity) + " messages a second and is asked " +
-           Number(rate);
+  const double rate = MessageRate();
+  if (all_capacities_known && rate > limits_.max_load_share * capacity) {
+    return "the rest can carry " + Number(limits_.max_load_share * capacity) +
+           " messages a second and is asked " + Number(rate);
   }
   return {};
 }
 
-bool Engine::Active(std::size_t i) const {
-  const Stage stage = record_->progress[i].stage;
-  return stage == Stage::kPausing || stage == Stage::kTurning || stage == Stage::kWatching;
+bool Engine::IsActive(std::size_t index) const {
+  const Stage stage = record_->progress[index].stage;
+  return stage == Stage::kPausing || stage == Stage::kApplying || stage == Stage::kWatching;
 }
 
-bool Engine::AnyStamp(std::size_t i) const {
+bool Engine::AcceptsAnyStamp(std::size_t index) const {
   const Kind kind = record_->spec.kind;
-  const Progress& p = record_->progress[i];
-  return kind == Kind::kResume || (p.undo && (kind == Kind::kDrain || !p.turned));
+  const Progress& progress = record_->progress[index];
+  return kind == Kind::kResume || (progress.undo && (kind == Kind::kDrain || !progress.applied));
 }
 
-bool Engine::BeingTaken(const std::string& instance) const {
-  if (!record_ || Over(record_->state)) return false;
-  for (std::size_t i = 0; i < work_.size(); ++i) {
-    const Stage stage = record_->progress[i].stage;
-    if (record_->spec.targets[i].instance != instance) continue;
-    return stage == Stage::kPausing || (stage == Stage::kTurning && !record_->spec.targets[i].reload);
+bool Engine::IsBeingTakenOut(const std::string& instance) const {
+  if (!record_ || IsFinished(record_->state)) return false;
+  for (std::size_t index = 0; index < work_.size(); ++index) {
+    const Stage stage = record_->progress[index].stage;
+    if (record_->spec.targets[index].instance != instance) continue;
+    return stage == Stage::kPausing || (stage == Stage::kApplying && !record_->spec.targets[index].reload);
   }
   return false;
 }
 
-std::string Engine::StampOf(std::size_t i) const {
-  const Target& t = record_->spec.targets[i];
-  const bool undo = record_->progress[i].undo;
-  return change::StampOf(undo ? t.from : t.to,
-                         record_->spec.id + "." + std::to_string(i + 1) + (undo ? "u" : ""));
+std::string Engine::StampOf(std::size_t index) const {
+  const Target& target = record_->spec.targets[index];
+  const bool undo = record_->progress[index].undo;
+  return change::StampOf(undo ? target.from : target.to,
+                         record_->spec.id + "." + std::to_string(index + 1) + (undo ? "u" : ""));
 }
 
-void Engine::Note(const std::string& instance, const std::string& text, const std::string& step) {
-  tells_.push_back(Tell{instance, step, text});
+void Engine::AddNote(const std::string& instance, const std::string& text, const std::string& step) {
+  history_.push_back(AddHistory{instance, step, text});
 }
 
-void Engine::SetState(State state, const std::string& why) {
+void Engine::SetState(State state, const std::string& reason) {
   record_->state = state;
-  record_->why = why;
-  changed_ = true;
-  Note({}, std::string(NameOf(state)) + (why.empty() ? "" : ": " + why));
+  record_->reason = reason;
+  record_changed_ = true;
+  AddNote({}, std::string(NameOf(state)) + (reason.empty() ? "" : ": " + reason));
 }
 
-void Engine::Enter(const Moment& now, std::size_t i, Stage stage, const std::string& note) {
-  Progress& p = record_->progress[i];
-  p.stage = stage;
-  p.note = note;
-  p.turned = p.turned || (stage == Stage::kTurning && !p.undo);
-  Work& work = work_[i];
-  work.since = now.now;
-  work.ordered = Time::min() / 2;
-  work.pid = 0;
-  changed_ = true;
-  const std::string step = std::string(p.undo ? "back: " : "") + NameOf(stage);
-  Note(record_->spec.targets[i].instance, step + (note.empty() ? "" : ": " + note), step);
-  if (stage == Stage::kPausing || stage == Stage::kTurning) Give(now, i);
+void Engine::EnterStage(const ClockReading& clock, std::size_t index, Stage stage, const std::string& note) {
+  Progress& progress = record_->progress[index];
+  progress.stage = stage;
+  progress.note = note;
+  progress.applied = progress.applied || (stage == Stage::kApplying && !progress.undo);
+  TargetWork& work = work_[index];
+  work.stage_since = clock.now;
+  work.last_order_at = Time::min() / 2;
+  work.watched_pid = 0;
+  record_changed_ = true;
+  const std::string step = std::string(progress.undo ? "back: " : "") + NameOf(stage);
+  AddNote(record_->spec.targets[index].instance, step + (note.empty() ? "" : ": " + note), step);
+  if (stage == Stage::kPausing || stage == Stage::kApplying) GiveOrder(clock, index);
 }
 
-// What its stage asks of the instance, told again while nothing shows that it was heard.
-void Engine::Give(const Moment& now, std::size_t i) {
-  Work& work = work_[i];
-  if (now.now - work.ordered < kOrderAgain) return;
-  work.ordered = now.now;
-  const Target& t = record_->spec.targets[i];
+void Engine::GiveOrder(const ClockReading& clock, std::size_t index) {
+  TargetWork& work = work_[index];
+  if (clock.now - work.last_order_at < kOrderRetryInterval) return;
+  work.last_order_at = clock.now;
+  const Target& target = record_->spec.targets[index];
   const Kind kind = record_->spec.kind;
-  Order order{t.instance, Want::kServing, StampOf(i), t.reload && kind == Kind::kReconfigure};
-  if (record_->progress[i].stage == Stage::kPausing) {
-    order.want = Want::kPaused;
-    order.stamp.clear();  // by whatever it runs by now
+  Order order{target.instance, DesiredPhase::kServing, StampOf(index),
+              target.reload && kind == Kind::kReconfigure};
+  if (record_->progress[index].stage == Stage::kPausing) {
+    order.desired_phase = DesiredPhase::kPaused;
+    // The instance keeps the order that it runs by.
+    order.stamp.clear();
     order.reload = false;
-  } else if (AnyStamp(i)) {
+  } else if (AcceptsAnyStamp(index)) {
     order.stamp.clear();
   }
   orders_.push_back(order);
 }
 
-void Engine::Advance(const Moment& now, std::size_t i) {
-  if (!Active(i)) return;
-  const std::string& instance = record_->spec.targets[i].instance;
-  const Belief* belief = Fresh(now.now, instance);
-  Work& work = work_[i];
+void Engine::Advance(const ClockReading& clock, std::size_t index) {
+  if (!IsActive(index)) return;
+  const std::string& instance = record_->spec.targets[index].instance;
+  const Belief* belief = FreshBelief(clock.now, instance);
+  TargetWork& work = work_[index];
   if (belief == nullptr) {
-    // Unknown is neither up nor down: nothing is decided, and no time limit runs against it.
-    if (!work.unknown_since) work.unknown_since = now.now;
-    held_back_ = instance + " is unknown since " + Seconds(now.now - *work.unknown_since);
-    Give(now, i);
+    // An unknown instance may be up or down: nothing is decided about it, and its timeouts stand still.
+    if (!work.unknown_since) work.unknown_since = clock.now;
+    blocked_reason_ = instance + " is unknown since " + Seconds(clock.now - *work.unknown_since);
+    GiveOrder(clock, index);
     return;
   }
-  if (work.unknown_since) work.since += now.now - *std::exchange(work.unknown_since, std::nullopt);
-  switch (record_->progress[i].stage) {
+  if (work.unknown_since) work.stage_since += clock.now - *std::exchange(work.unknown_since, std::nullopt);
+  switch (record_->progress[index].stage) {
     case Stage::kPausing:
-      return AdvancePausing(now, i, *belief);
-    case Stage::kTurning:
-      return AdvanceTurning(now, i, *belief);
+      return AdvancePausing(clock, index, *belief);
+    case Stage::kApplying:
+      return AdvanceApplying(clock, index, *belief);
     case Stage::kWatching:
-      return AdvanceWatching(now, i, *belief);
+      return AdvanceWatching(clock, index, *belief);
     default:
       return;
   }
 }
 
-void Engine::AdvancePausing(const Moment& now, std::size_t i, const Belief& belief) {
+void Engine::AdvancePausing(const ClockReading& clock, std::size_t index, const Belief& belief) {
   const bool drain = record_->spec.kind == Kind::kDrain;
-  const bool late = now.now - work_[i].since >= limits_.settle_within;
+  const bool timed_out = clock.now - work_[index].stage_since >= limits_.settle_timeout;
   const bool empty = belief.phase == Belief::Phase::kPaused && belief.settled;
   if (drain) {
-    if (empty) return Enter(now, i, Stage::kDone);
-    if (late && belief.phase == Belief::Phase::kPaused) {
-      return Enter(now, i, Stage::kDone, std::to_string(belief.held) + " still held");
+    if (empty) return EnterStage(clock, index, Stage::kDone);
+    if (timed_out && belief.phase == Belief::Phase::kPaused) {
+      return EnterStage(clock, index, Stage::kDone, std::to_string(belief.held_messages) + " still held");
     }
-    return Give(now, i);
+    return GiveOrder(clock, index);
   }
-  // One that died meanwhile is out already: turning it is the way to have it back.
-  if (belief.phase == Belief::Phase::kDown) return Enter(now, i, Stage::kTurning, "was down");
-  if (empty) return Enter(now, i, Stage::kTurning);
-  if (late) return Enter(now, i, Stage::kTurning, std::to_string(belief.held) + " left to the journal");
-  Give(now, i);
+  // An instance that ended meanwhile is already out of service, and a restart brings it back.
+  if (belief.phase == Belief::Phase::kDown) return EnterStage(clock, index, Stage::kApplying, "was down");
+  if (empty) return EnterStage(clock, index, Stage::kApplying);
+  if (timed_out)
+    return EnterStage(clock, index, Stage::kApplying,
+                      std::to_string(belief.held_messages) + " left to the journal");
+  GiveOrder(clock, index);
 }
 
-void Engine::AdvanceTurning(const Moment& now, std::size_t i, const Belief& belief) {
-  const bool undo = record_->progress[i].undo;
-  const bool any_stamp = AnyStamp(i);
-  const std::string stamp = StampOf(i);
+void Engine::AdvanceApplying(const ClockReading& clock, std::size_t index, const Belief& belief) {
+  const bool undo = record_->progress[index].undo;
+  const bool any_stamp = AcceptsAnyStamp(index);
+  const std::string stamp = StampOf(index);
   if (belief.phase == Belief::Phase::kServing && (any_stamp || belief.stamp == stamp)) {
-    if (undo) return Enter(now, i, Stage::kUndone);
-    if (any_stamp) return Enter(now, i, Stage::kDone);
-    Enter(now, i, Stage::kWatching);
-    work_[i].from = belief.counts;
-    work_[i].pid = belief.pid;
+    if (undo) return EnterStage(clock, index, Stage::kReverted);
+    if (any_stamp) return EnterStage(clock, index, Stage::kDone);
+    EnterStage(clock, index, Stage::kWatching);
+    work_[index].watch_start_counts = belief.counts;
+    work_[index].watched_pid = belief.pid;
     return;
   }
-  if (!belief.fault.empty() && belief.fault_stamp == stamp) return Fail(now, i, belief.fault);
-  if (now.now - work_[i].since >= limits_.ready_within) {
-    return Fail(now, i, "not ready within " + Seconds(limits_.ready_within));
+  if (!belief.fault.empty() && belief.fault_stamp == stamp) return Fail(clock, index, belief.fault);
+  if (clock.now - work_[index].stage_since >= limits_.ready_timeout) {
+    return Fail(clock, index, "not ready within " + Seconds(limits_.ready_timeout));
   }
-  Give(now, i);
+  GiveOrder(clock, index);
 }
 
-void Engine::AdvanceWatching(const Moment& now, std::size_t i, const Belief& belief) {
-  Work& work = work_[i];
-  Progress& progress = record_->progress[i];
-  if (belief.stamp != StampOf(i)) {
-    if (belief.phase != Belief::Phase::kServing) return;  // on its way up again
-    return Fail(now, i, "runs by another order: " + belief.stamp);
+void Engine::AdvanceWatching(const ClockReading& clock, std::size_t index, const Belief& belief) {
+  TargetWork& work = work_[index];
+  Progress& progress = record_->progress[index];
+  if (belief.stamp != StampOf(index)) {
+    if (belief.phase != Belief::Phase::kServing) return;  // being restarted
+    return Fail(clock, index, "runs by another order: " + belief.stamp);
   }
-  if (!belief.fault.empty() && belief.fault_stamp == belief.stamp) return Fail(now, i, belief.fault);
-  if (work.pid != 0 && belief.pid != work.pid && belief.pid != 0) {
-    ++progress.deaths;
-    changed_ = true;
-    if (progress.deaths > limits_.most_deaths) {
-      return Fail(now, i, "died " + std::to_string(progress.deaths) + " times while it was watched");
+  if (!belief.fault.empty() && belief.fault_stamp == belief.stamp) return Fail(clock, index, belief.fault);
+  if (work.watched_pid != 0 && belief.pid != work.watched_pid && belief.pid != 0) {
+    ++progress.crashes;
+    record_changed_ = true;
+    if (progress.crashes > limits_.max_crashes) {
+      return Fail(clock, index, "died " + std::to_string(progress.crashes) + " times while it was watched");
     }
-    work.pid = 0;
+    work.watched_pid = 0;
   }
   if (belief.phase != Belief::Phase::kServing) {
-    if (now.now - work.since >= limits_.ready_within + limits_.watch_for) {
-      return Fail(now, i, "not ready again within " + Seconds(limits_.ready_within));
+    if (clock.now - work.stage_since >= limits_.ready_timeout + limits_.watch_time) {
+      return Fail(clock, index, "not ready again within " + Seconds(limits_.ready_timeout));
     }
     return;
   }
-  if (work.pid == 0) {  // the watch begins anew
-    work.pid = belief.pid;
-    work.from = belief.counts;
-    work.since = now.now;
+  if (work.watched_pid == 0) {  // the process is new: watch it from the start
+    work.watched_pid = belief.pid;
+    work.watch_start_counts = belief.counts;
+    work.stage_since = clock.now;
     return;
   }
-  if (now.now - work.since < limits_.watch_for) return;
-  const Share after = ShareOf(work.from, belief.counts);
-  if (after.asked >= limits_.least_sample && after.refused > work.before.refused + limits_.refused_rise) {
-    return Fail(now, i,
-                "refused " + Percent(after.refused) + " of " + std::to_string(after.asked) + ", before " +
-                    Percent(work.before.refused));
+  if (clock.now - work.stage_since < limits_.watch_time) return;
+  const OutcomeShares after = OutcomeSharesBetween(work.watch_start_counts, belief.counts);
+  if (after.received >= limits_.min_sample &&
+      after.rejected > work.shares_before.rejected + limits_.max_rejected_increase) {
+    return Fail(clock, index,
+                "refused " + Percent(after.rejected) + " of " + std::to_string(after.received) + ", before " +
+                    Percent(work.shares_before.rejected));
   }
-  if (after.ended >= limits_.least_sample && after.failed > work.before.failed + limits_.failed_rise) {
-    return Fail(now, i,
+  if (after.ended >= limits_.min_sample &&
+      after.failed > work.shares_before.failed + limits_.max_failed_increase) {
+    return Fail(clock, index,
                 "did not deliver " + Percent(after.failed) + " of " + std::to_string(after.ended) +
-                    ", before " + Percent(work.before.failed));
+                    ", before " + Percent(work.shares_before.failed));
   }
-  Enter(now, i, Stage::kDone);
+  EnterStage(clock, index, Stage::kDone);
 }
 
-void Engine::Fail(const Moment& now, std::size_t i, const std::string& why) {
-  const Target& t = record_->spec.targets[i];
-  if (record_->progress[i].undo) {
-    Enter(now, i, Stage::kFailed, why);
+void Engine::Fail(const ClockReading& clock, std::size_t index, const std::string& reason) {
+  const Target& target = record_->spec.targets[index];
+  if (record_->progress[index].undo) {
+    EnterStage(clock, index, Stage::kFailed, reason);
     return;
   }
   if (record_->spec.kind == Kind::kReconfigure) {
-    record_->progress[i].note = why;
-    return RollBack(now, t.instance + ": " + why);
+    record_->progress[index].note = reason;
+    return RollBack(clock, target.instance + ": " + reason);
   }
-  Enter(now, i, Stage::kFailed, why);
-  // There is nothing to go back to, and what befell this one may befall the next.
-  if (record_->state == State::kRunning || record_->state == State::kHeld) {
-    SetState(State::kAborting, t.instance + ": " + why);
+  EnterStage(clock, index, Stage::kFailed, reason);
+  // There is no earlier configuration to return to, and the next instance may fail for the same reason.
+  if (record_->state == State::kRunning || record_->state == State::kPaused) {
+    SetState(State::kAborting, target.instance + ": " + reason);
   }
 }
 
-void Engine::RollBack(const Moment& now, const std::string& why) {
+void Engine::RollBack(const ClockReading& clock, const std::string& reason) {
   if (record_->state == State::kRollingBack) return;
-  SetState(State::kRollingBack, why);
-  for (std::size_t i = 0; i < work_.size(); ++i) {
-    Progress& p = record_->progress[i];
-    if (p.stage == Stage::kWaiting || record_->spec.kind == Kind::kResume) continue;
-    const bool was_active = Active(i);
-    p.undo = true;
-    p.deaths = 0;
-    // One that is out comes back first and at once; the others wait for their turn.
-    if (was_active && p.stage != Stage::kWatching) {
-      Enter(now, i, Stage::kTurning, p.note);
+  SetState(State::kRollingBack, reason);
+  for (std::size_t index = 0; index < work_.size(); ++index) {
+    Progress& progress = record_->progress[index];
+    if (progress.stage == Stage::kWaiting || record_->spec.kind == Kind::kResume) continue;
+    const bool was_active = IsActive(index);
+    progress.undo = true;
+    progress.crashes = 0;
+    // Instances that are out of service are brought back at once, the others one after the other.
+    if (was_active && progress.stage != Stage::kWatching) {
+      EnterStage(clock, index, Stage::kApplying, progress.note);
     } else {
-      p.stage = Stage::kWaiting;
+      progress.stage = Stage::kWaiting;
     }
-    changed_ = true;
+    record_changed_ = true;
   }
 }
 
-void Engine::BeginNext(const Moment& now) {
-  const bool back = record_->state == State::kRollingBack;
-  if (!back && record_->state != State::kRunning) return;
+void Engine::StartNext(const ClockReading& clock) {
+  const bool rolling_back = record_->state == State::kRollingBack;
+  if (!rolling_back && record_->state != State::kRunning) return;
   int active = 0;
-  for (std::size_t i = 0; i < work_.size(); ++i) active += Active(i);
-  for (std::size_t k = 0; k < work_.size() && active < limits_.batch; ++k) {
-    const std::size_t i = back ? work_.size() - 1 - k : k;
-    Progress& p = record_->progress[i];
-    if (p.stage != Stage::kWaiting || p.undo != back) continue;
-    const Target& t = record_->spec.targets[i];
+  for (std::size_t index = 0; index < work_.size(); ++index) active += IsActive(index);
+  for (std::size_t position = 0; position < work_.size() && active < limits_.max_in_progress; ++position) {
+    const std::size_t index = rolling_back ? work_.size() - 1 - position : position;
+    Progress& progress = record_->progress[index];
+    if (progress.stage != Stage::kWaiting || progress.undo != rolling_back) continue;
+    const Target& target = record_->spec.targets[index];
     const Kind kind = record_->spec.kind;
-    // What doesn't take an instance out needs no guard, and what gives one back least of all.
-    const bool reload = kind == Kind::kReconfigure && t.reload;
-    const bool gives_back = AnyStamp(i);
-    std::string why;
-    if (!gives_back) {
+    // Neither a reload nor a return to service takes the instance out, so the guard doesn't apply.
+    const bool reload = kind == Kind::kReconfigure && target.reload;
+    const bool returns_to_service = AcceptsAnyStamp(index);
+    std::string reason;
+    if (!returns_to_service) {
       std::string freeze;
-      if (!back && Frozen(now, &freeze)) {
-        why = "frozen: " + freeze;
-      } else if (!back && now.now - *observing_since_ < limits_.observe_for) {
-        why = "observing the group for " + Seconds(limits_.observe_for);
-      } else if (Fresh(now.now, t.instance) == nullptr) {
-        why = t.instance + " is unknown";
+      if (!rolling_back && InFreeze(clock, &freeze)) {
+        reason = "frozen: " + freeze;
+      } else if (!rolling_back && clock.now - *observing_since_ < limits_.observation_time) {
+        reason = "observing the group for " + Seconds(limits_.observation_time);
+      } else if (FreshBelief(clock.now, target.instance) == nullptr) {
+        reason = target.instance + " is unknown";
       } else if (!reload) {
-        why = Guard(now, t.instance);
-        if (!why.empty()) why = t.instance + " waits: " + why;
+        reason = AvailabilityGuard(clock, target.instance);
+        if (!reason.empty()) reason = target.instance + " waits: " + reason;
       }
     }
-    if (!why.empty()) {
-      held_back_ = why;
-      return;  // in order: the next may only be taken when this one was
+    if (!reason.empty()) {
+      blocked_reason_ = reason;
+      // Targets are started in order: no later one before this one.
+      return;
     }
-    const auto& samples = known_.at(t.instance).samples;
-    if (samples.size() >= 2) work_[i].before = ShareOf(samples.front().counts, samples.back().counts);
-    Enter(now, i, reload || gives_back ? Stage::kTurning : Stage::kPausing);
+    const auto& samples = instances_.at(target.instance).samples;
+    if (samples.size() >= 2)
+      work_[index].shares_before = OutcomeSharesBetween(samples.front().counts, samples.back().counts);
+    EnterStage(clock, index, reload || returns_to_service ? Stage::kApplying : Stage::kPausing);
     ++active;
   }
 }
 
-void Engine::EndIfOver(const Moment&) {
-  bool open = false, failed = false;
-  for (std::size_t i = 0; i < work_.size(); ++i) {
-    const Progress& p = record_->progress[i];
-    open = open || Active(i) ||
-           (p.stage == Stage::kWaiting && p.undo == (record_->state == State::kRollingBack));
-    failed = failed || p.stage == Stage::kFailed;
+void Engine::FinishIfComplete(const ClockReading&) {
+  bool unfinished = false, failed = false;
+  for (std::size_t index = 0; index < work_.size(); ++index) {
+    const Progress& progress = record_->progress[index];
+    unfinished =
+        unfinished || IsActive(index) ||
+        (progress.stage == Stage::kWaiting && progress.undo == (record_->state == State::kRollingBack));
+    failed = failed || progress.stage == Stage::kFailed;
   }
   switch (record_->state) {
     case State::kRunning:
-    case State::kHeld:
-      if (!open) SetState(failed ? State::kFailed : State::kDone, record_->why);
+    case State::kPaused:
+      if (!unfinished) SetState(failed ? State::kFailed : State::kDone, record_->reason);
       break;
     case State::kAborting: {
       bool active = false;
-      for (std::size_t i = 0; i < work_.size(); ++i) active = active || Active(i);
-      if (!active) SetState(failed ? State::kFailed : State::kAborted, record_->why);
+      for (std::size_t index = 0; index < work_.size(); ++index) active = active || IsActive(index);
+      if (!active) SetState(failed ? State::kFailed : State::kAborted, record_->reason);
       break;
     }
     case State::kRollingBack:
-      if (!open) SetState(failed ? State::kFailed : State::kRolledBack, record_->why);
+      if (!unfinished) SetState(failed ? State::kFailed : State::kRolledBack, record_->reason);
       break;
     default:
       break;
--- a/src/change/engine.hpp
+++ b/src/change/engine.hpp
@@ -1,8 +1,10 @@
-// The change engine: decides which instance of a group is taken out, turned, watched and given back, and when
-// not to. No clock, socket or thread: it is told what happened and says what is to be done.
+// The engine of a rolling change: decides which instance of a group is taken out of service, changed, watched
+// and returned to service, and when none may be. It has no clock, socket or thread: it is given events and
+// returns actions.
 //
-// An order is a wish for a state ("serve by this stamp"), never a command that counts: it may be given twice,
-// or by the next who runs the change. So all that must outlast the runner is the Record.
+// An order states the wanted state of an instance ("serve with this stamp") and is idempotent: it may be
+// given again, also by another process that takes the change over. All that such a process needs is the
+// Record.
 #pragma once
 
 #include <deque>
@@ -16,67 +18,79 @@
 
 namespace oxbowspread::change {
 
-struct Moment {
-  Time now{0};      // monotonic; the only clock by which anything waits
-  int weekday = 0;  // local, 0: Sunday
-  int minute = 0;   // of the local day
+struct ClockReading {
+  // Monotonic time. All timeouts and waits go by it.
+  Time now{0};
+  // Day of the week and minute of the day in local time, for freezes only; day 0 is Sunday.
+  int weekday = 0;
+  int minute = 0;
 };
 
 // ---- events ----
-struct Heard {
+
+// Ignored if a newer belief is known.
+struct BeliefReceived {
   Belief belief;
-};  // an older belief than the one at hand is passed over
-struct Begin {
+};
+// Ignored if a change is running or RejectionReason() objects to it.
+struct StartChange {
   Spec spec;
-};  // only when none is running
-struct Continue {
+};
+// Continues a change that another process ran, or that is on disk.
+struct TakeOverChange {
   Record record;
-};  // taken over from another runner, or from disk
-enum class Word { kHold, kGoOn, kAbort, kRollBack };
-struct Say {
-  Word word;
-};  // of an operator
-struct Refused {
-  std::string instance, stamp, why;
-};  // an agent will never carry out that order
-using Event = std::variant<Heard, Begin, Continue, Say, Refused>;
+};
+enum class OperatorCommand { kPause, kResume, kAbort, kRollBack };
+struct OperatorRequest {
+  OperatorCommand command;
+};
+// An agent will never carry out the order with this stamp.
+struct OrderRejected {
+  std::string instance, stamp, reason;
+};
+using Event = std::variant<BeliefReceived, StartChange, TakeOverChange, OperatorRequest, OrderRejected>;
 
 // ---- actions, to be carried out in order ----
-// The record must be safe before anything that comes after it is done.
-struct Keep {
+
+// The record must be stored durably before any later action is carried out.
+struct PersistRecord {
   Record record;
 };
 struct Order {
   std::string instance;
-  Want want = Want::kServing;
+  DesiredPhase desired_phase = DesiredPhase::kServing;
+  // Empty: the instance keeps the order that it runs by.
   std::string stamp;
-  bool reload = false;  // by a reload if it runs; else by a restart
+  // Reload the process if it runs, rather than restart it.
+  bool reload = false;
 };
-struct Tell {
+// An entry for the log and the history. `instance` is empty if it concerns the change as a whole.
+struct AddHistory {
   std::string instance, step, text;
-};  // for the log and the history; instance may be empty
-using Action = std::variant<Keep, Order, Tell>;
+};
+using Action = std::variant<PersistRecord, Order, AddHistory>;
 
 class Engine {
  public:
-  Engine(std::vector<Member> members, Limits limits);
+  Engine(std::vector<InstanceCapacity> instances, Limits limits);
 
-  // Events in the order in which they happened; `now` never goes back. To be called some times a second while
-  // a change is running, with no event too: time limits are looked at here only.
-  std::vector<Action> Step(const Moment& now, const std::vector<Event>& events);
+  // Processes the events, in the order in which they happened, and the timeouts that are due. `clock.now`
+  // never goes back. To be called several times a second while a change is running, with or without events,
+  // since timeouts are checked nowhere else.
+  std::vector<Action> Step(const ClockReading& clock, const std::vector<Event>& events);
 
-  // Why a change can't be begun at all; empty if it can.
-  std::string Objection(const Spec& spec) const;
-  // Why this instance would not be taken out just now; empty if it would.
-  std::string HeldBackBy(const Moment& now, const std::string& instance) const;
+  // Why this change can't be started; empty if it can.
+  std::string RejectionReason(const Spec& spec) const;
+  // Why this instance would not be taken out of service now; empty if it would.
+  std::string BlockedBy(const ClockReading& clock, const std::string& instance) const;
 
   const std::optional<Record>& record() const { return record_; }
-  // What holds the change up, in words; empty while it moves.
-  const std::string& held_back() const { return held_back_; }
-  // Nothing if it is unknown or older than the limit.
-  const Belief* Fresh(Time now, const std::string& instance) const;
-  // Messages a second that the group is asked, by what was seen last of every instance.
-  double Rate() const;
+  // Why the change makes no progress; empty if it does.
+  const std::string& blocked_reason() const { return blocked_reason_; }
+  // Null if the instance's state is unknown or older than the limit.
+  const Belief* FreshBelief(Time now, const std::string& instance) const;
+  // Messages a second that the whole group receives, by the last known counts of each instance.
+  double MessageRate() const;
 
  private:
   struct Sample {
@@ -84,54 +98,66 @@
     std::int64_t pid = 0;
     Counts counts;
   };
-  struct Known {
+  struct InstanceState {
     double capacity = 0;
     std::optional<Belief> belief;
-    std::deque<Sample> samples;  // of one life of the process
+    // Of one process only: emptied when the process identifier changes.
+    std::deque<Sample> samples;
   };
-  struct Share {
-    double refused = 0, failed = 0;
-    std::int64_t asked = 0, ended = 0;
+  // Shares of messages refused and not delivered, and the numbers of messages that they are taken of.
+  struct OutcomeShares {
+    double rejected = 0, failed = 0;
+    std::int64_t received = 0, ended = 0;
   };
-  struct Work {       // of a target, beside its Progress; starts anew with the runner
-    Time since{0};    // of its stage
-    Time ordered{0};  // when last told
-    Share before;
-    Counts from;  // when the watch began
-    std::int64_t pid = 0;
+  // State of a target beside its Progress. Lost when another process takes the change over.
+  struct TargetWork {
+    // When the current stage began.
+    Time stage_since{0};
+    // When the last order was given.
+    Time last_order_at{0};
+    OutcomeShares shares_before;
+    // Counts and process when the watch began; the process identifier is 0 while the watch has yet to begin.
+    Counts watch_start_counts;
+    std::int64_t watched_pid = 0;
     std::optional<Time> unknown_since;
   };
 
-  void Take(const Moment& now, const Event& event);
-  void Hear(const Belief& belief);
-  void Advance(const Moment& now, std::size_t i);
-  void AdvancePausing(const Moment& now, std::size_t i, const Belief& belief);
-  void AdvanceTurning(const Moment& now, std::size_t i, const Belief& belief);
-  void AdvanceWatching(const Moment& now, std::size_t i, const Belief& belief);
-  void BeginNext(const Moment& now);
-  void Enter(const Moment& now, std::size_t i, Stage stage, const std::string& note = {});
-  void Fail(const Moment& now, std::size_t i, const std::string& why);
-  void RollBack(const Moment& now, const std::string& why);
-  void SetState(State state, const std::string& why);
-  void EndIfOver(const Moment& now);
-  void Give(const Moment& now, std::size_t i);
-  std::string StampOf(std::size_t i) const;
-  std::string Guard(const Moment& now, const std::string& instance) const;
-  Share ShareOf(const Counts& from, const Counts& to) const;
-  bool Frozen(const Moment& now, std::string* which) const;
-  bool Active(std::size_t i) const;
-  bool AnyStamp(std::size_t i) const;  // it need not be restarted to be where it should
-  bool BeingTaken(const std::string& instance) const;
-  void Note(const std::string& instance, const std::string& text, const std::string& step = {});
+  void HandleEvent(const ClockReading& clock, const Event& event);
+  void UpdateBelief(const Belief& belief);
+  void Advance(const ClockReading& clock, std::size_t index);
+  void AdvancePausing(const ClockReading& clock, std::size_t index, const Belief& belief);
+  void AdvanceApplying(const ClockReading& clock, std::size_t index, const Belief& belief);
+  void AdvanceWatching(const ClockReading& clock, std::size_t index, const Belief& belief);
+  void StartNext(const ClockReading& clock);
+  void EnterStage(const ClockReading& clock, std::size_t index, Stage stage, const std::string& note = {});
+  void Fail(const ClockReading& clock, std::size_t index, const std::string& reason);
+  void RollBack(const ClockReading& clock, const std::string& reason);
+  void SetState(State state, const std::string& reason);
+  void FinishIfComplete(const ClockReading& clock);
+  // Gives the order of the target's stage, and gives it again while nothing shows that it was carried out.
+  void GiveOrder(const ClockReading& clock, std::size_t index);
+  std::string StampOf(std::size_t index) const;
+  // Why the other instances can't do without this one; empty if they can.
+  std::string AvailabilityGuard(const ClockReading& clock, const std::string& instance) const;
+  OutcomeShares OutcomeSharesBetween(const Counts& from, const Counts& to) const;
+  // Whether a freeze is in effect; `description` gets its text.
+  bool InFreeze(const ClockReading& clock, std::string* description) const;
+  bool IsActive(std::size_t index) const;
+  // Whether the target has to serve only, by whichever order, so that it needs no restart.
+  bool AcceptsAnyStamp(std::size_t index) const;
+  bool IsBeingTakenOut(const std::string& instance) const;
+  void AddNote(const std::string& instance, const std::string& text, const std::string& step = {});
 
   Limits limits_;
-  std::map<std::string, Known> known_;
+  std::map<std::string, InstanceState> instances_;
   std::optional<Record> record_;
-  std::vector<Work> work_;
+  // One entry for each target of the record.
+  std::vector<TargetWork> work_;
   std::optional<Time> observing_since_;
-  std::string held_back_;
-  std::vector<Action> orders_, tells_;  // of the step at hand
-  bool changed_ = false;
+  std::string blocked_reason_;
+  // Results of the current step.
+  std::vector<Action> orders_, history_;
+  bool record_changed_ = false;
 };
 
 }  // namespace oxbowspread::change
--- a/src/change/record.cpp
+++ b/src/change/record.cpp
@@ -6,25 +6,26 @@
 namespace oxbowspread::change {
 namespace {
 
+// Names of the enumerators in their order, as they are stored in records and shown to operators.
 constexpr std::array kKinds = {"restart", "reconfigure", "drain", "resume"};
 constexpr std::array kStages = {"waiting", "pausing", "turning", "watching", "done", "undone", "failed"};
 constexpr std::array kStates = {"running", "held",    "aborting",    "rolling-back",
                                 "done",    "aborted", "rolled-back", "failed"};
-constexpr std::array kWants = {"serving", "paused"};
+constexpr std::array kDesiredPhases = {"serving", "paused"};
 constexpr std::array kPhases = {"down", "starting", "serving", "paused", "ending"};
 
 template <typename Enum, std::size_t N>
-Enum Named(const std::array<const char*, N>& names, const Json& json, const char* key) {
+Enum EnumFromName(const std::array<const char*, N>& names, const Json& json, const char* key) {
   const std::string name = json.at(key);
-  for (std::size_t i = 0; i < N; ++i) {
-    if (name == names[i]) return static_cast<Enum>(i);
+  for (std::size_t index = 0; index < N; ++index) {
+    if (name == names[index]) return static_cast<Enum>(index);
   }
   throw std::runtime_error(std::string(key) + ": unknown: '" + name + "'");
 }
 
 }  // namespace
 
-bool Over(State state) { return state >= State::kDone; }
+bool IsFinished(State state) { return state >= State::kDone; }
 const char* NameOf(Kind kind) { return kKinds[static_cast<std::size_t>(kind)]; }
 const char* NameOf(Stage stage) { return kStages[static_cast<std::size_t>(stage)]; }
 const char* NameOf(State state) { return kStates[static_cast<std::size_t>(state)]; }
@@ -32,81 +33,84 @@
 
 Json ToJson(const Record& record) {
   Json targets = Json::array();
-  for (std::size_t i = 0; i < record.spec.targets.size(); ++i) {
-    const Target& t = record.spec.targets[i];
-    const Progress& p = record.progress.at(i);
-    targets.push_back({{"instance", t.instance},
-                       {"from", t.from},
-                       {"to", t.to},
-                       {"reload", t.reload},
-                       {"stage", NameOf(p.stage)},
-                       {"undo", p.undo},
-                       {"turned", p.turned},
-                       {"deaths", p.deaths},
-                       {"note", p.note}});
+  for (std::size_t index = 0; index < record.spec.targets.size(); ++index) {
+    const Target& target = record.spec.targets[index];
+    const Progress& progress = record.progress.at(index);
+    targets.push_back({{"instance", target.instance},
+                       {"from", target.from},
+                       {"to", target.to},
+                       {"reload", target.reload},
+                       {"stage", NameOf(progress.stage)},
+                       {"undo", progress.undo},
+                       {"turned", progress.applied},
+                       {"deaths", progress.crashes},
+                       {"note", progress.note}});
   }
-  Json json = {{"change", record.spec.id}, {"kind", NameOf(record.spec.kind)},
-               {"by", record.spec.by},     {"state", NameOf(record.state)},
-               {"why", record.why},        {"targets", targets}};
-  if (!record.spec.request.empty()) json["request"] = record.spec.request;
+  Json json = {{"change", record.spec.id},       {"kind", NameOf(record.spec.kind)},
+               {"by", record.spec.requested_by}, {"state", NameOf(record.state)},
+               {"why", record.reason},           {"targets", targets}};
+  if (!record.spec.request_id.empty()) json["request"] = record.spec.request_id;
   return json;
 }
 
-Record RecordFrom(const Json& json) {
+Record RecordFromJson(const Json& json) {
   try {
-    Record r;
-    r.spec.id = json.at("change");
-    r.spec.kind = Named<Kind>(kKinds, json, "kind");
-    r.spec.by = json.at("by");
-    r.spec.request = json.value("request", "");
-    r.state = Named<State>(kStates, json, "state");
-    r.why = json.at("why");
-    for (const Json& t : json.at("targets")) {
-      r.spec.targets.push_back({t.at("instance"), t.at("from"), t.at("to"), t.at("reload")});
-      r.progress.push_back(
-          {Named<Stage>(kStages, t, "stage"), t.at("undo"), t.at("turned"), t.at("deaths"), t.at("note")});
+    Record record;
+    record.spec.id = json.at("change");
+    record.spec.kind = EnumFromName<Kind>(kKinds, json, "kind");
+    record.spec.requested_by = json.at("by");
+    record.spec.request_id = json.value("request", "");
+    record.state = EnumFromName<State>(kStates, json, "state");
+    record.reason = json.at("why");
+    for (const Json& target : json.at("targets")) {
+      record.spec.targets.push_back(
+          {target.at("instance"), target.at("from"), target.at("to"), target.at("reload")});
+      record.progress.push_back({EnumFromName<Stage>(kStages, target, "stage"), target.at("undo"),
+                                 target.at("turned"), target.at("deaths"), target.at("note")});
     }
-    return r;
+    return record;
   } catch (const Json::exception& e) {
     throw std::runtime_error(std::string("a change's record: ") + e.what());
   }
 }
 
-Json ToJson(const Belief& b) {
-  return {{"instance", b.instance},
-          {"phase", NameOf(b.phase)},
-          {"settled", b.settled},
-          {"stamp", b.stamp},
-          {"pid", b.pid},
-          {"held", b.held},
-          {"fault", b.fault},
-          {"fault_stamp", b.fault_stamp},
-          {"asked", b.counts.asked},
-          {"refused", b.counts.refused},
-          {"ended", b.counts.ended},
-          {"failed", b.counts.failed}};
+Json ToJson(const Belief& belief) {
+  return {{"instance", belief.instance},
+          {"phase", NameOf(belief.phase)},
+          {"settled", belief.settled},
+          {"stamp", belief.stamp},
+          {"pid", belief.pid},
+          {"held", belief.held_messages},
+          {"fault", belief.fault},
+          {"fault_stamp", belief.fault_stamp},
+          {"asked", belief.counts.received},
+          {"refused", belief.counts.rejected},
+          {"ended", belief.counts.ended},
+          {"failed", belief.counts.failed}};
 }
 
-Belief BeliefFrom(const Json& json) {
+Belief BeliefFromJson(const Json& json) {
   try {
-    Belief b;
-    b.instance = json.at("instance");
-    b.phase = Named<Belief::Phase>(kPhases, json, "phase");
-    b.settled = json.at("settled");
-    b.stamp = json.at("stamp");
-    b.pid = json.at("pid");
-    b.held = json.at("held");
-    b.fault = json.at("fault");
-    b.fault_stamp = json.at("fault_stamp");
-    b.counts = {json.at("asked"), json.at("refused"), json.at("ended"), json.at("failed")};
-    return b;
+    Belief belief;
+    belief.instance = json.at("instance");
+    belief.phase = EnumFromName<Belief::Phase>(kPhases, json, "phase");
+    belief.settled = json.at("settled");
+    belief.stamp = json.at("stamp");
+    belief.pid = json.at("pid");
+    belief.held_messages = json.at("held");
+    belief.fault = json.at("fault");
+    belief.fault_stamp = json.at("fault_stamp");
+    belief.counts = {json.at("asked"), json.at("refused"), json.at("ended"), json.at("failed")};
+    return belief;
   } catch (const Json::exception& e) {
     throw std::runtime_error(std::string("what an agent says of an instance: ") + e.what());
   }
 }
 
-const char* NameOf(Want want) { return kWants[static_cast<std::size_t>(want)]; }
-Want WantFrom(const std::string& name) { return Named<Want>(kWants, {{"want", name}}, "want"); }
+const char* NameOf(DesiredPhase phase) { return kDesiredPhases[static_cast<std::size_t>(phase)]; }
+DesiredPhase DesiredPhaseFromName(const std::string& name) {
+  return EnumFromName<DesiredPhase>(kDesiredPhases, {{"want", name}}, "want");
+}
 
 std::string StampOf(const std::string& version, const std::string& order) { return version + "@" + order; }
 std::string VersionOf(const std::string& stamp) { return stamp.substr(0, stamp.find('@')); }
--- a/src/group/group.cpp
+++ b/src/group/group.cpp
@@ -37,47 +37,48 @@
   change::Freeze FreezeOf(const YAML::Node& node) const {
     constexpr std::array kDays = {"sun", "mon", "tue", "wed", "thu", "fri", "sat"};
     Only(node, "freeze", {"days", "from", "until"});
-    change::Freeze f;
+    change::Freeze freeze;
     const YAML::Node days = node["days"];
     if (days && !days.IsSequence()) Fail(days.Mark(), "freeze.days", "must be a list such as [sat, sun]");
     std::string text;
     for (const auto& day : days) {
       const auto it = std::find(kDays.begin(), kDays.end(), day.IsScalar() ? day.Scalar() : "");
       if (it == kDays.end()) Fail(day.Mark(), "freeze.days", "must be of sun, mon, tue, wed, thu, fri, sat");
-      f.days |= 1u << static_cast<unsigned>(it - kDays.begin());
+      freeze.days |= 1u << static_cast<unsigned>(it - kDays.begin());
       text += (text.empty() ? "" : ",") + std::string(*it);
     }
-    if (!days) f.days = 0x7f;
-    f.from = MinuteOfDay(node, "from");
-    f.until = MinuteOfDay(node, "until");
-    f.text =
+    if (!days) freeze.days = 0x7f;
+    freeze.start_minute = MinuteOfDay(node, "from");
+    freeze.end_minute = MinuteOfDay(node, "until");
+    freeze.text =
         (text.empty() ? "every day" : text) + " " + node["from"].Scalar() + " to " + node["until"].Scalar();
-    return f;
+    return freeze;
   }
 
   change::Limits LimitsOf(const YAML::Node& node) const {
-    change::Limits l;
-    if (!node) return l;
+    change::Limits limits;
+    if (!node) return limits;
     Only(node, "limits",
          {"most_out", "batch", "headroom", "belief_age", "observe_for", "settle_within", "ready_within",
           "watch_for", "refused_rise", "failed_rise", "least_sample", "most_deaths"});
-    l.most_out = Whole(node, "most_out", "limits.", 1, 1000, l.most_out);
-    l.batch = Whole(node, "batch", "limits.", 1, 1000, l.batch);
-    l.headroom = Number(node, "headroom", "limits.", 0.01, 1, l.headroom);
-    l.belief_age = Span(node, "belief_age", "limits.", l.belief_age);
-    l.observe_for = Span(node, "observe_for", "limits.", l.observe_for);
-    l.settle_within = Span(node, "settle_within", "limits.", l.settle_within);
-    l.ready_within = Span(node, "ready_within", "limits.", l.ready_within);
-    l.watch_for = Span(node, "watch_for", "limits.", l.watch_for);
-    l.refused_rise = Number(node, "refused_rise", "limits.", 0, 1, l.refused_rise);
-    l.failed_rise = Number(node, "failed_rise", "limits.", 0, 1, l.failed_rise);
-    l.least_sample = Whole(node, "least_sample", "limits.", 1, 1'000'000, l.least_sample);
-    l.most_deaths = Whole(node, "most_deaths", "limits.", 0, 100, l.most_deaths);
-    if (l.belief_age < std::chrono::milliseconds(500)) {
+    limits.max_unavailable = Whole(node, "most_out", "limits.", 1, 1000, limits.max_unavailable);
+    limits.max_in_progress = Whole(node, "batch", "limits.", 1, 1000, limits.max_in_progress);
+    limits.max_load_share = Number(node, "headroom", "limits.", 0.01, 1, limits.max_load_share);
+    limits.max_belief_age = Span(node, "belief_age", "limits.", limits.max_belief_age);
+    limits.observation_time = Span(node, "observe_for", "limits.", limits.observation_time);
+    limits.settle_timeout = Span(node, "settle_within", "limits.", limits.settle_timeout);
+    limits.ready_timeout = Span(node, "ready_within", "limits.", limits.ready_timeout);
+    limits.watch_time = Span(node, "watch_for", "limits.", limits.watch_time);
+    limits.max_rejected_increase =
+        Number(node, "refused_rise", "limits.", 0, 1, limits.max_rejected_increase);
+    limits.max_failed_increase = Number(node, "failed_rise", "limits.", 0, 1, limits.max_failed_increase);
+    limits.min_sample = Whole(node, "least_sample", "limits.", 1, 1'000'000, limits.min_sample);
+    limits.max_crashes = Whole(node, "most_deaths", "limits.", 0, 100, limits.max_crashes);
+    if (limits.max_belief_age < std::chrono::milliseconds(500)) {
       Fail(node["belief_age"].Mark(), "limits.belief_age",
            "must be at least 500ms: agents are asked each 300ms");
     }
-    return l;
+    return limits;
   }
 
   std::string Name(const YAML::Node& map, const std::string& where) const {
@@ -111,8 +112,8 @@
       std::find_if(instances.begin(), instances.end(), [&](const Instance& i) { return i.name == wanted; });
   return it == instances.end() ? nullptr : &*it;
 }
-std::vector<change::Member> Group::members() const {
-  std::vector<change::Member> all;
+std::vector<change::InstanceCapacity> Group::instance_capacities() const {
+  std::vector<change::InstanceCapacity> all;
   for (const Instance& i : instances) all.push_back({i.name, i.capacity});
   return all;
 }
--- a/src/group/group.hpp
+++ b/src/group/group.hpp
@@ -34,7 +34,7 @@
 
   const Agent* FindAgent(const std::string& name) const;
   const Instance* Find(const std::string& name) const;
-  std::vector<change::Member> members() const;
+  std::vector<change::InstanceCapacity> instance_capacities() const;
 };
 
 // Throws Error. Keys that it doesn't know are faults: a misspelt limit must not silently be none.
--- a/src/lead/lead.cpp
+++ b/src/lead/lead.cpp
@@ -7,232 +7,249 @@
 namespace {
 
 using Json = nlohmann::json;
+// By Message::Kind; part of the protocol between agents.
 constexpr std::array kKinds = {"claim", "promise", "deny", "keep", "kept"};
 
-Json RegisterJson(const Register& r, bool value) {
-  Json json = {{"epoch", r.epoch}, {"seq", r.seq}};
-  if (value) json["value"] = r.value;
+Json RegisterToJson(const Register& content, bool with_value) {
+  Json json = {{"epoch", content.epoch}, {"seq", content.seq}};
+  if (with_value) json["value"] = content.value;
   return json;
 }
-Register RegisterFrom(const Json& json) {
+Register RegisterFromJson(const Json& json) {
   return {json.at("epoch"), json.at("seq"), json.value("value", std::string())};
 }
 
 }  // namespace
 
-Json ToJson(const Durable& d) {
-  return {{"promised", d.promised}, {"to", d.promised_to}, {"kept", RegisterJson(d.kept, true)}};
+Json ToJson(const DurableState& durable) {
+  return {{"promised", durable.promised_epoch},
+          {"to", durable.promised_to},
+          {"kept", RegisterToJson(durable.accepted, true)}};
 }
-Durable DurableFrom(const Json& json) {
-  return {json.at("promised"), json.at("to"), RegisterFrom(json.at("kept"))};
+DurableState DurableStateFromJson(const Json& json) {
+  return {json.at("promised"), json.at("to"), RegisterFromJson(json.at("kept"))};
 }
 
-Json ToJson(const Message& m) {
-  return {{"kind", kKinds[static_cast<std::size_t>(m.kind)]},
-          {"epoch", m.epoch},
-          {"round", m.round},
-          {"has_value", m.has_value},
-          {"kept", RegisterJson(m.kept, m.has_value)}};
+Json ToJson(const Message& message) {
+  return {{"kind", kKinds[static_cast<std::size_t>(message.kind)]},
+          {"epoch", message.epoch},
+          {"round", message.round},
+          {"has_value", message.has_value},
+          {"kept", RegisterToJson(message.content, message.has_value)}};
 }
-Message MessageFrom(const Json& json) {
-  Message m;
+Message MessageFromJson(const Json& json) {
+  Message message;
   const std::string kind = json.at("kind");
   const auto it = std::find(kKinds.begin(), kKinds.end(), kind);
   if (it == kKinds.end()) throw Json::other_error::create(500, "kind: unknown", &json);
-  m.kind = static_cast<Message::Kind>(it - kKinds.begin());
-  m.epoch = json.at("epoch");
-  m.round = json.at("round");
-  m.has_value = json.at("has_value");
-  m.kept = RegisterFrom(json.at("kept"));
-  return m;
+  message.kind = static_cast<Message::Kind>(it - kKinds.begin());
+  message.epoch = json.at("epoch");
+  message.round = json.at("round");
+  message.has_value = json.at("has_value");
+  message.content = RegisterFromJson(json.at("kept"));
+  return message;
 }
 
-Lead::Lead(std::string self, std::vector<std::string> members, Timing timing, Durable durable,
-           std::uint64_t dice)
+LeaderElection::LeaderElection(std::string self, std::vector<std::string> members, Timing timing,
+                               DurableState durable, std::uint64_t random_state)
     : self_(std::move(self)),
       members_(std::move(members)),
       timing_(timing),
       durable_(std::move(durable)),
-      dice_(dice),
-      seen_(durable_.promised) {}
+      random_state_(random_state),
+      highest_epoch_(durable_.promised_epoch) {}
 
-Time Lead::ClaimAt(Time now) {
-  dice_ = dice_ * 6364136223846793005u + 1442695040888963407u;
-  const auto spread = static_cast<std::uint64_t>(timing_.claim_after.count()) / 2 + 1;
-  return now + timing_.claim_after + Time(static_cast<Time::rep>((dice_ >> 33) % spread));
+Time LeaderElection::NextElection(Time now) {
+  // A linear congruential generator, so that the same seed gives the same delays.
+  random_state_ = random_state_ * 6364136223846793005u + 1442695040888963407u;
+  const auto max_delay = static_cast<std::uint64_t>(timing_.election_timeout.count()) / 2 + 1;
+  return now + timing_.election_timeout + Time(static_cast<Time::rep>((random_state_ >> 33) % max_delay));
 }
 
-// The moment up to which most agents are known to follow: by when they were asked, never by when they
-// answered.
-Time Lead::LeaseEnd() const {
+// Until when a majority of agents is known to follow this one. Counted from when the requests were sent,
+// never from when the answers arrived, since an agent's own lease may start at any time in between.
+Time LeaderElection::LeaseEnd() const {
   std::vector<Time> times;
-  for (const auto& [member, at] : answered_) times.push_back(at);
-  if (times.size() + 1 < most()) return Time::min() / 2;
-  if (most() == 1) return Time::max();
+  for (const auto& [member, sent_at] : answered_request_sent_at_) times.push_back(sent_at);
+  if (times.size() + 1 < majority()) return Time::min() / 2;
+  if (majority() == 1) return Time::max();
   std::sort(times.rbegin(), times.rend());
-  return times[most() - 2] + timing_.lease;
+  return times[majority() - 2] + timing_.lease;
 }
 
-std::string Lead::leader(Time now) const {
-  if (Leading(now)) return self_;
-  return now - heard_ < timing_.lease && durable_.promised_to != self_ ? durable_.promised_to : std::string();
+std::string LeaderElection::leader(Time now) const {
+  if (IsLeader(now)) return self_;
+  return now - leader_heard_at_ < timing_.lease && durable_.promised_to != self_ ? durable_.promised_to
+                                                                                 : std::string();
 }
 
-std::vector<Action> Lead::Step(Time now, const std::vector<Event>& events) {
+std::vector<Action> LeaderElection::Step(Time now, const std::vector<Event>& events) {
   std::vector<Action> actions;
   if (!std::exchange(started_, true)) {
-    // One that stands alone leads at once; others first listen whether somebody does.
-    claim_at_ = members_.size() == 1 ? now : ClaimAt(now);
+    // A group of one leads at once; other agents first wait to hear from a leader.
+    election_at_ = members_.size() == 1 ? now : NextElection(now);
   }
-  // Before any event: a leader that was stopped past its lease must not act on what piled up meanwhile.
-  if (role_ == Role::kLeader && now >= LeaseEnd()) Follow(now, &actions, "most agents are silent");
+  // Checked before any event: a leader whose process was suspended past its lease must not act on the
+  // messages that arrived meanwhile.
+  if (role_ == Role::kLeader && now >= LeaseEnd())
+    BecomeFollower(now, &actions, "no majority of agents answered within the lease");
   for (const Event& event : events) {
     if (const auto* propose = std::get_if<Propose>(&event)) {
-      if (!Leading(now)) continue;
-      wanted_ = {durable_.promised, wanted_.seq + 1, propose->value};
-      Keep(&actions);
-      Beat(now, &actions);
+      if (!IsLeader(now)) continue;
+      proposal_ = {durable_.promised_epoch, proposal_.seq + 1, propose->value};
+      AcceptProposal(&actions);
+      SendHeartbeats(now, &actions);
       continue;
     }
-    const Got& got = std::get<Got>(event);
-    if (std::find(members_.begin(), members_.end(), got.from) == members_.end()) continue;
-    const Message& m = got.message;
-    seen_ = std::max(seen_, m.epoch);
-    switch (m.kind) {
-      case Message::Kind::kClaim:
-      case Message::Kind::kKeep: {
-        const Message answer = Answer(now, got.from, m, &actions);
-        actions.push_back(Send{got.from, answer});
+    const MessageReceived& received = std::get<MessageReceived>(event);
+    if (std::find(members_.begin(), members_.end(), received.from) == members_.end()) continue;
+    const Message& message = received.message;
+    highest_epoch_ = std::max(highest_epoch_, message.epoch);
+    switch (message.kind) {
+      case Message::Kind::kPrepare:
+      case Message::Kind::kAccept: {
+        const Message answer = Answer(now, received.from, message, &actions);
+        actions.push_back(Send{received.from, answer});
         break;
       }
-      case Message::Kind::kDeny:
-        if (m.epoch > durable_.promised && role_ != Role::kFollower) {
-          Follow(now, &actions, "epoch " + std::to_string(m.epoch) + " was promised to another");
+      case Message::Kind::kReject:
+        if (message.epoch > durable_.promised_epoch && role_ != Role::kFollower) {
+          BecomeFollower(now, &actions,
+                         "epoch " + std::to_string(message.epoch) + " was promised to another");
         }
         break;
       case Message::Kind::kPromise:
-        if (role_ != Role::kClaimant || m.epoch != durable_.promised) break;
-        promises_[got.from] = m.kept;
-        if (const auto asked = asked_.find(m.round); asked != asked_.end()) {
-          answered_[got.from] = asked->second;
+        if (role_ != Role::kCandidate || message.epoch != durable_.promised_epoch) break;
+        promises_[received.from] = message.content;
+        if (const auto sent = round_sent_at_.find(message.round); sent != round_sent_at_.end()) {
+          answered_request_sent_at_[received.from] = sent->second;
         }
-        if (promises_.size() >= most()) TakeLead(now, &actions);
+        if (promises_.size() >= majority()) AssumeLeadership(now, &actions);
         break;
-      case Message::Kind::kKept: {
-        if (role_ != Role::kLeader || m.epoch != durable_.promised) break;
-        if (const auto asked = asked_.find(m.round); asked != asked_.end()) {
-          Time& at = answered_.try_emplace(got.from, Time::min() / 2).first->second;
-          at = std::max(at, asked->second);
+      case Message::Kind::kAccepted: {
+        if (role_ != Role::kLeader || message.epoch != durable_.promised_epoch) break;
+        if (const auto sent = round_sent_at_.find(message.round); sent != round_sent_at_.end()) {
+          Time& sent_at = answered_request_sent_at_.try_emplace(received.from, Time::min() / 2).first->second;
+          sent_at = std::max(sent_at, sent->second);
         }
-        if (m.kept.epoch == durable_.promised) has_[got.from] = std::max(has_[got.from], m.kept.seq);
-        Keep(&actions);
+        if (message.content.epoch == durable_.promised_epoch)
+          accepted_seq_[received.from] = std::max(accepted_seq_[received.from], message.content.seq);
+        AcceptProposal(&actions);
         break;
       }
     }
   }
-  if (role_ != Role::kLeader && now >= claim_at_) Claim(now, &actions);
-  if (role_ == Role::kLeader && now >= beat_at_) Beat(now, &actions);
-  wake_at_ = role_ == Role::kLeader ? beat_at_ : claim_at_;
+  if (role_ != Role::kLeader && now >= election_at_) StartElection(now, &actions);
+  if (role_ == Role::kLeader && now >= heartbeat_at_) SendHeartbeats(now, &actions);
+  wake_at_ = role_ == Role::kLeader ? heartbeat_at_ : election_at_;
   return actions;
 }
 
-Message Lead::Answer(Time now, const std::string& from, const Message& m, std::vector<Action>* actions) {
-  Message answer{Message::Kind::kDeny, durable_.promised, m.round, false, {}};
-  if (m.kind == Message::Kind::kClaim) {
-    const bool led = now - heard_ < timing_.lease && durable_.promised_to != from;
-    if (m.epoch <= durable_.promised || led || Leading(now)) return answer;
-    if (role_ != Role::kFollower) Follow(now, actions, "promised epoch " + std::to_string(m.epoch));
-    durable_.promised = m.epoch;
+Message LeaderElection::Answer(Time now, const std::string& from, const Message& message,
+                               std::vector<Action>* actions) {
+  Message answer{Message::Kind::kReject, durable_.promised_epoch, message.round, false, {}};
+  if (message.kind == Message::Kind::kPrepare) {
+    const bool other_leads = now - leader_heard_at_ < timing_.lease && durable_.promised_to != from;
+    if (message.epoch <= durable_.promised_epoch || other_leads || IsLeader(now)) return answer;
+    if (role_ != Role::kFollower)
+      BecomeFollower(now, actions, "promised epoch " + std::to_string(message.epoch));
+    durable_.promised_epoch = message.epoch;
     durable_.promised_to = from;
     actions->push_back(Persist{durable_});
-    claim_at_ = ClaimAt(now);
-    return {Message::Kind::kPromise, m.epoch, m.round, true, durable_.kept};
+    election_at_ = NextElection(now);
+    return {Message::Kind::kPromise, message.epoch, message.round, true, durable_.accepted};
   }
-  if (m.epoch < durable_.promised || (m.epoch == durable_.promised && durable_.promised_to != from))
+  if (message.epoch < durable_.promised_epoch ||
+      (message.epoch == durable_.promised_epoch && durable_.promised_to != from))
     return answer;
-  if (role_ != Role::kFollower) Follow(now, actions, from + " leads in epoch " + std::to_string(m.epoch));
-  bool changed = m.epoch > durable_.promised;
-  durable_.promised = m.epoch;
+  if (role_ != Role::kFollower)
+    BecomeFollower(now, actions, from + " leads in epoch " + std::to_string(message.epoch));
+  bool changed = message.epoch > durable_.promised_epoch;
+  durable_.promised_epoch = message.epoch;
   durable_.promised_to = from;
-  if (m.has_value && durable_.kept.OlderThan(m.kept)) {
-    durable_.kept = m.kept;
+  if (message.has_value && durable_.accepted.OlderThan(message.content)) {
+    durable_.accepted = message.content;
     changed = true;
   }
   if (changed) actions->push_back(Persist{durable_});
-  heard_ = now;
-  claim_at_ = ClaimAt(now);
-  return {Message::Kind::kKept, m.epoch, m.round, false, {durable_.kept.epoch, durable_.kept.seq, {}}};
-}
-
-void Lead::Claim(Time now, std::vector<Action>* actions) {
-  role_ = Role::kClaimant;
-  led_ = false;
-  durable_.promised = std::max(seen_, durable_.promised) + 1;
+  leader_heard_at_ = now;
+  election_at_ = NextElection(now);
+  return {Message::Kind::kAccepted,
+          message.epoch,
+          message.round,
+          false,
+          {durable_.accepted.epoch, durable_.accepted.seq, {}}};
+}
+
+void LeaderElection::StartElection(Time now, std::vector<Action>* actions) {
+  role_ = Role::kCandidate;
+  leadership_announced_ = false;
+  durable_.promised_epoch = std::max(highest_epoch_, durable_.promised_epoch) + 1;
   durable_.promised_to = self_;
-  seen_ = durable_.promised;
+  highest_epoch_ = durable_.promised_epoch;
   promises_.clear();
-  answered_.clear();
-  has_.clear();
-  asked_.clear();
+  answered_request_sent_at_.clear();
+  accepted_seq_.clear();
+  round_sent_at_.clear();
   actions->push_back(Persist{durable_});
-  promises_[self_] = durable_.kept;
-  claim_at_ = ClaimAt(now);
-  asked_[++round_] = now;
+  promises_[self_] = durable_.accepted;
+  election_at_ = NextElection(now);
+  round_sent_at_[++round_] = now;
   for (const std::string& member : members_) {
     if (member == self_) continue;
-    actions->push_back(Send{member, {Message::Kind::kClaim, durable_.promised, round_, false, {}}});
+    actions->push_back(Send{member, {Message::Kind::kPrepare, durable_.promised_epoch, round_, false, {}}});
   }
-  if (promises_.size() >= most()) TakeLead(now, actions);
+  if (promises_.size() >= majority()) AssumeLeadership(now, actions);
 }
 
-void Lead::TakeLead(Time now, std::vector<Action>* actions) {
+void LeaderElection::AssumeLeadership(Time now, std::vector<Action>* actions) {
   role_ = Role::kLeader;
-  Register youngest;
-  for (const auto& [member, kept] : promises_) {
-    if (youngest.OlderThan(kept)) youngest = kept;
+  Register newest;
+  for (const auto& [member, accepted] : promises_) {
+    if (newest.OlderThan(accepted)) newest = accepted;
   }
-  wanted_ = {durable_.promised, youngest.seq + 1, youngest.value};
-  told_kept_ = wanted_.seq;
-  Keep(actions);
-  Beat(now, actions);
+  proposal_ = {durable_.promised_epoch, newest.seq + 1, newest.value};
+  reported_committed_seq_ = proposal_.seq;
+  AcceptProposal(actions);
+  SendHeartbeats(now, actions);
 }
 
-// The register at this agent, and whether most have it.
-void Lead::Keep(std::vector<Action>* actions) {
-  if (durable_.kept.OlderThan(wanted_)) {
-    durable_.kept = wanted_;
+void LeaderElection::AcceptProposal(std::vector<Action>* actions) {
+  if (durable_.accepted.OlderThan(proposal_)) {
+    durable_.accepted = proposal_;
     actions->push_back(Persist{durable_});
-    has_[self_] = wanted_.seq;
+    accepted_seq_[self_] = proposal_.seq;
   }
-  const auto count =
-      std::count_if(has_.begin(), has_.end(), [&](const auto& h) { return h.second >= wanted_.seq; });
-  if (static_cast<std::size_t>(count) < most()) return;
-  if (!std::exchange(led_, true)) {
-    actions->push_back(Leads{durable_.promised, wanted_.value});
-  } else if (told_kept_ < wanted_.seq) {
-    told_kept_ = wanted_.seq;
-    actions->push_back(ValueKept{wanted_.seq});
+  const auto count = std::count_if(accepted_seq_.begin(), accepted_seq_.end(),
+                                   [&](const auto& entry) { return entry.second >= proposal_.seq; });
+  if (static_cast<std::size_t>(count) < majority()) return;
+  if (!std::exchange(leadership_announced_, true)) {
+    actions->push_back(BecameLeader{durable_.promised_epoch, proposal_.value});
+  } else if (reported_committed_seq_ < proposal_.seq) {
+    reported_committed_seq_ = proposal_.seq;
+    actions->push_back(ValueCommitted{proposal_.seq});
   }
 }
 
-void Lead::Beat(Time now, std::vector<Action>* actions) {
-  beat_at_ = now + timing_.beat;
-  asked_[++round_] = now;
-  while (asked_.size() > 64) asked_.erase(asked_.begin());
+void LeaderElection::SendHeartbeats(Time now, std::vector<Action>* actions) {
+  heartbeat_at_ = now + timing_.heartbeat_interval;
+  round_sent_at_[++round_] = now;
+  // Answers to requests older than the last 64 rounds no longer extend the lease.
+  while (round_sent_at_.size() > 64) round_sent_at_.erase(round_sent_at_.begin());
   for (const std::string& member : members_) {
     if (member == self_) continue;
-    const bool lacks = has_[member] < wanted_.seq;
-    Message keep{Message::Kind::kKeep, durable_.promised, round_, lacks, wanted_};
-    actions->push_back(Send{member, keep});
+    const bool lacks_value = accepted_seq_[member] < proposal_.seq;
+    Message request{Message::Kind::kAccept, durable_.promised_epoch, round_, lacks_value, proposal_};
+    actions->push_back(Send{member, request});
   }
 }
 
-void Lead::Follow(Time now, std::vector<Action>* actions, const std::string& why) {
-  const bool led = role_ == Role::kLeader && led_;
+void LeaderElection::BecomeFollower(Time now, std::vector<Action>* actions, const std::string& reason) {
+  const bool was_leader = role_ == Role::kLeader && leadership_announced_;
   role_ = Role::kFollower;
-  led_ = false;
-  claim_at_ = ClaimAt(now);
-  if (led) actions->push_back(Stopped{why});
+  leadership_announced_ = false;
+  election_at_ = NextElection(now);
+  if (was_leader) actions->push_back(LostLeadership{reason});
 }
 
 }  // namespace oxbowspread::lead
--- a/src/lead/lead.hpp
+++ b/src/lead/lead.hpp
@@ -1,11 +1,12 @@
-// Who runs the group's change, and the one record that must outlast it: a leader by promises of most agents,
-// and a register that is kept when most agents have it. No clock, socket or disk: fed messages and moments.
+// Leader election among the agents of a group, and one replicated register (the record of the group's change)
+// that outlives the leader. Holds no clock, socket or file: it is fed messages and times and returns actions.
 //
-// A claimant asks for an epoch; an agent promises each epoch to one claimant, and from then on takes part in
-// no older one. With promises of most, the claimant takes over the youngest register among theirs, has it
-// kept under its own epoch, and only then leads. Any two majorities share an agent, so a record that was kept
-// is never lost, and of two leaders the older can keep nothing more and its orders are refused wherever the
-// newer was promised. A leader also stops by itself when most have been silent for the lease.
+// The protocol is single-register Paxos with a leader lease. A candidate asks the agents to promise an epoch.
+// An agent promises each epoch to one candidate only and from then on rejects all older epochs. A candidate
+// with promises of a majority takes the newest register among them, has a majority accept it under its own
+// epoch, and only then leads. Any two majorities share an agent, so a committed value is never lost. Of two
+// leaders, the older one can commit nothing more, and agents that promised the newer epoch refuse its orders.
+// A leader also steps down on its own when no majority has answered within the lease.
 #pragma once
 
 #include <chrono>
@@ -20,9 +21,11 @@
 
 namespace oxbowspread::lead {
 
-using Time = std::chrono::microseconds;  // monotonic
+// Microseconds of the monotonic clock.
+using Time = std::chrono::microseconds;
 using Epoch = std::uint64_t;
 
+// The replicated value and its version, ordered by epoch and then by sequence number.
 struct Register {
   Epoch epoch = 0;
   std::uint64_t seq = 0;
@@ -33,121 +36,154 @@
   }
 };
 
-// What an agent must have on disk before it tells anybody of it.
-struct Durable {
-  Epoch promised = 0;
+// State that an agent must have on disk before it sends any message that depends on it.
+struct DurableState {
+  // Highest epoch that this agent has promised, and the member to which it did.
+  Epoch promised_epoch = 0;
   std::string promised_to;
-  Register kept;
+  // Newest register that this agent has accepted.
+  Register accepted;
 };
 
-nlohmann::json ToJson(const Durable& durable);
-Durable DurableFrom(const nlohmann::json& json);  // throws nlohmann::json::exception
+nlohmann::json ToJson(const DurableState& durable);
+// Throws nlohmann::json::exception if a field is missing or of the wrong type.
+DurableState DurableStateFromJson(const nlohmann::json& json);
 
 struct Message {
   enum class Kind {
-    kClaim,    // may I lead in this epoch?
-    kPromise,  // yes, and this is what I have kept
-    kDeny,     // no: promised to another, or there is a leader; `epoch` is the highest promised
-    kKeep,     // keep this; also the leader's sign of life, then without a value
-    kKept,     // I have it up to `kept.seq`
+    // Request: promise `epoch` to the sender.
+    kPrepare,
+    // Answer: the epoch is promised; `content` is the register that the sender has accepted.
+    kPromise,
+    // Answer: the epoch is promised to another member or there is a leader; `epoch` is the highest promised.
+    kReject,
+    // Request: accept `content`. Without a value it is the leader's heartbeat only.
+    kAccept,
+    // Answer: everything up to `content.seq` is accepted.
+    kAccepted,
   };
-  Kind kind = Kind::kClaim;
+  Kind kind = Kind::kPrepare;
   Epoch epoch = 0;
-  std::uint64_t round = 0;  // of the sender's question, told again in the answer
+  // Number of the sender's request, repeated in the answer.
+  std::uint64_t round = 0;
   bool has_value = false;
-  Register kept;
+  Register content;
 };
 
 nlohmann::json ToJson(const Message& message);
-Message MessageFrom(const nlohmann::json& json);  // throws nlohmann::json::exception
+// Throws nlohmann::json::exception if a field is missing, of the wrong type, or the kind is unknown.
+Message MessageFromJson(const nlohmann::json& json);
 
 struct Timing {
-  Time beat{300'000};     // between signs of life
-  Time lease{1'500'000};  // without most agents a leader stops; also, for so long a follower waits for it
-  Time claim_after{2'500'000};  // of silence, and up to half as much more by chance
+  // Time between two heartbeats of a leader.
+  Time heartbeat_interval{300'000};
+  // A leader steps down when no majority has answered for this long, and a follower promises no other
+  // candidate an epoch for this long after it heard from the leader.
+  Time lease{1'500'000};
+  // Silence after which a follower starts an election. A random delay of up to half as much is added.
+  Time election_timeout{2'500'000};
 };
 
-struct Got {
+// ---- events ----
+
+struct MessageReceived {
   std::string from;
   Message message;
 };
+// A new value for the register. Ignored unless this agent leads.
 struct Propose {
   std::string value;
-};  // by whoever leads; passed over otherwise
-using Event = std::variant<Got, Propose>;
+};
+using Event = std::variant<MessageReceived, Propose>;
 
-// In order; what follows a Persist must wait until it is on disk, and is dropped if the disk doesn't take it.
+// ---- actions, to be carried out in order ----
+
+// Actions after a Persist must wait until the state is on disk, and are dropped if the write fails.
 struct Persist {
-  Durable durable;
+  DurableState durable;
 };
 struct Send {
   std::string to;
   Message message;
 };
-struct Leads {
+// This agent leads from now on; `value` is the register's value.
+struct BecameLeader {
   Epoch epoch = 0;
   std::string value;
-};  // from now on, with the register as it stands
-struct Stopped {
-  std::string why;
-};  // leads no more
-struct ValueKept {
+};
+// This agent no longer leads.
+struct LostLeadership {
+  std::string reason;
+};
+// A majority has accepted the proposal with this sequence number.
+struct ValueCommitted {
   std::uint64_t seq = 0;
-};  // most have the value of that Propose, counted by seq
-using Action = std::variant<Persist, Send, Leads, Stopped, ValueKept>;
+};
+using Action = std::variant<Persist, Send, BecameLeader, LostLeadership, ValueCommitted>;
 
-class Lead {
+class LeaderElection {
  public:
-  // `members` holds `self`. `dice` spreads claims and is any number.
-  Lead(std::string self, std::vector<std::string> members, Timing timing, Durable durable,
-       std::uint64_t dice);
+  // `members` includes `self`. `random_state` seeds the random delay of elections and may be any number.
+  LeaderElection(std::string self, std::vector<std::string> members, Timing timing, DurableState durable,
+                 std::uint64_t random_state);
 
-  // `now` never goes back. To be called again at wake_at() at the latest. Messages of who is no member are
-  // passed over. Never fails.
+  // Processes the events and the timers that are due. `now` never goes back. To be called again at wake_at()
+  // at the latest. Messages from other than members are ignored. Never fails.
   std::vector<Action> Step(Time now, const std::vector<Event>& events);
   Time wake_at() const { return wake_at_; }
 
-  // Whether orders may be given just now: the lease is looked at anew, however long the caller was stopped.
-  bool Leading(Time now) const { return role_ == Role::kLeader && led_ && now < LeaseEnd(); }
-  Epoch epoch() const { return durable_.promised; }
-  // Who leads as far as is known; empty if nobody is heard of.
+  // Whether this agent leads and may give orders. The lease is checked on each call, so the answer is right
+  // even if the process was suspended since the last step.
+  bool IsLeader(Time now) const {
+    return role_ == Role::kLeader && leadership_announced_ && now < LeaseEnd();
+  }
+  Epoch epoch() const { return durable_.promised_epoch; }
+  // Name of the leader as far as this agent knows; empty if it has heard from none within the lease.
   std::string leader(Time now) const;
-  const Durable& durable() const { return durable_; }
-  // The sequence number that the last Propose got.
-  std::uint64_t proposed() const { return wanted_.seq; }
+  const DurableState& durable() const { return durable_; }
+  // Sequence number of the last Propose.
+  std::uint64_t proposed_seq() const { return proposal_.seq; }
 
  private:
-  enum class Role { kFollower, kClaimant, kLeader };
+  enum class Role { kFollower, kCandidate, kLeader };
 
-  void Take(Time now, const Got& got);
+  void HandleMessage(Time now, const MessageReceived& received);
   Message Answer(Time now, const std::string& from, const Message& message, std::vector<Action>* actions);
-  void Claim(Time now, std::vector<Action>* actions);
-  void TakeLead(Time now, std::vector<Action>* actions);
-  void Beat(Time now, std::vector<Action>* actions);
-  void Keep(std::vector<Action>* actions);
-  void Follow(Time now, std::vector<Action>* actions, const std::string& why);
+  void StartElection(Time now, std::vector<Action>* actions);
+  void AssumeLeadership(Time now, std::vector<Action>* actions);
+  void SendHeartbeats(Time now, std::vector<Action>* actions);
+  // Accepts the proposal at this agent and reports it once a majority has accepted it.
+  void AcceptProposal(std::vector<Action>* actions);
+  void BecomeFollower(Time now, std::vector<Action>* actions, const std::string& reason);
   Time LeaseEnd() const;
-  std::size_t most() const { return members_.size() / 2 + 1; }
-  Time ClaimAt(Time now);
+  std::size_t majority() const { return members_.size() / 2 + 1; }
+  Time NextElection(Time now);
 
   std::string self_;
   std::vector<std::string> members_;
   Timing timing_;
-  Durable durable_;
-  std::uint64_t dice_;
+  DurableState durable_;
+  std::uint64_t random_state_;
   Role role_ = Role::kFollower;
-  bool led_ = false;  // Leads has been said in this epoch
-  Time claim_at_{0}, beat_at_{0}, wake_at_{0};
-  Time heard_{Time::min() / 2};  // the leader that was promised
+  // BecameLeader was returned in this epoch.
+  bool leadership_announced_ = false;
+  Time election_at_{0}, heartbeat_at_{0}, wake_at_{0};
+  // When the leader to which the epoch is promised was last heard from.
+  Time leader_heard_at_{Time::min() / 2};
   bool started_ = false;
   std::uint64_t round_ = 0;
-  std::map<std::uint64_t, Time> asked_;       // when each round went out
-  std::map<std::string, Time> answered_;      // the youngest round each answered, by when it went out
-  std::map<std::string, std::uint64_t> has_;  // the register's seq at each, in this epoch
+  // When the requests of each round were sent.
+  std::map<std::uint64_t, Time> round_sent_at_;
+  // For each member, when the newest request that it has answered was sent.
+  std::map<std::string, Time> answered_request_sent_at_;
+  // Sequence number of the register that each member has accepted in this epoch.
+  std::map<std::string, std::uint64_t> accepted_seq_;
   std::map<std::string, Register> promises_;
-  Register wanted_;  // the leader's register, kept by most or not yet
-  std::uint64_t told_kept_ = 0;
-  Epoch seen_ = 0;
+  // The leader's register, whether or not a majority has accepted it yet.
+  Register proposal_;
+  std::uint64_t reported_committed_seq_ = 0;
+  // Highest epoch seen in any message.
+  Epoch highest_epoch_ = 0;
 };
 
 }  // namespace oxbowspread::lead
--- a/src/supervise/keeper.cpp
+++ b/src/supervise/keeper.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 using change::Belief;
-using change::Want;
+using change::DesiredPhase;
 
 constexpr Time kLookEach = 200ms;
 constexpr Time kPollStarting = 50ms, kPollUp = 250ms;
@@ -216,8 +216,8 @@
     }
     return;
   }
-  const bool pause = desired_.want == Want::kPaused && status_->phase == Belief::Phase::kServing;
-  const bool resume = desired_.want == Want::kServing && status_->phase == Belief::Phase::kPaused;
+  const bool pause = desired_.want == DesiredPhase::kPaused && status_->phase == Belief::Phase::kServing;
+  const bool resume = desired_.want == DesiredPhase::kServing && status_->phase == Belief::Phase::kPaused;
   if ((!pause && !resume) || now < ask_at_) return;
   ask_at_ = now + kAskEach;
   actions->push_back(Ask{pause ? "drain" : "resume", {}});
@@ -234,7 +234,7 @@
 std::optional<change::Belief> Keeper::Tell(const std::string& instance, Time now) const {
   Belief b;
   b.instance = instance;
-  b.at = now;
+  b.requested_at = now;
   b.pid = pid_;
   b.fault = fault_;
   b.fault_stamp = fault_stamp_;
@@ -254,11 +254,11 @@
       return b;
     case Life::kUp:
       if (!status_ || now - status_at_ > kSilence) return std::nullopt;
-      b.at = status_at_;
+      b.requested_at = status_at_;
       b.phase = status_->phase;
       b.settled = status_->settled;
       b.stamp = status_->stamp;
-      b.held = status_->held;
+      b.held_messages = status_->held;
       b.counts = status_->counts;
       return b;
   }
--- a/src/supervise/keeper.hpp
+++ b/src/supervise/keeper.hpp
@@ -19,7 +19,7 @@
 using Time = std::chrono::microseconds;  // monotonic
 
 struct Desired {
-  change::Want want = change::Want::kServing;
+  change::DesiredPhase want = change::DesiredPhase::kServing;
   std::string stamp;    // by which it is to run
   bool reload = false;  // a running one gets there by a reload
 
--- a/tests/group/engine_test.cpp
+++ b/tests/group/engine_test.cpp
@@ -21,7 +21,7 @@
   struct One {
     Phase phase = Phase::kServing;
     std::string stamp = "v1@first", goal_stamp = "v1@first";
-    Want want = Want::kServing;
+    DesiredPhase want = DesiredPhase::kServing;
     Time ready_at{0}, settled_at{0};
     std::int64_t pid = 0, deaths = 0;
     Counts counts;
@@ -54,7 +54,7 @@
       if (!one.reachable) continue;
       Belief b;
       b.instance = name;
-      b.at = now;
+      b.requested_at = now;
       b.phase = one.phase;
       b.settled = one.phase == Phase::kPaused && now >= one.settled_at;
       b.stamp = one.phase == Phase::kDown ? "" : one.stamp;
@@ -62,7 +62,7 @@
       b.fault = one.fault;
       b.fault_stamp = one.fault_stamp;
       b.counts = one.counts;
-      events.push_back(Heard{b});
+      events.push_back(BeliefReceived{b});
     }
     Carry(engine->Step({now, weekday, minute}, events));
   }
@@ -70,13 +70,13 @@
   void Carry(const std::vector<Action>& actions) {
     bool kept = true;
     for (const Action& action : actions) {
-      if (const auto* keep = std::get_if<Keep>(&action)) {
+      if (const auto* keep = std::get_if<PersistRecord>(&action)) {
         record = keep->record;
         kept = true;
       } else if (const auto* order = std::get_if<Order>(&action)) {
         CHECK(kept);
         Take(*order);
-      } else if (const auto* tell = std::get_if<Tell>(&action)) {
+      } else if (const auto* tell = std::get_if<AddHistory>(&action)) {
         told.push_back(tell->instance + " " + tell->text);
       }
     }
@@ -86,7 +86,7 @@
     One& one = all.at(order.instance);
     if (!one.reachable) return;
     orders.push_back(order);
-    one.want = order.want;
+    one.want = order.desired_phase;
     if (order.stamp.empty() || order.stamp == one.goal_stamp) return;
     one.goal_stamp = order.stamp;
     one.fault.clear();
@@ -107,17 +107,17 @@
   void Move(One& one) {
     const bool bad = bad_versions.count(VersionOf(one.goal_stamp)) > 0;
     if (one.phase == Phase::kServing) {
-      one.counts.asked += rate_each;
+      one.counts.received += rate_each;
       one.counts.ended += rate_each;
-      if (refusing_versions.count(VersionOf(one.stamp)) > 0) one.counts.refused += rate_each / 2;
+      if (refusing_versions.count(VersionOf(one.stamp)) > 0) one.counts.rejected += rate_each / 2;
     }
-    if (one.phase == Phase::kServing && one.want == Want::kPaused) {
+    if (one.phase == Phase::kServing && one.want == DesiredPhase::kPaused) {
       one.phase = Phase::kPaused;
       one.settled_at = now + 500ms;
-    } else if (one.phase == Phase::kPaused && one.want == Want::kServing) {
+    } else if (one.phase == Phase::kPaused && one.want == DesiredPhase::kServing) {
       one.phase = Phase::kServing;
     } else if ((one.phase == Phase::kEnding || one.phase == Phase::kDown) && now >= one.ready_at && !bad) {
-      one.phase = one.want == Want::kPaused ? Phase::kPaused : Phase::kServing;
+      one.phase = one.want == DesiredPhase::kPaused ? Phase::kPaused : Phase::kServing;
       one.stamp = one.goal_stamp;
       one.pid = ++pids;
       one.counts = {};
@@ -135,7 +135,7 @@
     return static_cast<int>(std::count_if(all.begin(), all.end(),
                                           [](const auto& a) { return a.second.phase == Phase::kServing; }));
   }
-  bool over() const { return engine->record() && Over(engine->record()->state); }
+  bool over() const { return engine->record() && IsFinished(engine->record()->state); }
   State state() const { return engine->record()->state; }
   void UntilOver(int turns = 2000) {
     while (!over() && turns-- > 0) Turn();
@@ -148,7 +148,7 @@
   }
 
   Limits limits;
-  std::vector<Member> members;
+  std::vector<InstanceCapacity> members;
   std::map<std::string, One> all;
   std::optional<Engine> engine;
   std::optional<Record> record;
@@ -164,16 +164,16 @@
 
 Limits Quick() {
   Limits l;
-  l.observe_for = 1s;
-  l.watch_for = 1s;
-  l.settle_within = 3s;
-  l.ready_within = 5s;
+  l.observation_time = 1s;
+  l.watch_time = 1s;
+  l.settle_timeout = 3s;
+  l.ready_timeout = 5s;
   return l;
 }
 
 TEST_CASE("a rolling restart turns each instance once, one out at a time") {
   Model m(5, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   int least = 5;
   while (!m.over()) {
     m.Turn();
@@ -189,17 +189,17 @@
 
 TEST_CASE("nothing is taken out before the group was observed") {
   Model m(3, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   for (int i = 0; i < 8; ++i) m.Turn();
   CHECK(m.orders.empty());
-  CHECK(m.engine->held_back().find("observing") == 0);
+  CHECK(m.engine->blocked_reason().find("observing") == 0);
 }
 
 TEST_CASE("two may be out at once where the limits say so, and never three") {
   Limits l = Quick();
-  l.most_out = l.batch = 2;
+  l.max_unavailable = l.max_in_progress = 2;
   Model m(6, l);
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   int least = 6;
   while (!m.over()) {
     m.Turn();
@@ -211,10 +211,10 @@
 TEST_CASE("the guard holds back while the rest can't carry the rate, and goes on when it falls") {
   Model m(3, Quick());
   m.rate_each = 9;  // 270 a second in all; the other two carry 0.8 * 200
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   for (int i = 0; i < 100; ++i) m.Turn();
   CHECK(m.orders.empty());
-  CHECK(m.engine->held_back().find("the rest can carry 160 messages a second") != std::string::npos);
+  CHECK(m.engine->blocked_reason().find("the rest can carry 160 messages a second") != std::string::npos);
   m.rate_each = 2;
   m.UntilOver();
   CHECK(m.state() == State::kDone);
@@ -225,19 +225,19 @@
   m.Turn();
   m.Kill("n3");
   m.all["n3"].ready_at = m.now + 20s;
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   for (int i = 0; i < 50; ++i) m.Turn();
   CHECK(m.orders.empty());
-  CHECK(m.engine->held_back().find("n3 down") != std::string::npos);
+  CHECK(m.engine->blocked_reason().find("n3 down") != std::string::npos);
   m.UntilOver();
   CHECK(m.state() == State::kDone);
 }
 
 TEST_CASE("an instance killed at each stage ends serving by the new order") {
   for (const Stage stage :
-       {Stage::kWaiting, Stage::kPausing, Stage::kTurning, Stage::kWatching, Stage::kDone}) {
+       {Stage::kWaiting, Stage::kPausing, Stage::kApplying, Stage::kWatching, Stage::kDone}) {
     Model m(3, Quick());
-    m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+    m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
     while (m.engine->record()->progress[1].stage != stage) m.Turn();
     m.Kill("n2");
     m.UntilOver();
@@ -250,27 +250,27 @@
 
 TEST_CASE("one that dies again and again while watched fails its gate, and the rest is left alone") {
   Model m(3, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   while (!m.over()) {
     m.Turn();
     if (m.engine->record()->progress[0].stage == Stage::kWatching && m.all["n1"].phase == Phase::kServing)
       m.Kill("n1");
   }
   CHECK(m.state() == State::kFailed);
-  CHECK(m.record->why.find("n1: died 3 times") == 0);
+  CHECK(m.record->reason.find("n1: died 3 times") == 0);
   CHECK(m.all["n2"].stamp == "v1@first");
 }
 
 TEST_CASE("no step is taken on what is unknown, and a time limit doesn't run against it") {
   Model m(3, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
-  while (m.engine->record()->progress[0].stage != Stage::kTurning) m.Turn();
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
+  while (m.engine->record()->progress[0].stage != Stage::kApplying) m.Turn();
   m.all["n1"].reachable = false;
   const auto before = m.orders.size();
   for (int i = 0; i < 200; ++i) m.Turn();  // 20 s, four times ready_within
-  CHECK(m.engine->record()->progress[0].stage == Stage::kTurning);
+  CHECK(m.engine->record()->progress[0].stage == Stage::kApplying);
   CHECK(m.orders.size() == before);
-  CHECK(m.engine->held_back().find("n1 is unknown since") == 0);
+  CHECK(m.engine->blocked_reason().find("n1 is unknown since") == 0);
   m.all["n1"].reachable = true;
   m.UntilOver();
   CHECK(m.state() == State::kDone);
@@ -281,9 +281,9 @@
   for (int i = 0; i < 20; ++i) m.Turn();
   m.all["n3"].reachable = false;
   for (int i = 0; i < 30; ++i) m.Turn();
-  CHECK(m.engine->Rate() == Approx(150).margin(10));
-  CHECK(m.engine->HeldBackBy({m.now, 3, 600}, "n1") == "at most 1 may be out: n3 unknown");
-  CHECK(m.engine->Fresh(m.now, "n3") == nullptr);
+  CHECK(m.engine->MessageRate() == Approx(150).margin(10));
+  CHECK(m.engine->BlockedBy({m.now, 3, 600}, "n1") == "at most 1 may be out: n3 unknown");
+  CHECK(m.engine->FreshBelief(m.now, "n3") == nullptr);
 }
 
 TEST_CASE("an older belief never replaces a younger one") {
@@ -291,19 +291,19 @@
   m.Turn();
   Belief old;
   old.instance = "n1";
-  old.at = m.now - 50ms;
+  old.requested_at = m.now - 50ms;
   old.phase = Phase::kDown;
-  m.engine->Step({m.now, 3, 600}, {Heard{old}});
-  CHECK(m.engine->Fresh(m.now, "n1")->phase == Phase::kServing);
+  m.engine->Step({m.now, 3, 600}, {BeliefReceived{old}});
+  CHECK(m.engine->FreshBelief(m.now, "n1")->phase == Phase::kServing);
 }
 
 TEST_CASE("a configuration that doesn't come up is rolled back and the rest untouched") {
   Model m(4, Quick());
   m.bad_versions = {"v2"};
-  m.Turn({Begin{m.SpecOf(Kind::kReconfigure, "v2")}});
+  m.Turn({StartChange{m.SpecOf(Kind::kReconfigure, "v2")}});
   m.UntilOver();
   CHECK(m.state() == State::kRolledBack);
-  CHECK(m.record->why == "n1: does not come up");
+  CHECK(m.record->reason == "n1: does not come up");
   CHECK(m.all["n1"].stamp == "v1@c1.1u");
   CHECK(m.all["n1"].phase == Phase::kServing);
   for (const char* name : {"n2", "n3", "n4"}) CHECK(m.all[name].stamp == "v1@first");
@@ -311,16 +311,16 @@
 
 TEST_CASE("a configuration that refuses more fails its gate: all that were turned go back, last first") {
   Model m(4, Quick());
-  m.limits.least_sample = 20;
+  m.limits.min_sample = 20;
   m.engine.emplace(m.members, m.limits);
   Spec spec = m.SpecOf(Kind::kReconfigure, "v2");
   spec.targets[2].to = "v3";
   m.refusing_versions = {"v3"};
-  m.Turn({Begin{spec}});
+  m.Turn({StartChange{spec}});
   m.UntilOver();
   CHECK(m.state() == State::kRolledBack);
-  CHECK(m.record->why.find("n3: refused 40.0%") == 0);
-  CHECK(m.stage_count(Stage::kUndone) == 3);
+  CHECK(m.record->reason.find("n3: refused 40.0%") == 0);
+  CHECK(m.stage_count(Stage::kReverted) == 3);
   for (const auto& [name, one] : m.all) CHECK(VersionOf(one.stamp) == "v1");
   CHECK(m.all["n4"].stamp == "v1@first");
   CHECK(m.serving() == 4);
@@ -328,7 +328,7 @@
 
 TEST_CASE("a reload takes nobody out") {
   Model m(3, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kReconfigure, "v2", true)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kReconfigure, "v2", true)}});
   while (!m.over()) {
     m.Turn();
     CHECK(m.serving() == 3);
@@ -339,26 +339,26 @@
 
 TEST_CASE("an order that an agent refuses for good rolls back at once") {
   Model m(2, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kReconfigure, "v2", true)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kReconfigure, "v2", true)}});
   while (m.orders.empty()) m.Turn();
-  m.Turn({Refused{"n1", "v2@c1.1", "limits.sockets: must be at least 48"}});
+  m.Turn({OrderRejected{"n1", "v2@c1.1", "limits.sockets: must be at least 48"}});
   CHECK(m.record->state == State::kRollingBack);
   m.UntilOver();
   CHECK(m.state() == State::kRolledBack);
-  CHECK(m.record->why.find("limits.sockets") != std::string::npos);
+  CHECK(m.record->reason.find("limits.sockets") != std::string::npos);
 }
 
 TEST_CASE("pause begins nothing new, resume goes on, abort ends with what has begun") {
   Model m(4, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   while (m.engine->record()->progress[0].stage != Stage::kPausing) m.Turn();
-  m.Turn({Say{Word::kHold}});
+  m.Turn({OperatorRequest{OperatorCommand::kPause}});
   for (int i = 0; i < 100; ++i) m.Turn();
   CHECK(m.stage_count(Stage::kDone) == 1);
   CHECK(m.stage_count(Stage::kWaiting) == 3);
-  m.Turn({Say{Word::kGoOn}});
-  while (m.engine->record()->progress[1].stage != Stage::kTurning) m.Turn();
-  m.Turn({Say{Word::kAbort}});
+  m.Turn({OperatorRequest{OperatorCommand::kResume}});
+  while (m.engine->record()->progress[1].stage != Stage::kApplying) m.Turn();
+  m.Turn({OperatorRequest{OperatorCommand::kAbort}});
   m.UntilOver();
   CHECK(m.state() == State::kAborted);
   CHECK(m.stage_count(Stage::kDone) == 2);
@@ -367,23 +367,24 @@
 
 TEST_CASE("a second change is refused with the first one's name") {
   Model m(3, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   Spec second = m.SpecOf(Kind::kDrain);
   second.id = "c2";
-  CHECK(m.engine->Objection(second) == "change c1 (restart by test) is not over yet");
-  m.Turn({Begin{second}});
+  CHECK(m.engine->RejectionReason(second) == "change c1 (restart by test) is not over yet");
+  m.Turn({StartChange{second}});
   CHECK(m.engine->record()->spec.id == "c1");
 }
 
 TEST_CASE("a drain leaves an instance paused, resume brings it back, and more than the limit is refused") {
   Model m(3, Quick());
-  CHECK(m.engine->Objection(m.SpecOf(Kind::kDrain)) == "would leave 3 instances out, and the limits allow 1");
+  CHECK(m.engine->RejectionReason(m.SpecOf(Kind::kDrain)) ==
+        "would leave 3 instances out, and the limits allow 1");
   Spec drain{"c1", Kind::kDrain, "test", {{"n2", "v1", "v1", false}}};
-  m.Turn({Begin{drain}});
+  m.Turn({StartChange{drain}});
   m.UntilOver();
   CHECK(m.all["n2"].phase == Phase::kPaused);
   Spec resume{"c2", Kind::kResume, "test", {{"n2", "v1", "v1", false}}};
-  m.Turn({Begin{resume}});
+  m.Turn({StartChange{resume}});
   m.UntilOver();
   CHECK(m.all["n2"].phase == Phase::kServing);
   CHECK(m.all["n2"].stamp == "v1@first");
@@ -396,10 +397,10 @@
   m.rate_each = 2;  // one alone could carry it
   m.weekday = 6;
   m.minute = 23 * 60;
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   for (int i = 0; i < 50; ++i) m.Turn();
   CHECK(m.orders.empty());
-  CHECK(m.engine->held_back() == "frozen: sat 22:00 to 06:00");
+  CHECK(m.engine->blocked_reason() == "frozen: sat 22:00 to 06:00");
   m.weekday = 0;  // Sunday morning belongs to the night before
   m.minute = 5 * 60 + 59;
   m.Turn();
@@ -418,16 +419,16 @@
 
 TEST_CASE("the record goes through its form on disk unchanged, and a damaged one names its field") {
   Model m(3, Quick());
-  m.Turn({Begin{m.SpecOf(Kind::kReconfigure, "v2")}});
-  while (m.engine->record()->progress[1].stage != Stage::kTurning) m.Turn();
+  m.Turn({StartChange{m.SpecOf(Kind::kReconfigure, "v2")}});
+  while (m.engine->record()->progress[1].stage != Stage::kApplying) m.Turn();
   const Json json = ToJson(*m.record);
-  CHECK(ToJson(RecordFrom(json)) == json);
+  CHECK(ToJson(RecordFromJson(json)) == json);
   Json bad = json;
   bad["targets"][0]["stage"] = "dancing";
-  CHECK_THROWS_WITH(RecordFrom(bad), "stage: unknown: 'dancing'");
+  CHECK_THROWS_WITH(RecordFromJson(bad), "stage: unknown: 'dancing'");
   bad = json;
   bad.erase("by");
-  CHECK_THROWS_WITH(RecordFrom(bad), Catch::Matchers::Contains("by"));
+  CHECK_THROWS_WITH(RecordFromJson(bad), Catch::Matchers::Contains("by"));
 }
 
 // Whoever runs the change is replaced at any moment by one who has nothing but the record.
@@ -437,12 +438,12 @@
     std::mt19937 dice(seed);
     const auto chance = [&](double p) { return std::uniform_real_distribution<>()(dice) < p; };
     Limits l = Quick();
-    l.most_deaths = 100;
+    l.max_crashes = 100;
     Model m(5, l);
     const bool bad = seed % 3 == 0;
     if (bad) m.bad_versions = {"v2"};
-    m.Turn(
-        {Begin{m.SpecOf(seed % 2 == 0 ? Kind::kReconfigure : Kind::kRestart, seed % 2 == 0 ? "v2" : "v1")}});
+    m.Turn({StartChange{
+        m.SpecOf(seed % 2 == 0 ? Kind::kReconfigure : Kind::kRestart, seed % 2 == 0 ? "v2" : "v1")}});
     for (int turn = 0; turn < 4000 && !m.over(); ++turn) {
       const bool calm = turn > 400;
       std::vector<Event> events;
@@ -454,7 +455,7 @@
       }
       if (!calm && chance(0.03)) {
         m.engine.emplace(m.members, l);
-        events.push_back(Continue{*m.record});
+        events.push_back(TakeOverChange{*m.record});
       }
       const auto orders = m.orders.size();
       m.Turn(events);
@@ -476,7 +477,7 @@
 
 TEST_CASE("the engine's step for 200 instances, by hand", "[.][scale]") {
   Limits l = Quick();
-  l.most_out = l.batch = 5;
+  l.max_unavailable = l.max_in_progress = 5;
   Model m(200, l);
   const auto resident = [] {
     std::ifstream file("/proc/self/statm");
@@ -485,7 +486,7 @@
     return pages * 4;  // kB
   };
   const long before = resident();
-  m.Turn({Begin{m.SpecOf(Kind::kRestart)}});
+  m.Turn({StartChange{m.SpecOf(Kind::kRestart)}});
   std::vector<double> us;
   while (!m.over()) {
     std::vector<Event> events;
--- a/tests/group/files_test.cpp
+++ b/tests/group/files_test.cpp
@@ -53,10 +53,10 @@
   CHECK(g.name == "coulee");
   CHECK(g.keys == f.path + "/keys");
   CHECK(g.instances.at(0).config_path == f.path + "/n1.json");
-  CHECK(g.limits.most_out == 2);
-  CHECK(g.limits.settle_within == std::chrono::minutes(1));
+  CHECK(g.limits.max_unavailable == 2);
+  CHECK(g.limits.settle_timeout == std::chrono::minutes(1));
   CHECK(g.limits.freezes.at(0).days == 0x41u);
-  CHECK(g.limits.freezes.at(0).from == 360);
+  CHECK(g.limits.freezes.at(0).start_minute == 360);
 }
 
 TEST_CASE("every fault of a group file is one line with file, line and key") {
--- a/tests/group/keeper_test.cpp
+++ b/tests/group/keeper_test.cpp
@@ -11,13 +11,13 @@
 
 using namespace std::chrono_literals;
 using change::Belief;
-using change::Want;
+using change::DesiredPhase;
 using Phase = Belief::Phase;
 
 // The process, its folder's lock, and the answers of its control socket.
 class Host {
  public:
-  explicit Host(Desired desired = {Want::kServing, "v1@first", false}) : keeper(std::move(desired)) {}
+  explicit Host(Desired desired = {DesiredPhase::kServing, "v1@first", false}) : keeper(std::move(desired)) {}
 
   void Run(Time span) {
     for (const Time until = now + span; now < until;) {
@@ -159,7 +159,7 @@
   CHECK(h.spawns <= 6);
   // Another order makes a fresh start of it at once.
   h.ends_at_once.reset();
-  h.Step({Desire{{Want::kServing, "v0@c1.1u", false}}});
+  h.Step({Desire{{DesiredPhase::kServing, "v0@c1.1u", false}}});
   h.Run(1s);
   CHECK(h.told() == Phase::kServing);
   CHECK(h.keeper.Tell("n1", h.now)->fault.empty());
@@ -181,13 +181,13 @@
 TEST_CASE("another stamp restarts it by SIGTERM, and by SIGKILL only where that is not heeded") {
   Host h;
   h.Run(1s);
-  h.Step({Desire{{Want::kServing, "v2@c1.1", false}}});
+  h.Step({Desire{{DesiredPhase::kServing, "v2@c1.1", false}}});
   h.Run(2s);
   CHECK(h.signals == std::vector<int>{SIGTERM});
   CHECK(h.stamp == "v2@c1.1");
   CHECK(h.keeper.deaths() == 0);
   h.deaf = true;
-  h.Step({Desire{{Want::kServing, "v3@c2.1", false}}});
+  h.Step({Desire{{DesiredPhase::kServing, "v3@c2.1", false}}});
   h.Run(4s);
   CHECK(h.signals.size() == 2);
   h.Run(3s);
@@ -199,12 +199,12 @@
   Host h;
   h.Run(1s);
   const auto pid = h.pid;
-  h.Step({Desire{{Want::kServing, "v2@c1.1", true}}});
+  h.Step({Desire{{DesiredPhase::kServing, "v2@c1.1", true}}});
   h.Run(1s);
   CHECK(h.pid == pid);
   CHECK(h.stamp == "v2@c1.1");
   h.reload_fault = "limits.sockets: must be at least 48";
-  h.Step({Desire{{Want::kServing, "v3@c2.1", true}}});
+  h.Step({Desire{{DesiredPhase::kServing, "v3@c2.1", true}}});
   h.Run(3s);
   CHECK(h.pid == pid);
   CHECK(h.keeper.Tell("n1", h.now)->fault ==
@@ -213,13 +213,13 @@
 }
 
 TEST_CASE("paused stays paused over a death, and resume serves") {
-  Host h({Want::kPaused, "v1@first", false});
+  Host h({DesiredPhase::kPaused, "v1@first", false});
   h.Run(1s);
   CHECK(h.told() == Phase::kPaused);
   h.End(-SIGKILL);
   h.Run(2s);
   CHECK(h.told() == Phase::kPaused);
-  h.Step({Desire{{Want::kServing, "v1@first", false}}});
+  h.Step({Desire{{DesiredPhase::kServing, "v1@first", false}}});
   h.Run(1s);
   CHECK(h.told() == Phase::kServing);
 }
@@ -265,11 +265,12 @@
           if (h.pid != 0) h.End(-SIGKILL);
           break;
         case 1:
-          last = {dice() % 2 == 0 ? Want::kPaused : Want::kServing, last.stamp, last.reload};
+          last = {dice() % 2 == 0 ? DesiredPhase::kPaused : DesiredPhase::kServing, last.stamp, last.reload};
           h.Step({Desire{last}});
           break;
         case 2:
-          last = {Want::kServing, "v" + std::to_string(i) + "@c" + std::to_string(i) + ".1", dice() % 2 == 0};
+          last = {DesiredPhase::kServing, "v" + std::to_string(i) + "@c" + std::to_string(i) + ".1",
+                  dice() % 2 == 0};
           h.Step({Desire{last}});
           break;
         case 3: {  // the agent dies: the next keeper knows what was ordered, and nothing else
@@ -283,7 +284,7 @@
     }
     h.Run(60s);
     REQUIRE(h.keeper.Tell("n1", h.now).has_value());
-    CHECK(h.told() == (last.want == Want::kPaused ? Phase::kPaused : Phase::kServing));
+    CHECK(h.told() == (last.want == DesiredPhase::kPaused ? Phase::kPaused : Phase::kServing));
     CHECK(h.stamp == last.stamp);
   }
 }
--- a/tests/group/lead_test.cpp
+++ b/tests/group/lead_test.cpp
@@ -14,8 +14,8 @@
 class Net {
  public:
   struct Agent {
-    std::optional<Lead> lead;
-    Durable disk;
+    std::optional<LeaderElection> lead;
+    DurableState disk;
     bool leads = false, stopped = false, disk_full = false;
     Epoch epoch = 0;
     std::string value;  // as it led or proposed
@@ -47,10 +47,10 @@
         Agent& to = agents[m.to];
         if (!to.lead || cut.count({m.from, m.to}) > 0) continue;
         if (to.stopped) {
-          waiting[m.to].push_back(Got{m.from, m.message});
+          waiting[m.to].push_back(MessageReceived{m.from, m.message});
           continue;
         }
-        Step(m.to, {Got{m.from, m.message}});
+        Step(m.to, {MessageReceived{m.from, m.message}});
       }
       for (const auto& name : names) {
         Agent& a = agents[name];
@@ -75,7 +75,7 @@
         const Time delay(static_cast<Time::rep>(dice() % static_cast<unsigned>(most_delay.count() + 1)));
         mail.push({now + 1ms + delay, name, send->to, send->message});
         if (doubled) mail.push({now + 5ms + delay * 2, name, send->to, send->message});
-      } else if (const auto* leads = std::get_if<Leads>(&action)) {
+      } else if (const auto* leads = std::get_if<BecameLeader>(&action)) {
         // What was kept by most must be what the next leader takes over.
         CHECK((leads->value == committed || attempted.count(leads->value) > 0));
         if (attempted.count(leads->value) == 0) CHECK(leads->value == committed);
@@ -86,9 +86,9 @@
         attempted.clear();
         CHECK(led.insert(leads->epoch).second);  // nobody else ever led in that epoch
         ++changes;
-      } else if (std::holds_alternative<Stopped>(action)) {
+      } else if (std::holds_alternative<LostLeadership>(action)) {
         a.leads = false;
-      } else if (const auto* kept = std::get_if<ValueKept>(&action)) {
+      } else if (const auto* kept = std::get_if<ValueCommitted>(&action)) {
         if (kept->seq == a.pending) {
           committed = a.value;
           ++commits;
@@ -101,27 +101,27 @@
     Agent& a = agents[name];
     a.value = value;
     attempted.insert(value);
-    a.pending = a.lead->proposed() + 1;
+    a.pending = a.lead->proposed_seq() + 1;
     Step(name, {Propose{value}});
   }
 
   // Of all that may act just now there is one.
   void Check() {
     int leading = 0;
-    for (const auto& [name, a] : agents) leading += a.lead && !a.stopped && a.leads && a.lead->Leading(now);
+    for (const auto& [name, a] : agents) leading += a.lead && !a.stopped && a.leads && a.lead->IsLeader(now);
     CHECK(leading <= 1);
   }
 
   std::string Leader() const {
     for (const auto& [name, a] : agents) {
-      if (a.lead && !a.stopped && a.leads && a.lead->Leading(now)) return name;
+      if (a.lead && !a.stopped && a.leads && a.lead->IsLeader(now)) return name;
     }
     return {};
   }
 
   void Wake(const std::string& name) {
     agents[name].stopped = false;
-    for (const Got& got : std::exchange(waiting[name], {})) Step(name, {got});
+    for (const MessageReceived& got : std::exchange(waiting[name], {})) Step(name, {got});
   }
 
   struct Mail {
@@ -134,7 +134,7 @@
   std::vector<std::string> names;
   std::map<std::string, Agent> agents;
   std::priority_queue<Mail> mail;
-  std::map<std::string, std::vector<Got>> waiting;
+  std::map<std::string, std::vector<MessageReceived>> waiting;
   std::set<std::pair<std::string, std::string>> cut;  // from, to
   std::set<std::string> attempted;                    // proposed since the last commit, perhaps kept by most
   std::set<Epoch> led;
@@ -152,7 +152,7 @@
   REQUIRE(net.Leader() == "a");
   net.ProposeAt("a", "x");
   CHECK(net.commits == 1);
-  CHECK(net.agents["a"].disk.kept.value == "x");
+  CHECK(net.agents["a"].disk.accepted.value == "x");
 }
 
 TEST_CASE("of three one leads, and the next takes over what was kept when it dies") {
@@ -213,30 +213,30 @@
   net.ProposeAt(second, "y");
   net.Run(200ms);
   // In the instant it is woken, before it has read anything: its lease is over by its own clock.
-  CHECK_FALSE(net.agents[first].lead->Leading(net.now));
+  CHECK_FALSE(net.agents[first].lead->IsLeader(net.now));
   net.Wake(first);
   net.Run(2s);
   CHECK(net.Leader() == second);
-  CHECK(net.agents[first].disk.promised == net.agents[second].epoch);
-  CHECK(net.agents[first].disk.kept.value == "y");
+  CHECK(net.agents[first].disk.promised_epoch == net.agents[second].epoch);
+  CHECK(net.agents[first].disk.accepted.value == "y");
 }
 
 TEST_CASE("an agent whose disk takes nothing neither promises nor leads") {
   Net net(3, 6);
   net.agents["a"].disk_full = true;
   net.Run(20s);
-  CHECK(net.agents["a"].disk.promised == 0);
+  CHECK(net.agents["a"].disk.promised_epoch == 0);
   CHECK_FALSE(net.Leader().empty());
   CHECK(net.Leader() != "a");
 }
 
 TEST_CASE("messages and disk go through their forms unchanged, a strange one is refused") {
-  const Durable d{7, "b", {6, 3, "value"}};
-  CHECK(ToJson(DurableFrom(ToJson(d))) == ToJson(d));
-  const Message m{Message::Kind::kKeep, 7, 9, true, {7, 4, "v"}};
-  CHECK(ToJson(MessageFrom(ToJson(m))) == ToJson(m));
-  CHECK_THROWS(MessageFrom({{"kind", "shout"}}));
-  CHECK_THROWS(MessageFrom({{"kind", "claim"}, {"epoch", "seven"}}));
+  const DurableState d{7, "b", {6, 3, "value"}};
+  CHECK(ToJson(DurableStateFromJson(ToJson(d))) == ToJson(d));
+  const Message m{Message::Kind::kAccept, 7, 9, true, {7, 4, "v"}};
+  CHECK(ToJson(MessageFromJson(ToJson(m))) == ToJson(m));
+  CHECK_THROWS(MessageFromJson({{"kind", "shout"}}));
+  CHECK_THROWS(MessageFromJson({{"kind", "claim"}, {"epoch", "seven"}}));
 }
 
 TEST_CASE(
