--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -36,9 +36,9 @@
   return folder;
 }
 
-lead::Durable ReadDurable(store::Store& store) {
+lead::DurableState ReadDurable(store::Store& store) {
   const auto text = store.Get(kLeadKey);
-  return text ? lead::DurableFrom(control::Json::parse(*text)) : lead::Durable();
+  return text ? lead::DurableStateFromJson(control::Json::parse(*text)) : lead::DurableState();
 }
 
 template <typename Map>
@@ -65,17 +65,17 @@
       }) {
   const group::Agent* const own = group_.FindAgent(options_.name);
   if (own == nullptr) throw group::Error(group_.path + ": agents: none is named '" + options_.name + "'");
-  if (!group_.keys.empty()) identity_.emplace(group_.keys, options_.name);
+  if (!group_.keys_folder.empty()) identity_.emplace(group_.keys_folder, options_.name);
   std::random_device random;
   lead_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), random());
   for (const group::Agent& agent : group_.agents) {
     if (agent.name == options_.name) continue;
     const auto address = net::ParseAddress(agent.address);
-    callers_[agent.name] = std::make_unique<control::Caller>(
-        loop_, [this, name = agent.name, address](control::Peer::Callbacks calls) {
-          RefreshKeys();
-          return control::Peer::ConnectTcp(loop_, *address, identity_->ToServer(name), std::move(calls));
-        });
+    callers_[agent.name] = std::make_unique<control::Caller>(loop_, [this, name = agent.name, address](
+                                                                        control::Peer::Callbacks calls) {
+      RefreshKeys();
+      return control::Peer::ConnectTcp(loop_, *address, identity_->NewClientSession(name), std::move(calls));
+    });
   }
   UpdateControllers();
   const auto handler = [this](const Json& request, const control::Answer& answer) {
@@ -87,7 +87,7 @@
         loop_, *net::ParseAddress(own->address),
         [this] {
           RefreshKeys();
-          return identity_->ToClient();
+          return identity_->NewServerSession();
         },
         handler,
         [this](const std::string& reason) {
@@ -114,7 +114,7 @@
   store_->AppendHistory({0, UnixMs(), change, instance, text});
 }
 
-change::Moment Agent::CurrentMoment() const {
+change::ClockReading Agent::CurrentMoment() const {
   const std::time_t unix_time = std::time(nullptr);
   std::tm local_time{};
   localtime_r(&unix_time, &local_time);
@@ -122,9 +122,9 @@
 }
 
 std::optional<change::Record> Agent::StoredRecord() const {
-  const std::string& value = lead_->durable().kept.value;
+  const std::string& value = lead_->durable().accepted.value;
   if (value.empty()) return std::nullopt;
-  return change::RecordFrom(Json::parse(value));
+  return change::RecordFromJson(Json::parse(value));
 }
 
 // ---- instances, group file, keys ----
@@ -138,12 +138,12 @@
     if (controllers_.count(instance.name) > 0) continue;
     supervise::Desired initial;
     if (const auto it = desired.find(instance.name); it != desired.end()) {
-      initial = {change::WantFrom(it->second.want), it->second.stamp, it->second.reload};
+      initial = {change::DesiredPhaseFromName(it->second.want), it->second.stamp, it->second.reload};
     } else {
       // A new instance starts with the present content of its configuration file.
       const std::string text = group::ReadFile(instance.config_path);
       config::ParseAndValidate(text);
-      initial = {change::Want::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
+      initial = {change::DesiredPhase::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
       store_->PutConfig(instance.name, change::VersionOf(initial.stamp), text);
       store_->PutDesired(instance.name, {NameOf(initial.want), initial.stamp, false});
     }
@@ -175,7 +175,7 @@
     text = group::ReadFile(options_.group_file);
     if (text == group_text_) return group_fault_.clear();  // also after a rejected edit was reverted
     const auto record = StoredRecord();
-    if (record && !change::Over(record->state))
+    if (record && !change::IsFinished(record->state))
       return refuse("change " + record->spec.id + " is not over yet");
     group::Group next = group::Read(options_.group_file);
     const auto address = [&](const group::Group& g) {
@@ -183,7 +183,7 @@
       for (const group::Agent& a : g.agents) all += a.name + "=" + a.address + " ";
       return all;
     };
-    if (address(next) != address(group_) || next.keys != group_.keys) {
+    if (address(next) != address(group_) || next.keys_folder != group_.keys_folder) {
       return refuse("agents or keys differ, which needs a restart of all agents");
     }
     std::swap(group_, next);
@@ -198,8 +198,8 @@
     RecordEvent({}, {}, "group file taken up");
     if (engine_) {
       auto last = engine_->record();
-      engine_.emplace(group_.members(), group_.limits);
-      if (last) StepEngine({change::Continue{*last}});
+      engine_.emplace(group_.instance_capacities(), group_.limits);
+      if (last) StepEngine({change::TakeOverChange{*last}});
     }
   } catch (const std::exception& e) {
     refuse(e.what());
@@ -208,7 +208,8 @@
 
 void Agent::RefreshKeys() {
   try {
-    if (identity_->Refresh()) RecordEvent({}, {}, "keys taken up, certificate " + identity_->serial());
+    if (identity_->ReloadIfChanged())
+      RecordEvent({}, {}, "keys taken up, certificate " + identity_->serial());
     keys_fault_.clear();
   } catch (const std::exception& e) {
     if (std::exchange(keys_fault_, e.what()) != e.what()) log_.Write(warn, {}, {}, keys_fault_);
@@ -244,7 +245,7 @@
                    {"deaths", controller->supervisor().unexpected_exits()}};
     if (const auto belief = controller->CurrentBelief()) {
       status["belief"] = ToJson(*belief);
-      status["age_ms"] = (now - belief->at) / 1ms;
+      status["age_ms"] = (now - belief->requested_at) / 1ms;
     }
     instances.push_back(std::move(status));
   }
@@ -260,7 +261,7 @@
                 {"instances", instances}};
   if (identity_) {
     local["certificate"] = identity_->serial();
-    local["certificate_until"] = identity_->good_until();
+    local["certificate_until"] = identity_->expires_at();
     local["keys_fault"] = keys_fault_;
   }
   return local;
@@ -269,21 +270,21 @@
 control::Json Agent::HandleLeadMessage(const std::string& from, const Json& request) {
   if (callers_.count(from) == 0) return ErrorAnswer("'" + from + "' is no other agent of the group");
   Json reply = ErrorAnswer("not on disk");
-  StepLead({lead::Got{from, lead::MessageFrom(request.at("message"))}}, from, &reply);
+  StepLead({lead::MessageReceived{from, lead::MessageFromJson(request.at("message"))}}, from, &reply);
   return reply;
 }
 
 // Accepts orders only from the leader to which this agent promised the epoch. A leader that was cut off and
 // has been replaced is fenced.
 control::Json Agent::HandleOrder(const std::string& from, const Json& request) {
-  const lead::Durable& durable = lead_->durable();
+  const lead::DurableState& durable = lead_->durable();
   const auto epoch = request.at("epoch").get<lead::Epoch>();
-  if (epoch != durable.promised || from != durable.promised_to) {
+  if (epoch != durable.promised_epoch || from != durable.promised_to) {
     ++fenced_orders_;
     RecordEvent(TextOf(request, "change"), TextOf(request, "instance"),
                 "order of " + from + " in epoch " + std::to_string(epoch) + " refused: epoch " +
-                    std::to_string(durable.promised) + " is promised to " + durable.promised_to);
-    return ErrorAnswer("fenced: epoch " + std::to_string(durable.promised) + " is promised to " +
+                    std::to_string(durable.promised_epoch) + " is promised to " + durable.promised_to);
+    return ErrorAnswer("fenced: epoch " + std::to_string(durable.promised_epoch) + " is promised to " +
                        durable.promised_to);
   }
   const std::string instance = request.at("instance"), stamp = request.at("stamp");
@@ -304,7 +305,8 @@
       return permanent_error;
     }
   }
-  controller->second->SetDesired({change::WantFrom(request.at("want")), stamp, request.at("reload")});
+  controller->second->SetDesired(
+      {change::DesiredPhaseFromName(request.at("want")), stamp, request.at("reload")});
   return {{"ok", true}};
 }
 
@@ -355,8 +357,8 @@
     // The engine's own record may be ahead of the committed one, and a next leader may not know it.
     if (!committed_record_) return answer;
     answer["change"] = ToJson(*committed_record_);
-    answer["held_back"] = engine_->held_back();
-    answer["rate"] = engine_->Rate();
+    answer["held_back"] = engine_->blocked_reason();
+    answer["rate"] = engine_->MessageRate();
   } else if (const auto record = StoredRecord()) {
     answer["change"] = ToJson(*record);
   }
@@ -374,20 +376,20 @@
 
 void Agent::BeginChange(const Json& request, const control::Answer& answer,
                         const std::set<std::string>* unreachable) {
-  if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeadingAnswer());
+  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
   const std::string kind = TextOf(request, "kind");
   if (const std::string name = TextOf(request, "request"); !name.empty() && engine_->record()) {
     // The request was accepted before: its sender lost the answer of this leader or of an earlier one.
-    if (engine_->record()->spec.request == name) return AnswerWhenCommitted(answer);
+    if (engine_->record()->spec.request_id == name) return AnswerWhenCommitted(answer);
   }
-  if (const auto& record = engine_->record(); record && !change::Over(record->state)) {
+  if (const auto& record = engine_->record(); record && !change::IsFinished(record->state)) {
     if (kind == "rollback") {
-      StepEngine({change::Say{change::Word::kRollBack}});
+      StepEngine({change::OperatorRequest{change::OperatorCommand::kRollBack}});
       return AnswerWhenCommitted(answer);
     }
     change::Spec placeholder;
     placeholder.targets.emplace_back();
-    return answer(ErrorAnswer(engine_->Objection(placeholder)));
+    return answer(ErrorAnswer(engine_->RejectionReason(placeholder)));
   }
   if (kind == "reconfigure") return OfferConfigs(request, answer);
   change::Spec spec;
@@ -399,9 +401,9 @@
     const net::Time now = net::Loop::Now();  // used for both checks, because a belief may expire in between
     std::set<std::string> agents_without_status;
     for (const Json& name : instances) {
-      const group::Instance* const instance = group_.Find(name);
+      const group::Instance* const instance = group_.FindInstance(name);
       if (kind != "restart" || instance == nullptr) continue;
-      if (engine_->Fresh(now, name) == nullptr) agents_without_status.insert(instance->agent);
+      if (engine_->FreshBelief(now, name) == nullptr) agents_without_status.insert(instance->agent);
     }
     if (!agents_without_status.empty() && unreachable == nullptr) {
       // This agent may have missed answers itself because a disk or a suspension held it up. Another agent
@@ -412,12 +414,12 @@
                            });
     }
     for (const Json& name : instances) {
-      const change::Belief* belief = engine_->Fresh(now, name);
-      if (group_.Find(name) == nullptr)
+      const change::Belief* belief = engine_->FreshBelief(now, name);
+      if (group_.FindInstance(name) == nullptr)
         return answer(ErrorAnswer("the group has no instance '" + name.get<std::string>() + "'"));
       if (belief == nullptr && kind == "restart") {
-        const bool recently_elected = now - leading_since_ < group_.limits.belief_age + kNewLeaderGrace;
-        if (!recently_elected && unreachable->count(group_.Find(name)->agent) > 0)
+        const bool recently_elected = now - leading_since_ < group_.limits.max_belief_age + kNewLeaderGrace;
+        if (!recently_elected && unreachable->count(group_.FindInstance(name)->agent) > 0)
           return answer(ErrorAnswer(name.get<std::string>() + " is unknown: its agent is out of reach"));
         // The leader is new, or the agent is reachable but has no status of its relay yet. The empty leader
         // makes the client retry as it does when no agent leads.
@@ -455,7 +457,8 @@
   const Json configs = request.value("configs", Json::object());
   if (configs.empty()) return answer(ErrorAnswer("names no instance"));
   for (const auto& [name, text] : configs.items()) {
-    if (group_.Find(name) == nullptr) return answer(ErrorAnswer("the group has no instance '" + name + "'"));
+    if (group_.FindInstance(name) == nullptr)
+      return answer(ErrorAnswer("the group has no instance '" + name + "'"));
   }
   round->pending = configs.size();
   const auto finish = [this, round, request, answer] {
@@ -473,7 +476,7 @@
   for (const auto& [name, text] : configs.items()) {
     const Json offer = {
         {"op", "offer"}, {"instance", name}, {"text", text}, {"dry_run", request.value("dry_run", false)}};
-    CallAgent(group_.Find(name)->agent, offer,
+    CallAgent(group_.FindInstance(name)->agent, offer,
               [round, finish, instance_name = name](const Json* reply, const std::string& reason) {
                 if (reply == nullptr || !reply->value("ok", false)) {
                   round->fault =
@@ -488,15 +491,15 @@
 }
 
 void Agent::StartChange(change::Spec spec, const Json& request, const control::Answer& answer) {
-  if (!lead_->Leading(net::Loop::Now())) return answer(NotLeadingAnswer());
-  spec.id = "c" + std::to_string(lead_->epoch()) + "-" + std::to_string(lead_->proposed() + 1);
-  spec.by = TextOf(request, "by");
-  spec.request = TextOf(request, "request");
-  if (const std::string from = TextOf(request, "from"); !from.empty()) spec.by = from;
-  if (const std::string reason = engine_->Objection(spec); !reason.empty())
+  if (!lead_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
+  spec.id = "c" + std::to_string(lead_->epoch()) + "-" + std::to_string(lead_->proposed_seq() + 1);
+  spec.requested_by = TextOf(request, "by");
+  spec.request_id = TextOf(request, "request");
+  if (const std::string from = TextOf(request, "from"); !from.empty()) spec.requested_by = from;
+  if (const std::string reason = engine_->RejectionReason(spec); !reason.empty())
     return answer(ErrorAnswer(reason));
   if (request.value("dry_run", false)) return answer(DescribePlan(spec));
-  StepEngine({change::Begin{spec}});
+  StepEngine({change::StartChange{spec}});
   AnswerWhenCommitted(answer);
 }
 
@@ -512,27 +515,27 @@
     plan_lines.push_back(
         {{"instance", t.instance},
          {"how", how},
-         {"now", guarded ? engine_->HeldBackBy(CurrentMoment(), t.instance) : std::string()}});
+         {"now", guarded ? engine_->BlockedBy(CurrentMoment(), t.instance) : std::string()}});
   }
-  return {{"ok", true}, {"plan", plan_lines}, {"kind", NameOf(spec.kind)}, {"rate", engine_->Rate()}};
+  return {{"ok", true}, {"plan", plan_lines}, {"kind", NameOf(spec.kind)}, {"rate", engine_->MessageRate()}};
 }
 
 void Agent::HandleChangeCommand(const Json& request, const control::Answer& answer) {
-  if (!engine_ || !lead_->Leading(net::Loop::Now())) return answer(NotLeadingAnswer());
+  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
   const std::string command_name = TextOf(request, "word");
   const auto& record = engine_->record();
-  if (!record || change::Over(record->state)) return answer(ErrorAnswer("no change is running"));
-  change::Word command{};
+  if (!record || change::IsFinished(record->state)) return answer(ErrorAnswer("no change is running"));
+  change::OperatorCommand command{};
   if (command_name == "pause") {
-    command = change::Word::kHold;
+    command = change::OperatorCommand::kPause;
   } else if (command_name == "resume") {
-    command = change::Word::kGoOn;
+    command = change::OperatorCommand::kResume;
   } else if (command_name == "abort") {
-    command = change::Word::kAbort;
+    command = change::OperatorCommand::kAbort;
   } else {
     return answer(ErrorAnswer("word: unknown: '" + command_name + "'"));
   }
-  StepEngine({change::Say{command}});
+  StepEngine({change::OperatorRequest{command}});
   AnswerWhenCommitted(answer);
 }
 
@@ -558,8 +561,8 @@
         return;
       }
     } else if (const auto* send = std::get_if<lead::Send>(&action)) {
-      const bool is_answer = send->message.kind == Kind::kPromise || send->message.kind == Kind::kDeny ||
-                             send->message.kind == Kind::kKept;
+      const bool is_answer = send->message.kind == Kind::kPromise || send->message.kind == Kind::kReject ||
+                             send->message.kind == Kind::kAccepted;
       if (is_answer) {
         if (reply != nullptr && send->to == sender)
           *reply = {{"ok", true}, {"message", ToJson(send->message)}};
@@ -569,20 +572,20 @@
                 [this, to = send->to](const Json* response, const std::string&) {
                   if (response == nullptr || !response->value("ok", false)) return;
                   try {
-                    StepLead({lead::Got{to, lead::MessageFrom(response->at("message"))}});
+                    StepLead({lead::MessageReceived{to, lead::MessageFromJson(response->at("message"))}});
                   } catch (const Json::exception& e) {
                     log_.Write(warn, {}, {}, to + " sent an answer that can't be read: " + e.what());
                   }
                 });
-    } else if (const auto* leads = std::get_if<lead::Leads>(&action)) {
+    } else if (const auto* leads = std::get_if<lead::BecameLeader>(&action)) {
       leading_epoch_ = leads->epoch;
       leading_since_ = now;
-      engine_.emplace(group_.members(), group_.limits);
+      engine_.emplace(group_.instance_capacities(), group_.limits);
       committed_record_.reset();
       RecordEvent({}, {}, "leads in epoch " + std::to_string(leading_epoch_));
       try {
         committed_record_ = StoredRecord();
-        if (committed_record_) StepEngine({change::Continue{*committed_record_}});
+        if (committed_record_) StepEngine({change::TakeOverChange{*committed_record_}});
       } catch (const std::exception& e) {
         // A majority stored this record intact, so another program version must have written it. An operator
         // has to look at it; the relays keep running.
@@ -590,13 +593,13 @@
                     std::string("the change on record can't be read and is not continued: ") + e.what());
       }
       CollectStatus();
-    } else if (const auto* stopped = std::get_if<lead::Stopped>(&action)) {
+    } else if (const auto* stopped = std::get_if<lead::LostLeadership>(&action)) {
       StopLeading();
-      RecordEvent({}, {}, "leads no more: " + stopped->why);
-    } else if (const auto* committed = std::get_if<lead::ValueKept>(&action)) {
+      RecordEvent({}, {}, "leads no more: " + stopped->reason);
+    } else if (const auto* committed = std::get_if<lead::ValueCommitted>(&action)) {
       for (Queued& queued : queue_) {
         if (queued.seq == 0 || queued.seq > committed->seq) continue;
-        auto record = std::get<change::Keep>(std::get<change::Action>(queued.content)).record;
+        auto record = std::get<change::PersistRecord>(std::get<change::Action>(queued.content)).record;
         queued.content = Reply{[this, record = std::move(record)](bool leading) {
           if (leading) committed_record_ = record;
         }};
@@ -629,9 +632,9 @@
 void Agent::ProcessQueue() {
   while (!queue_.empty()) {
     if (const auto* first = std::get_if<change::Action>(&queue_.front().content)) {
-      if (const auto* keep = std::get_if<change::Keep>(first)) {
+      if (const auto* keep = std::get_if<change::PersistRecord>(first)) {
         if (queue_.front().seq != 0) return;  // proposed and not committed yet
-        queue_.front().seq = lead_->proposed() + 1;
+        queue_.front().seq = lead_->proposed_seq() + 1;
         StepLead({lead::Propose{ToJson(keep->record).dump()}});
         return;  // StepLead has called ProcessQueue if the record is committed already
       }
@@ -646,7 +649,7 @@
     const change::Action& action = std::get<change::Action>(head.content);
     if (const auto* order = std::get_if<change::Order>(&action)) {
       SendOrder(*order);
-    } else if (const auto* tell = std::get_if<change::Tell>(&action)) {
+    } else if (const auto* tell = std::get_if<change::AddHistory>(&action)) {
       RecordEvent(engine_ && engine_->record() ? engine_->record()->spec.id : "", tell->instance, tell->text,
                   tell->step);
     }
@@ -654,12 +657,12 @@
 }
 
 void Agent::SendOrder(const change::Order& order) {
-  const group::Instance* const instance = group_.Find(order.instance);
-  if (instance == nullptr || !lead_->Leading(net::Loop::Now())) return;
+  const group::Instance* const instance = group_.FindInstance(order.instance);
+  if (instance == nullptr || !lead_->IsLeader(net::Loop::Now())) return;
   Json request = {{"op", "order"},
                   {"epoch", leading_epoch_},
                   {"instance", order.instance},
-                  {"want", NameOf(order.want)},
+                  {"want", NameOf(order.desired_phase)},
                   {"stamp", order.stamp},
                   {"reload", order.reload}};
   if (engine_ && engine_->record()) request["change"] = engine_->record()->spec.id;
@@ -669,14 +672,14 @@
               const std::string text = answer == nullptr ? reason : TextOf(*answer, "error");
               log_.Write(warn, {}, order.instance, "order not accepted: " + text);
               if (answer != nullptr && answer->value("never", false) && engine_) {
-                StepEngine({change::Refused{order.instance, order.stamp, text}});
+                StepEngine({change::OrderRejected{order.instance, order.stamp, text}});
               }
             });
 }
 
 void Agent::CollectStatus() {
   collect_timer_.After(kCollectInterval);
-  if (!engine_ || !lead_->Leading(net::Loop::Now())) return;
+  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return;
   for (const group::Agent& agent : group_.agents) {
     if (std::exchange(status_requested_[agent.name], true)) continue;
     const net::Time requested_at = net::Loop::Now();
@@ -716,11 +719,11 @@
     for (const Json& status : answer.at("instances")) {
       desired_versions_[status.at("instance")] = change::VersionOf(status.at("wanted_stamp"));
       if (!status.contains("belief")) continue;
-      change::Belief belief = change::BeliefFrom(status.at("belief"));
+      change::Belief belief = change::BeliefFromJson(status.at("belief"));
       // The greatest possible age: counted back from the time of the request by the age that the agent
       // states.
-      belief.at = requested_at - std::chrono::milliseconds(status.at("age_ms").get<std::int64_t>());
-      events.push_back(change::Heard{std::move(belief)});
+      belief.requested_at = requested_at - std::chrono::milliseconds(status.at("age_ms").get<std::int64_t>());
+      events.push_back(change::BeliefReceived{std::move(belief)});
     }
   } catch (const std::exception& e) {
     log_.Write(warn, {}, {}, e.what());
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -98,7 +98,7 @@
   void UpdateControllers();
   void CheckGroupFile();
   void RefreshKeys();
-  change::Moment CurrentMoment() const;
+  change::ClockReading CurrentMoment() const;
   // The latest record of the change on this agent's disk, which may not be committed.
   std::optional<change::Record> StoredRecord() const;
   // Writes to the log and to the history; empty fields are left out.
@@ -114,7 +114,7 @@
   std::optional<tls::Identity> identity_;
   std::map<std::string, std::unique_ptr<RelayController>> controllers_;
   std::map<std::string, std::unique_ptr<control::Caller>> callers_;
-  std::optional<lead::Lead> lead_;
+  std::optional<lead::LeaderElection> lead_;
   std::optional<change::Engine> engine_;
   std::optional<change::Record>
       committed_record_;  // latest record that a majority has stored, while this agent leads
--- a/src/supervise/keeper.cpp
+++ b/src/supervise/keeper.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 using change::Belief;
-using change::Want;
+using change::DesiredPhase;
 
 constexpr Time kSearchInterval = 200ms;
 constexpr Time kStartingQueryInterval = 50ms, kRunningQueryInterval = 250ms;
@@ -217,8 +217,8 @@
     }
     return;
   }
-  const bool pause = desired_.want == Want::kPaused && status_->phase == Belief::Phase::kServing;
-  const bool resume = desired_.want == Want::kServing && status_->phase == Belief::Phase::kPaused;
+  const bool pause = desired_.want == DesiredPhase::kPaused && status_->phase == Belief::Phase::kServing;
+  const bool resume = desired_.want == DesiredPhase::kServing && status_->phase == Belief::Phase::kPaused;
   if ((!pause && !resume) || now < next_command_at_) return;
   next_command_at_ = now + kCommandRetryInterval;
   actions->push_back(SendCommand{pause ? "drain" : "resume", {}});
@@ -235,7 +235,7 @@
 std::optional<change::Belief> Supervisor::CurrentBelief(const std::string& instance, Time now) const {
   Belief belief;
   belief.instance = instance;
-  belief.at = now;
+  belief.requested_at = now;
   belief.pid = pid_;
   belief.fault = fault_;
   belief.fault_stamp = fault_stamp_;
@@ -255,11 +255,11 @@
       return belief;
     case State::kRunning:
       if (!status_ || now - status_received_at_ > kMaxStatusAge) return std::nullopt;
-      belief.at = status_received_at_;
+      belief.requested_at = status_received_at_;
       belief.phase = status_->phase;
       belief.settled = status_->settled;
       belief.stamp = status_->stamp;
-      belief.held = status_->held;
+      belief.held_messages = status_->held;
       belief.counts = status_->counts;
       return belief;
   }
--- a/src/supervise/keeper.hpp
+++ b/src/supervise/keeper.hpp
@@ -22,7 +22,7 @@
 
 // The state that the relay is to be brought to.
 struct Desired {
-  change::Want want = change::Want::kServing;
+  change::DesiredPhase want = change::DesiredPhase::kServing;
   std::string stamp;    // names the order and the configuration version that the relay is to run by
   bool reload = false;  // a running relay takes the new stamp by a reload instead of a restart
 
