--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -51,7 +51,7 @@
   if (!wanted.trace.empty()) {
     trace.open(wanted.trace);
     if (!trace) throw yaml::Error(wanted.trace + ": can't be written");
-    keep = [&](const trace::Event& event) { trace << trace::ToLine(event) << "\n"; };
+    keep = [&](const trace::Event& event) { trace << trace::ToJsonLine(event) << "\n"; };
   }
   const lab::Outcome outcome = on_sockets ? lab::Play(scenario, day, {wanted.relay, folder, keep})
                                           : lab::Simulate(scenario, day, {folder, keep});
@@ -83,7 +83,7 @@
   if (!folder.empty()) {
     std::filesystem::create_directories(folder);
     trace.open(at + ".trace");
-    keep = [&](const trace::Event& event) { trace << trace::ToLine(event) << "\n"; };
+    keep = [&](const trace::Event& event) { trace << trace::ToJsonLine(event) << "\n"; };
   }
   const lab::Outcome outcome = lab::Play(scenario, day, {relay, at, keep});
   std::cout << lab::ReportOf(outcome, day, scenario.name).dump() << "\n";
@@ -155,7 +155,7 @@
   while (std::getline(in, line)) {
     ++number;
     try {
-      checker.See(trace::FromLine(line));
+      checker.Observe(trace::ParseJsonLine(line));
     } catch (const std::exception& e) {
       // A last line without its end is one that was cut short: the checker says so.
       if (in.eof()) break;
--- a/src/check/checker.cpp
+++ b/src/check/checker.cpp
@@ -10,7 +10,7 @@
 using Kind = Event::Kind;
 using namespace std::chrono_literals;
 
-constexpr Time kForgetAfter = 60s;  // what comes for an id later is unknown anyway
+constexpr Time kRetention = 60s;  // past its deadline; later events of an id count as unknown
 
 std::string Seconds(Time t) {
   char text[32];
@@ -22,310 +22,321 @@
 
 }  // namespace
 
-void Checker::Break(const Event& event, const char* rule, const std::string& id, const std::string& events) {
+void Checker::ReportBreach(const Event& event, const char* rule, const std::string& id,
+                           const std::string& events) {
   breaches_.push_back({event.at, rule, id, events});
 }
 
-void Checker::See(const Event& event) {
+void Checker::Observe(const Event& event) {
   if (event.at < now_) {
-    Break(event, "trace", event.id,
-          std::string(trace::NameOf(event.kind)) + " at " + Seconds(event.at) + " follows an event at " +
-              Seconds(now_));
+    ReportBreach(event, "trace", event.id,
+                 std::string(trace::NameOf(event.kind)) + " at " + Seconds(event.at) +
+                     " follows an event at " + Seconds(now_));
     return;
   }
   now_ = event.at;
-  Overdue(now_);
+  CheckOverdue(now_);
   switch (event.kind) {
-    case Kind::kHanded: {
-      Id& id = ids_[event.id];
-      id.relay = event.relay;
-      id.destination = event.destination;
-      id.until = event.until;
-      // Also one that is not taken on is forgotten some day.
-      over_.emplace_back(event.until, event.id);
+    case Kind::kSubmitted: {
+      Submission& submission = submissions_[event.id];
+      submission.relay = event.relay;
+      submission.destination = event.destination;
+      submission.deadline = event.deadline;
+      // Registered here rather than on acceptance, so that rejected submissions are removed too.
+      expiry_queue_.emplace_back(event.deadline, event.id);
       break;
     }
-    case Kind::kTaken: {
-      const auto it = ids_.find(event.id);
-      if (it == ids_.end()) return Break(event, "unknown-message", event.id, "taken on, never handed in");
-      it->second.taken_at = event.at;
-      if (!it->second.delivered && !it->second.noticed) {
-        Owe(event.id, it->second, it->second.until + rules_.end_within + rules_.slack);
+    case Kind::kAccepted: {
+      const auto it = submissions_.find(event.id);
+      if (it == submissions_.end())
+        return ReportBreach(event, "unknown-message", event.id, "taken on, never handed in");
+      it->second.accepted_at = event.at;
+      if (!it->second.delivered && !it->second.notice_received) {
+        ExpectEnd(event.id, it->second, it->second.deadline + rules_.end_grace + rules_.slack);
       }
       break;
     }
-    case Kind::kLeft:
-      if (const auto it = ids_.find(event.id); it != ids_.end()) it->second.left = true;
+    case Kind::kUnanswered:
+      if (const auto it = submissions_.find(event.id); it != submissions_.end()) it->second.unanswered = true;
       break;
     case Kind::kCalled:
-      return Called(event);
+      return OnCalled(event);
     case Kind::kAnswered:
-    case Kind::kDropped:
-      return Ended(event);
-    case Kind::kNoticed:
-      return Noticed(event);
-    case Kind::kTold: {
-      auto& not_up = Of(event.relay).not_up;
+    case Kind::kConnectionLost:
+      return OnCallEnded(event);
+    case Kind::kNoticeReceived:
+      return OnNoticeReceived(event);
+    case Kind::kHostAnnounced: {
+      auto& not_up_since = GetRelay(event.relay).not_up_since;
       if (event.up) {
-        not_up.erase(event.host);
+        not_up_since.erase(event.host);
       } else {
-        not_up.emplace(event.host, event.at);
+        not_up_since.emplace(event.host, event.at);
       }
       break;
     }
     case Kind::kReady:
-      return Ready(event);
-    case Kind::kTerminated:
-      Of(event.relay).terminated = true;
+      return OnReady(event);
+    case Kind::kTerminating:
+      GetRelay(event.relay).terminated = true;
       [[fallthrough]];
-    case Kind::kStopped:
-      Of(event.relay).ready = false;
-      Of(event.relay).restarting = true;
+    case Kind::kSuspended:
+      GetRelay(event.relay).ready = false;
+      GetRelay(event.relay).restarting = true;
       break;
-    case Kind::kDead:
-      return Dead(event);
-    case Kind::kOutage:
+    case Kind::kExited:
+      return OnExited(event);
+    case Kind::kHostOutage:
       hosts_[event.host].outage = true;
       break;
-    case Kind::kBack:
+    case Kind::kHostRecovered:
       hosts_[event.host].outage = false;
       hosts_[event.host].cold = true;
       break;
-    case Kind::kFell:
-      return Fell(event);
-    case Kind::kChanged:
-    case Kind::kDiscovery:
-      return discovery_.See(event);
+    case Kind::kHostCollapsed:
+      return OnHostCollapsed(event);
+    case Kind::kHostChanged:
+    case Kind::kDiscoveryReachable:
+      return discovery_.Observe(event);
     case Kind::kEnd:
-      ended_ = true;
+      run_ended_ = true;
       break;
-    case Kind::kAsked:
-    case Kind::kTurnedAway:
-    case Kind::kGivenUp:
+    case Kind::kMessageDue:
+    case Kind::kRejected:
+    case Kind::kAbandoned:
       break;
   }
 }
 
-void Checker::Owe(const std::string& name, Id& id, Time due) {
-  id.due = due;
-  due_.emplace(due, name);
+void Checker::ExpectEnd(const std::string& id, Submission& submission, Time due) {
+  submission.end_expected_by = due;
+  expected_ends_.emplace(due, id);
 }
 
-void Checker::Settle(const std::string& name, Id& id) {
-  if (id.due < 0us) return;
-  due_.erase({id.due, name});
-  id.due = Time(-1);
+void Checker::ClearExpectedEnd(const std::string& id, Submission& submission) {
+  if (submission.end_expected_by < 0us) return;
+  expected_ends_.erase({submission.end_expected_by, id});
+  submission.end_expected_by = Time(-1);
 }
 
-void Checker::Called(const Event& event) {
+void Checker::OnCalled(const Event& event) {
   ++calls_;
-  Relay& relay = Of(event.relay);
+  Relay& relay = GetRelay(event.relay);
   Host& host = hosts_[event.host];
   if (host.outage || host.cold) {
-    host.pushes.push_back({event.at, relay.knows.count(event.host) > 0});
-    while (host.pushes.front().at < event.at - rules_.tip_after) host.pushes.pop_front();
+    host.recent_calls.push_back({event.at, relay.seen_failing.count(event.host) > 0});
+    while (host.recent_calls.front().at < event.at - rules_.collapse_after) host.recent_calls.pop_front();
   }
   CheckDrain(event, relay);
-  if (const auto it = relay.waits.find(event.host);
-      it != relay.waits.end() && event.at < it->second.until &&
-      event.at > it->second.told + rules_.wait_let_through + rules_.slack) {
-    Break(event, "wait", event.id,
-          RelayName(event.relay) + " was told at " + Seconds(it->second.told) + " to wait with " +
-              event.host + " until " + Seconds(it->second.until) + ", and called it at " + Seconds(event.at));
+  if (const auto it = relay.host_waits.find(event.host);
+      it != relay.host_waits.end() && event.at < it->second.until &&
+      event.at > it->second.received_at + rules_.retry_after_grace + rules_.slack) {
+    ReportBreach(event, "wait", event.id,
+                 RelayName(event.relay) + " was told at " + Seconds(it->second.received_at) +
+                     " to wait with " + event.host + " until " + Seconds(it->second.until) +
+                     ", and called it at " + Seconds(event.at));
   }
-  const auto it = ids_.find(event.id);
-  if (it == ids_.end()) {
-    return Break(event, "unknown-message", event.id,
-                 event.host + " was called with what no client handed in");
+  const auto it = submissions_.find(event.id);
+  if (it == submissions_.end()) {
+    return ReportBreach(event, "unknown-message", event.id,
+                        event.host + " was called with what no client handed in");
   }
-  Id& id = it->second;
-  ++id.attempts;
-  if (event.destination != id.destination) {
-    Break(event, "wrong-destination", event.id,
-          "for destination " + std::to_string(id.destination) + ", and went to " + event.host + " of " +
-              std::to_string(event.destination));
+  Submission& submission = it->second;
+  ++submission.attempts;
+  if (event.destination != submission.destination) {
+    ReportBreach(event, "wrong-destination", event.id,
+                 "for destination " + std::to_string(submission.destination) + ", and went to " + event.host +
+                     " of " + std::to_string(event.destination));
   }
-  if (id.attempts > rules_.most_attempts) {
-    Break(event, "attempts", event.id, "called " + std::to_string(id.attempts) + " times");
+  if (submission.attempts > rules_.max_attempts) {
+    ReportBreach(event, "attempts", event.id, "called " + std::to_string(submission.attempts) + " times");
   }
-  if (!id.out.empty()) {
-    Break(event, "two-legs", event.id,
-          "called at " + event.host + " while a call is out at " + id.out.front().host + " since " +
-              Seconds(id.out.front().at));
+  if (!submission.open_calls.empty()) {
+    ReportBreach(event, "two-legs", event.id,
+                 "called at " + event.host + " while a call is out at " + submission.open_calls.front().host +
+                     " since " + Seconds(submission.open_calls.front().at));
   }
-  if (id.noticed) {
-    Break(event, "after-end", event.id,
-          "called at " + event.host + " after its end was told at " + Seconds(id.ended_at));
+  if (submission.notice_received) {
+    ReportBreach(event, "after-end", event.id,
+                 "called at " + event.host + " after its end was told at " + Seconds(submission.ended_at));
   }
-  if (id.risk) {
-    const bool late = event.at > id.risk_at + rules_.repeat_window + rules_.slack;
-    const bool elsewhere = rules_.repeats_bound_to_zone && event.zone != id.risk_zone;
+  if (submission.may_have_run) {
+    const bool outside_window =
+        event.at > submission.may_have_run_since + rules_.repeat_window + rules_.slack;
+    const bool other_zone = rules_.repeats_bound_to_zone && event.zone != submission.may_have_run_zone;
     if (rules_.semantics == Rules::Semantics::kAtMostOnce ||
-        (rules_.semantics == Rules::Semantics::kDeduplicated && (late || elsewhere))) {
-      Break(event, "repeat", event.id,
-            "may have run in zone " + std::to_string(id.risk_zone) + " since " + Seconds(id.risk_at) +
-                ", and was repeated in zone " + std::to_string(event.zone) + " at " + Seconds(event.at));
+        (rules_.semantics == Rules::Semantics::kDeduplicated && (outside_window || other_zone))) {
+      ReportBreach(event, "repeat", event.id,
+                   "may have run in zone " + std::to_string(submission.may_have_run_zone) + " since " +
+                       Seconds(submission.may_have_run_since) + ", and was repeated in zone " +
+                       std::to_string(event.zone) + " at " + Seconds(event.at));
     }
   }
-  id.out.push_back({event.host, event.at, event.zone});
+  submission.open_calls.push_back({event.host, event.at, event.zone});
 }
 
 void Checker::CheckDrain(const Event& event, const Relay& relay) {
   const Time grace = rules_.drain_grace + rules_.slack;
-  if (const auto it = relay.not_up.find(event.host);
-      it != relay.not_up.end() && event.at > it->second + grace) {
-    return Break(event, "drain", event.id,
-                 RelayName(event.relay) + " was told at " + Seconds(it->second) + " that " + event.host +
-                     " is not up, and called it at " + Seconds(event.at));
+  if (const auto it = relay.not_up_since.find(event.host);
+      it != relay.not_up_since.end() && event.at > it->second + grace) {
+    return ReportBreach(event, "drain", event.id,
+                        RelayName(event.relay) + " was told at " + Seconds(it->second) + " that " +
+                            event.host + " is not up, and called it at " + Seconds(event.at));
   }
-  const auto changed_at = discovery_.UnlistedSince(event.host);
+  const auto changed_at = discovery_.NotUpSince(event.host);
   if (!changed_at || !discovery_.reachable()) return;
-  const Time known = discovery_.TellableSince(*changed_at, relay.up_since) + rules_.known_within;
-  if (event.at <= known + grace) return;
-  Break(event, "drain", event.id,
-        RelayName(event.relay) + " counts as told at " + Seconds(known) + " that " + event.host +
-            " is not up, which discovery had at " + Seconds(*changed_at) + ", and called it at " +
-            Seconds(event.at));
+  const Time known_at = discovery_.KnowableSince(*changed_at, relay.up_since) + rules_.known_within;
+  if (event.at <= known_at + grace) return;
+  ReportBreach(event, "drain", event.id,
+               RelayName(event.relay) + " counts as told at " + Seconds(known_at) + " that " + event.host +
+                   " is not up, which discovery had at " + Seconds(*changed_at) + ", and called it at " +
+                   Seconds(event.at));
 }
 
-void Checker::MayHaveRun(Id& id, const Open& call) {
-  if (id.risk && id.risk_at <= call.at) return;
-  id.risk = true;
-  id.risk_at = call.at;
-  id.risk_zone = call.zone;
+void Checker::RecordPossibleExecution(Submission& submission, const OpenCall& call) {
+  if (submission.may_have_run && submission.may_have_run_since <= call.at) return;
+  submission.may_have_run = true;
+  submission.may_have_run_since = call.at;
+  submission.may_have_run_zone = call.zone;
 }
 
-void Checker::Ended(const Event& event) {
+void Checker::OnCallEnded(const Event& event) {
   const bool answered = event.kind == Kind::kAnswered;
-  // Turned away, never sent, or over: in none of these it has run.
+  // With these statuses the message did not run: the call was refused (429, 503) or never sent on (504), or
+  // the message was closed already (410).
   const bool never_ran =
       answered && (event.status == 429 || event.status == 503 || event.status == 504 || event.status == 410);
-  Relay& relay = Of(event.relay);
-  if (answered && event.wait > 0us) {
-    Wait& wait = relay.waits[event.host];
-    if (event.at + event.wait > wait.until) wait = {event.at, event.at + event.wait};
+  Relay& relay = GetRelay(event.relay);
+  if (answered && event.retry_after > 0us) {
+    Wait& wait = relay.host_waits[event.host];
+    if (event.at + event.retry_after > wait.until) wait = {event.at, event.at + event.retry_after};
   }
-  if (hosts_[event.host].outage && (!answered || event.status != 200)) relay.knows.insert(event.host);
-  const auto it = ids_.find(event.id);
-  if (it == ids_.end()) return;
-  Id& id = it->second;
-  const auto call =
-      std::find_if(id.out.begin(), id.out.end(), [&](const Open& o) { return o.host == event.host; });
-  if (call == id.out.end()) return;
-  const Open was = *call;
-  id.out.erase(call);
-  if (!never_ran) MayHaveRun(id, was);
+  if (hosts_[event.host].outage && (!answered || event.status != 200)) relay.seen_failing.insert(event.host);
+  const auto it = submissions_.find(event.id);
+  if (it == submissions_.end()) return;
+  Submission& submission = it->second;
+  const auto call = std::find_if(submission.open_calls.begin(), submission.open_calls.end(),
+                                 [&](const OpenCall& open) { return open.host == event.host; });
+  if (call == submission.open_calls.end()) return;
+  const OpenCall ended_call = *call;
+  submission.open_calls.erase(call);
+  if (!never_ran) RecordPossibleExecution(submission, ended_call);
   if (answered && event.status == 200) {
-    id.delivered = true;
-    if (id.ended_at < 0us) id.ended_at = event.at;
-    Settle(event.id, id);
+    submission.delivered = true;
+    if (submission.ended_at < 0us) submission.ended_at = event.at;
+    ClearExpectedEnd(event.id, submission);
   }
 }
 
-void Checker::Noticed(const Event& event) {
-  const auto it = ids_.find(event.id);
-  if (it == ids_.end()) {
-    return Break(event, "unknown-message", event.id, "an end was told of what no client handed in");
+void Checker::OnNoticeReceived(const Event& event) {
+  const auto it = submissions_.find(event.id);
+  if (it == submissions_.end()) {
+    return ReportBreach(event, "unknown-message", event.id, "an end was told of what no client handed in");
   }
-  Id& id = it->second;
-  if (id.noticed && id.deferred != event.deferred) {
-    Break(event, "two-ends", event.id,
-          std::string("ended as ") + (id.deferred ? "deferred" : "undeliverable") + " at " +
-              Seconds(id.ended_at) + " and as " + (event.deferred ? "deferred" : "undeliverable") + " at " +
-              Seconds(event.at));
+  Submission& submission = it->second;
+  if (submission.notice_received && submission.deferred != event.deferred) {
+    ReportBreach(event, "two-ends", event.id,
+                 std::string("ended as ") + (submission.deferred ? "deferred" : "undeliverable") + " at " +
+                     Seconds(submission.ended_at) + " and as " +
+                     (event.deferred ? "deferred" : "undeliverable") + " at " + Seconds(event.at));
   }
-  const bool bound = rules_.semantics == Rules::Semantics::kAtMostOnce ||
-                     (rules_.semantics == Rules::Semantics::kDeduplicated && rules_.repeats_bound_to_zone);
-  if (event.deferred && bound && !id.delivered && (id.risk || !id.out.empty())) {
-    Break(event, "refused-after-risk", event.id,
-          "given back to its client at " + Seconds(event.at) + " though it may have run since " +
-              Seconds(id.risk ? id.risk_at : id.out.front().at));
+  const bool repeats_restricted =
+      rules_.semantics == Rules::Semantics::kAtMostOnce ||
+      (rules_.semantics == Rules::Semantics::kDeduplicated && rules_.repeats_bound_to_zone);
+  if (event.deferred && repeats_restricted && !submission.delivered &&
+      (submission.may_have_run || !submission.open_calls.empty())) {
+    ReportBreach(event, "refused-after-risk", event.id,
+                 "given back to its client at " + Seconds(event.at) + " though it may have run since " +
+                     Seconds(submission.may_have_run ? submission.may_have_run_since
+                                                     : submission.open_calls.front().at));
   }
-  if (!id.noticed) {
-    id.noticed = true;
-    id.deferred = event.deferred;
-    if (id.ended_at < 0us) id.ended_at = event.at;
+  if (!submission.notice_received) {
+    submission.notice_received = true;
+    submission.deferred = event.deferred;
+    if (submission.ended_at < 0us) submission.ended_at = event.at;
   }
-  Settle(event.id, id);
+  ClearExpectedEnd(event.id, submission);
 }
 
-// A process that was stopped and goes on is ready as well, but it is no new one: what it counts as told of is
-// not counted anew, and if it was told to end, its restart is still to come. No notice of it is overdue from
-// SIGTERM until 1.5 s after that restart.
-void Checker::Ready(const Event& event) {
-  Relay& relay = Of(event.relay);
+// kReady also comes when a suspended process continues. That is the same process: the time since which it
+// could have known of a drain does not start again, and if it got SIGTERM meanwhile, its restart is still to
+// come. No notice of a relay is overdue from SIGTERM until 1.5 s after that restart.
+void Checker::OnReady(const Event& event) {
+  Relay& relay = GetRelay(event.relay);
   if (!std::exchange(relay.running, true)) relay.up_since = event.at;
   if (relay.terminated) return;
   relay.ready = true;
   relay.ready_at = event.at;
 }
 
-// Its calls break, which their hosts tell. What it was told is forgotten with it.
-void Checker::Dead(const Event& event) {
-  Relay& relay = Of(event.relay);
+// The hosts report the calls that break with the process. Whatever it had been told is lost with it.
+void Checker::OnExited(const Event& event) {
+  Relay& relay = GetRelay(event.relay);
   relay.ready = relay.running = relay.terminated = false;
   relay.restarting = true;
-  relay.waits.clear();
-  relay.not_up.clear();
-  relay.knows.clear();
+  relay.host_waits.clear();
+  relay.not_up_since.clear();
+  relay.seen_failing.clear();
 }
 
-void Checker::Fell(const Event& event) {
+void Checker::OnHostCollapsed(const Event& event) {
   Host& host = hosts_[event.host];
-  std::size_t knew = 0, all = 0;
-  for (const Push& push : host.pushes) {
-    if (push.at < event.at - rules_.tip_after) continue;
-    ++all;
-    if (push.knew) ++knew;
+  std::size_t informed = 0, total = 0;
+  for (const RecentCall& call : host.recent_calls) {
+    if (call.at < event.at - rules_.collapse_after) continue;
+    ++total;
+    if (call.relay_saw_failure) ++informed;
   }
-  if (all == 0 || static_cast<double>(knew) < rules_.pushers * static_cast<double>(all)) return;
-  Break(event, "push-over", event.host,
-        std::to_string(knew) + " of " + std::to_string(all) +
-            " calls that pushed it over came from relays that had seen it fail");
+  if (total == 0 || static_cast<double>(informed) < rules_.informed_call_share * static_cast<double>(total))
+    return;
+  ReportBreach(event, "push-over", event.host,
+               std::to_string(informed) + " of " + std::to_string(total) +
+                   " calls that pushed it over came from relays that had seen it fail");
 }
 
-void Checker::Overdue(Time now) {
-  while (!due_.empty() && due_.begin()->first < now) {
-    const auto [when, name] = *due_.begin();
-    Id& id = ids_.at(name);
-    Settle(name, id);
-    const Relay& relay = Of(id.relay);
-    const Time excused = (relay.ready ? relay.ready_at : now) + rules_.end_after_ready + rules_.slack;
-    if (relay.restarting && excused >= now) {
-      Owe(name, id, excused);  // looked at again when the relay has been back for long enough
+void Checker::CheckOverdue(Time now) {
+  while (!expected_ends_.empty() && expected_ends_.begin()->first < now) {
+    const auto [due, id] = *expected_ends_.begin();
+    Submission& submission = submissions_.at(id);
+    ClearExpectedEnd(id, submission);
+    const Relay& relay = GetRelay(submission.relay);
+    const Time excused_until = (relay.ready ? relay.ready_at : now) + rules_.restart_grace + rules_.slack;
+    if (relay.restarting && excused_until >= now) {
+      ExpectEnd(id, submission, excused_until);  // checked again once the restart grace is over
       continue;
     }
     Event event;
     event.at = now;
-    Break(event, "lost", name,
-          "taken on by " + RelayName(id.relay) + " at " + Seconds(id.taken_at) + ", its time was up at " +
-              Seconds(id.until) + ", and no end was told by " + Seconds(when));
+    ReportBreach(event, "lost", id,
+                 "taken on by " + RelayName(submission.relay) + " at " + Seconds(submission.accepted_at) +
+                     ", its time was up at " + Seconds(submission.deadline) + ", and no end was told by " +
+                     Seconds(due));
   }
-  while (!over_.empty() && over_.front().first + kForgetAfter < now) {
-    const std::string name = std::move(over_.front().second);
-    over_.pop_front();
-    const auto it = ids_.find(name);
-    if (it == ids_.end()) continue;
-    if (it->second.due >= 0us) {
-      over_.emplace_back(now, name);
+  while (!expiry_queue_.empty() && expiry_queue_.front().first + kRetention < now) {
+    const std::string id = std::move(expiry_queue_.front().second);
+    expiry_queue_.pop_front();
+    const auto it = submissions_.find(id);
+    if (it == submissions_.end()) continue;
+    if (it->second.end_expected_by >= 0us) {
+      expiry_queue_.emplace_back(now, id);
     } else {
-      ids_.erase(it);
+      submissions_.erase(it);
     }
   }
 }
 
 void Checker::Finish() {
-  if (!ended_) {
-    undecided_ = due_.size();
+  if (!run_ended_) {
+    undecided_ = expected_ends_.size();
     return;
   }
-  // The run's regular end comes after the last message's time: what is still owed then is lost.
-  for (const auto& [when, name] : due_) {
+  // The regular end of a run comes after the last deadline, so every end that is still missing is lost.
+  for (const auto& [due, id] : expected_ends_) {
     Event event;
     event.at = now_;
-    Break(event, "lost", name, "taken on, and no end was told before the run's end at " + Seconds(now_));
+    ReportBreach(event, "lost", id, "taken on, and no end was told before the run's end at " + Seconds(now_));
   }
-  due_.clear();
+  expected_ends_.clear();
 }
 
 }  // namespace oxbowspread::check
--- a/src/check/checker.hpp
+++ b/src/check/checker.hpp
@@ -1,10 +1,12 @@
-// The platform's rules, checked on the stream of what crossed between the parties, as it happens. Knows
-// nothing of the relay's inside nor of the model's: what it can't see it can't forgive. No I/O.
+// Checks the platform's rules on the events that clients, relays, endpoints, discovery and the platform
+// exchange. It sees neither the state of the relays nor that of the model, so it makes no allowance for
+// anything that did not cross between the parties. No I/O.
 //
-// A drain counts as told when discovery writes it to a relay, and at the latest `known_within` after
-// discovery had it and could be reached and the relay's process was up, whether or not it was written.
+// A relay counts as told of a drain when discovery writes it to the relay. Written or not, the drain counts
+// as told `known_within` after the first moment at which discovery's list had it, discovery could be reached
+// and the relay's process was up.
 //
-// Left out: messages in order, which this platform has none of.
+// The order of messages is not checked, since this platform does not promise one.
 #pragma once
 
 #include <cstdint>
@@ -22,109 +24,122 @@
 using trace::Event;
 using trace::Time;
 
-// The figures of the rules: spans in microseconds.
+// Limits of the rules; times in microseconds.
 struct Rules {
   enum class Semantics { kIdempotent, kDeduplicated, kAtMostOnce };
   Semantics semantics = Semantics::kDeduplicated;
-  bool repeats_bound_to_zone = true;  // kDeduplicated: only hosts of one zone drop repeats
+  bool repeats_bound_to_zone = true;  // with kDeduplicated: hosts drop repeats within their own zone only
   Time repeat_window{10'000'000};
-  int most_attempts = 12;
+  int max_attempts = 12;
   Time drain_grace{250'000};
-  Time known_within{6'000'000};     // a change counts as told, though it never came
-  Time wait_let_through{100'000};   // calls that were on their way when the wait was told
-  Time end_within{300'000};         // past a message's time, its end still counts
-  Time end_after_ready{1'500'000};  // after a restart no end is overdue for so long
-  Time slack{50'000};               // every time limit on sockets is so much longer
-  Time tip_after{3'000'000};        // how long a push must last to tip a cold host
-  double pushers = 2.0 / 3;         // share of the push from relays that knew
+  Time known_within{6'000'000};     // a change counts as told after this time even if it was never written
+  Time retry_after_grace{100'000};  // for calls that were in flight when the relay read Retry-After
+  Time end_grace{300'000};          // an end still counts as in time this long after the deadline
+  Time restart_grace{1'500'000};    // after a restart no end is overdue for this long
+  Time slack{50'000};               // added to every time limit, since events on sockets are seen late
+  Time collapse_after{3'000'000};   // load that lasts this long makes a cold host go down; also the age to
+                                    // which calls count for push-over
+  // For push-over: share of these calls that came from relays which had seen the host fail.
+  double informed_call_share = 2.0 / 3;
 };
 
+// A rule that was broken, and by what.
 struct Breach {
   Time at{0};
   std::string rule;     // one of kRules
-  std::string message;  // id, or the host for a push-over
-  std::string events;   // those that broke it, in words
+  std::string message;  // id of the submission; for push-over the host
+  std::string events;   // description of the events that broke the rule
 };
 
+// The outer names of all rules.
 inline constexpr const char* kRules[] = {
     "unknown-message", "wrong-destination",  "two-legs", "repeat", "attempts",  "drain", "wait",
     "after-end",       "refused-after-risk", "two-ends", "lost",   "push-over", "trace"};
 
+// Fed with all events of a run in order of time; collects the breaches.
 class Checker {
  public:
   explicit Checker(const Rules& rules) : rules_(rules) {}
 
-  // In the order of time. An event before the one seen last breaks "trace" and is otherwise passed over.
-  void See(const Event& event);
-  // After the last event. Without a kEnd among them the trace is cut short: what was owed then is undecided,
-  // not lost.
+  // Events come in order of time. One that is older than its predecessor breaks the rule "trace" and is
+  // otherwise ignored.
+  void Observe(const Event& event);
+  // Called after the last event. Without a kEnd event the trace is cut short, and ends that are still missing
+  // are counted as undecided instead of lost.
   void Finish();
 
   const std::vector<Breach>& breaches() const { return breaches_; }
-  bool cut_short() const { return !ended_; }
-  std::size_t undecided() const { return undecided_; }  // owed when the trace was cut short
+  bool cut_short() const { return !run_ended_; }
+  // Messages without an end when the trace was cut short.
+  std::size_t undecided() const { return undecided_; }
   std::uint64_t calls() const { return calls_; }
-  std::size_t held() const { return ids_.size(); }  // for tests of its memory
+  // Lets tests check that memory is bounded.
+  std::size_t tracked_submissions() const { return submissions_.size(); }
 
  private:
-  struct Open {
+  struct OpenCall {
     std::string host;
     Time at{0};
     int zone = -1;
   };
-  struct Id {
+  // What is known of one submission id.
+  struct Submission {
     int relay = -1, destination = -1, attempts = 0;
-    Time until{0}, taken_at{-1};
-    bool left = false, delivered = false, noticed = false, deferred = false;
-    std::vector<Open> out;
-    bool risk = false;
-    Time risk_at{0};
-    int risk_zone = -1;
-    Time ended_at{-1};
-    Time due{-1};  // its place in due_; below 0: none
+    Time deadline{0}, accepted_at{-1};
+    bool unanswered = false, delivered = false, notice_received = false, deferred = false;
+    std::vector<OpenCall> open_calls;
+    bool may_have_run = false;  // the next two tell of the earliest such call
+    Time may_have_run_since{0};
+    int may_have_run_zone = -1;
+    Time ended_at{-1};         // below 0: no end yet
+    Time end_expected_by{-1};  // key in expected_ends_; below 0: not in it
   };
+  // A Retry-After that a host gave to a relay.
   struct Wait {
-    Time told{0}, until{0};
+    Time received_at{0}, until{0};
   };
   struct Relay {
     bool ready = false, restarting = false;
-    bool running = false;     // its process, from when it was first ready
-    bool terminated = false;  // that process was told to end
+    bool running = false;     // from the first kReady of its process until the process ends
+    bool terminated = false;  // the running process got SIGTERM
     Time ready_at{0};
-    Time up_since{0};                    // its process
-    std::map<std::string, Time> not_up;  // since when told
-    std::map<std::string, Wait> waits;
-    std::set<std::string> knows;  // hosts at which it saw a call fail or be refused during their outage
+    Time up_since{0};                          // since when the process is running
+    std::map<std::string, Time> not_up_since;  // by host: when the relay was told that it is not up
+    std::map<std::string, Wait> host_waits;
+    std::set<std::string> seen_failing;  // hosts that failed or refused a call of the relay during an outage
   };
-  struct Push {
+  // A call to a host that is cold or has an outage.
+  struct RecentCall {
     Time at{0};
-    bool knew = false;
+    bool relay_saw_failure = false;
   };
   struct Host {
     bool outage = false, cold = false;
-    std::deque<Push> pushes;
+    std::deque<RecentCall> recent_calls;
   };
 
-  void Break(const Event& event, const char* rule, const std::string& id, const std::string& events);
-  void Called(const Event& event);
+  void ReportBreach(const Event& event, const char* rule, const std::string& id, const std::string& events);
+  void OnCalled(const Event& event);
   void CheckDrain(const Event& event, const Relay& relay);
-  void Ended(const Event& event);
-  void Noticed(const Event& event);
-  void Ready(const Event& event);
-  void Dead(const Event& event);
-  void Fell(const Event& event);
-  void MayHaveRun(Id& id, const Open& call);
-  void Owe(const std::string& name, Id& id, Time due);
-  void Settle(const std::string& name, Id& id);  // its end was seen
-  void Overdue(Time now);
-  Relay& Of(int relay) { return relays_[relay]; }
+  void OnCallEnded(const Event& event);
+  void OnNoticeReceived(const Event& event);
+  void OnReady(const Event& event);
+  void OnExited(const Event& event);
+  void OnHostCollapsed(const Event& event);
+  void RecordPossibleExecution(Submission& submission, const OpenCall& call);
+  void ExpectEnd(const std::string& id, Submission& submission, Time due);
+  void ClearExpectedEnd(const std::string& id, Submission& submission);  // its end was observed
+  // Reports messages whose end is overdue and removes submissions past their retention.
+  void CheckOverdue(Time now);
+  Relay& GetRelay(int relay) { return relays_[relay]; }
 
   Rules rules_;
   Time now_{0};
-  bool ended_ = false;
-  std::map<std::string, Id> ids_;
-  std::set<std::pair<Time, std::string>> due_;     // when each one taken on must have ended
-  std::deque<std::pair<Time, std::string>> over_;  // to be forgotten
+  bool run_ended_ = false;
+  std::map<std::string, Submission> submissions_;
+  // When an accepted submission must have ended, and its id.
+  std::set<std::pair<Time, std::string>> expected_ends_;
+  std::deque<std::pair<Time, std::string>> expiry_queue_;  // deadline and id, to be removed after kRetention
   std::map<int, Relay> relays_;
   std::map<std::string, Host> hosts_;
   DiscoveryState discovery_;
--- a/src/check/discovery_state.hpp
+++ b/src/check/discovery_state.hpp
@@ -1,5 +1,5 @@
-// What discovery has, and whether it can be reached, by the stream of what crossed: from when on a relay
-// could know of a host that drains or is gone. No I/O.
+// Derives from the events of a run what discovery's list contains and whether discovery can be reached, and
+// so from when on a relay could know that a host is draining or removed. No I/O.
 #pragma once
 
 #include <map>
@@ -10,19 +10,20 @@
 
 namespace oxbowspread::check {
 
+// The state of discovery as the trace events show it.
 class DiscoveryState {
  public:
-  // In the order of time; other kinds than kChanged and kDiscovery are passed over.
-  void See(const trace::Event& event);
+  // Events come in order of time; kinds other than kHostChanged and kDiscoveryReachable are ignored.
+  void Observe(const trace::Event& event);
   bool reachable() const { return reachable_; }
-  // Since when discovery has it that the host drains or is gone; nothing if it is up.
-  std::optional<trace::Time> UnlistedSince(const std::string& host) const;
-  // The first moment at which a relay that is up since `up_since` could be told what discovery has since
-  // `changed_at`. Of no meaning while discovery can't be reached.
-  trace::Time TellableSince(trace::Time changed_at, trace::Time up_since) const;
+  // Since when discovery's list has the host as draining or removed; std::nullopt if it is up.
+  std::optional<trace::Time> NotUpSince(const std::string& host) const;
+  // The first moment at which a relay whose process is up since `up_since` could be told of a change that
+  // discovery has since `changed_at`. Meaningless while discovery can't be reached.
+  trace::Time KnowableSince(trace::Time changed_at, trace::Time up_since) const;
 
  private:
-  std::map<std::string, trace::Time> unlisted_;
+  std::map<std::string, trace::Time> not_up_since_;
   bool reachable_ = true;
   trace::Time reachable_since_{0};
 };
--- a/src/check/list_delay.cpp
+++ b/src/check/list_delay.cpp
@@ -6,25 +6,25 @@
 
 using Kind = trace::Event::Kind;
 
-void ListDelay::See(const trace::Event& event) {
-  if (event.kind == Kind::kChanged) Changed(event);
-  discovery_.See(event);
+void ListDelay::Observe(const trace::Event& event) {
+  if (event.kind == Kind::kHostChanged) OnHostChanged(event);
+  discovery_.Observe(event);
   switch (event.kind) {
     case Kind::kReady:
       relays_[event.relay].up = true;
       relays_[event.relay].up_since = event.at;
       break;
-    case Kind::kDead:
-    case Kind::kTerminated:
-    case Kind::kStopped:
+    case Kind::kExited:
+    case Kind::kTerminating:
+    case Kind::kSuspended:
       relays_[event.relay].up = false;
       break;
-    case Kind::kTold:
-      Told(event);
+    case Kind::kHostAnnounced:
+      OnHostAnnounced(event);
       break;
     case Kind::kEnd:
       for (const auto& [number, relay] : relays_) {
-        for (const auto& [host, changed_at] : relay.untold) Note(relay, changed_at, event.at);
+        for (const auto& [host, changed_at] : relay.unannounced) RecordDelay(relay, changed_at, event.at);
       }
       break;
     default:
@@ -32,25 +32,25 @@
   }
 }
 
-void ListDelay::Changed(const trace::Event& event) {
-  const bool known = discovery_.UnlistedSince(event.host).has_value();
+void ListDelay::OnHostChanged(const trace::Event& event) {
+  const bool already_not_up = discovery_.NotUpSince(event.host).has_value();
   for (auto& [number, relay] : relays_) {
-    if (event.up) relay.untold.erase(event.host);
-    if (!event.up && !known) relay.untold.emplace(event.host, event.at);
+    if (event.up) relay.unannounced.erase(event.host);
+    if (!event.up && !already_not_up) relay.unannounced.emplace(event.host, event.at);
   }
 }
 
-void ListDelay::Told(const trace::Event& event) {
+void ListDelay::OnHostAnnounced(const trace::Event& event) {
   Relay& relay = relays_[event.relay];
-  const auto it = relay.untold.find(event.host);
-  if (event.up || it == relay.untold.end()) return;
-  Note(relay, it->second, event.at);
-  relay.untold.erase(it);
+  const auto it = relay.unannounced.find(event.host);
+  if (event.up || it == relay.unannounced.end()) return;
+  RecordDelay(relay, it->second, event.at);
+  relay.unannounced.erase(it);
 }
 
-void ListDelay::Note(const Relay& relay, trace::Time changed_at, trace::Time now) {
+void ListDelay::RecordDelay(const Relay& relay, trace::Time changed_at, trace::Time now) {
   if (!relay.up || !discovery_.reachable()) return;
-  worst_ = std::max(worst_, now - discovery_.TellableSince(changed_at, relay.up_since));
+  worst_ = std::max(worst_, now - discovery_.KnowableSince(changed_at, relay.up_since));
 }
 
 }  // namespace oxbowspread::check
--- a/src/check/list_delay.hpp
+++ b/src/check/list_delay.hpp
@@ -1,5 +1,6 @@
-// How long relays went without knowing that a host drains or is gone: from when discovery had it, could be
-// reached and the relay's process was up, until discovery wrote it to the relay. No I/O.
+// Measures how long relays did not know that a host is draining or removed: from when discovery's list had
+// it, discovery could be reached and the relay's process was up, until discovery wrote it to the relay. No
+// I/O.
 #pragma once
 
 #include <map>
@@ -10,23 +11,25 @@
 
 namespace oxbowspread::check {
 
+// The longest delay between a change of discovery's list and its arrival at a relay.
 class ListDelay {
  public:
-  // In the order of time.
-  void See(const trace::Event& event);
-  // The longest one so far; relays that were never told count up to kEnd.
+  // Events come in order of time.
+  void Observe(const trace::Event& event);
+  // The longest delay so far. For relays that were never told, the delay lasts until kEnd.
   trace::Time worst() const { return worst_; }
 
  private:
   struct Relay {
     bool up = false;
     trace::Time up_since{0};
-    std::map<std::string, trace::Time> untold;  // hosts, since when discovery has it
+    std::map<std::string, trace::Time>
+        unannounced;  // hosts that it was not told of yet; since when discovery has the change
   };
 
-  void Changed(const trace::Event& event);
-  void Told(const trace::Event& event);
-  void Note(const Relay& relay, trace::Time changed_at, trace::Time now);
+  void OnHostChanged(const trace::Event& event);
+  void OnHostAnnounced(const trace::Event& event);
+  void RecordDelay(const Relay& relay, trace::Time changed_at, trace::Time now);
 
   std::map<int, Relay> relays_;
   DiscoveryState discovery_;
--- a/src/check/tally.hpp
+++ b/src/check/tally.hpp
@@ -1,5 +1,5 @@
-// What a run came to: service as the operators count it, and what it cost. Fed the same stream as the
-// checker. No I/O.
+// The figures of a run: the service as the operators of the platform count it, and what it cost. Fed with the
+// same events as the checker. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,82 +13,92 @@
 
 namespace oxbowspread::check {
 
-// How worth falls and what is taken off: times in microseconds, prices in points of service (1 is all).
-struct Terms {
+// How the worth of a message falls with its delay, and what is deducted from the service. Times in
+// microseconds, prices in points of service (1 is the whole service).
+struct Scoring {
   trace::Time aim{3'000'000};
   trace::Time deadline{16'000'000};
-  double late_value = 0.5;  // worth falls by half with each further aim, and not below this
+  double late_value = 0.5;  // worth halves with each further aim, down to this value
   trace::Time worst_window{10'000'000};
-  double whole_share = 0.75;  // of the service; the rest is the worst window's
-  double refused_price = 0;   // each for one a message
-  double handshake_price = 0;
-  double late_fail_price = 0;
-  std::vector<double> zone_fee;
-  std::map<std::string, double> limits;  // of hosts, calls a second; may be empty
+  double overall_weight = 0.75;  // share of worth_share in the service; the rest is worst_window_share
+  // Prices of one such event for each message of the run.
+  double over_limit_price = 0;
+  double new_connection_price = 0;
+  double late_failure_price = 0;
+  std::vector<double> zone_fees;
+  std::map<std::string, double>
+      host_limits;  // by host id, in calls a second; for worst_limit_excess, may be empty
 };
 
-struct ByDestination {
+// Counts for one destination.
+struct DestinationFigures {
   std::uint64_t asked = 0, delivered = 0, calls = 0, refused = 0, errors = 0;
 };
 
+// The result of the count.
 struct Figures {
-  std::uint64_t asked = 0;      // messages that became due
-  std::uint64_t taken = 0;      // of these, taken on at least once
-  std::uint64_t delivered = 0;  // of these, 200 was written while their client believed them taken on
-  std::uint64_t in_aim = 0;     // of these, within the aim
+  std::uint64_t asked = 0;       // messages that became due
+  std::uint64_t accepted = 0;    // of these, accepted at least once
+  std::uint64_t delivered = 0;   // of these, 200 was written while the client believed the message accepted
+  std::uint64_t within_aim = 0;  // of these, within the aim
   std::uint64_t undelivered = 0;
-  std::uint64_t turned_away = 0;                  // -BUSY answers
-  std::uint64_t left = 0;                         // hand-ins without an answer
+  std::uint64_t rejected = 0;                     // -BUSY answers
+  std::uint64_t unanswered = 0;                   // submissions without an answer
   std::uint64_t deferred = 0, undeliverable = 0;  // notices
-  std::uint64_t calls = 0, fresh = 0, over_limit = 0, refused_calls = 0, errors = 0, dropped = 0;
-  double whole = 0;    // worth delivered over worth asked for
-  double worst = 0;    // the same in the worst window, by when messages were due
-  double prices = 0;   // taken off
-  double service = 0;  // what counts
-  double tries = 0;    // calls for each message
-  double accept_p50_ms = 0, accept_p99_ms = 0, deliver_p50_ms = 0, deliver_p99_ms = 0;  // from when due
-  std::vector<std::pair<std::string, double>> deliver_ms;  // "50", "75", ... "99.9" percent within so long
-  std::uint64_t repeats = 0;  // calls beyond the first of a message that was handed in once or more
-  std::map<int, ByDestination> by_destination;
-  std::vector<double> worth_by_second;  // delivered over asked for, by when due; -1: none was due
-  double worst_over = 0;                // calls above a host's limit in its worst second, over that limit
-  double fairness = 1;     // Jain's index of the worth of messages, by the relay that got them first
-  std::uint64_t fell = 0;  // hosts that were pushed over
+  std::uint64_t calls = 0, new_connections = 0, over_limit = 0, refused_calls = 0, errors = 0, dropped = 0;
+  double worth_share = 0;         // worth delivered over worth asked for
+  double worst_window_share = 0;  // the same in the worst window, by when messages were due
+  double deductions = 0;          // sum of all prices
+  double service = 0;             // the score: weighted shares less deductions
+  double calls_per_message = 0;
+  // Milliseconds from when the message was due.
+  double accept_p50_ms = 0, accept_p99_ms = 0, deliver_p50_ms = 0, deliver_p99_ms = 0;
+  // Percentile of the delay of delivery ("50", "75", ... "99.9") and its value.
+  std::vector<std::pair<std::string, double>> deliver_ms;
+  std::uint64_t repeats = 0;  // calls beyond the first of a message, over all its submissions
+  std::map<int, DestinationFigures> by_destination;
+  std::vector<double> worth_by_second;  // delivered over asked for, by when due; -1: no message was due
+  double worst_limit_excess = 0;  // refused calls above a host's limit in its worst second, over that limit
+  double fairness = 1;  // Jain's index of worth per message, by the first relay that each was submitted to
+  std::uint64_t collapsed_hosts = 0;  // cold hosts that went down under load
 };
 
+// Counts the events of a run.
 class Tally {
  public:
-  explicit Tally(const Terms& terms) : terms_(terms) {}
-  void See(const trace::Event& event);
-  Figures Sum() const;
+  explicit Tally(const Scoring& scoring) : scoring_(scoring) {}
+  // Events come in order of time.
+  void Observe(const trace::Event& event);
+  Figures ComputeFigures() const;
 
  private:
   struct Message {
-    trace::Time due{0}, taken_at{-1}, delivered_at{-1};
+    trace::Time due{0}, accepted_at{-1}, delivered_at{-1};
     int destination = -1;
     std::uint32_t calls = 0;
-    int relay = -1;  // that was asked first
+    int relay = -1;  // the first one that it was submitted to
   };
-  struct Id {
+  struct Submission {
     std::uint64_t message = 0;
-    bool taken = false, left = false;
+    bool accepted = false, unanswered = false;
     trace::Time served_at{-1};
   };
-  void Deliver(std::uint64_t message, trace::Time at);
+  void RecordDelivery(std::uint64_t message, trace::Time at);
   double Worth(const Message& message) const;
-  void NoteOver(const std::string& host, trace::Time at);
+  void RecordOverLimit(const std::string& host, trace::Time at);
 
-  Terms terms_;
-  std::unordered_map<std::uint64_t, Message> messages_;  // summed in no order that matters: see Sum
-  std::unordered_map<std::string, Id> ids_;
-  std::map<int, ByDestination> by_destination_;
-  std::vector<double> fees_;
-  std::map<std::string, std::pair<trace::Time, double>> over_;  // of a host: its last second, calls above
+  Scoring scoring_;
+  std::unordered_map<std::uint64_t, Message> messages_;  // ComputeFigures sorts them by number
+  std::unordered_map<std::string, Submission> submissions_;
+  std::map<int, DestinationFigures> by_destination_;
+  std::vector<double> deliveries_by_zone_;
+  // By host: when it last refused a call above its limit, and how many it refused in that second.
+  std::map<std::string, std::pair<trace::Time, double>> over_limit_calls_;
   Figures counts_;
-  std::uint64_t late_fails_ = 0;
+  std::uint64_t late_failures_ = 0;
 };
 
-// The value below which that share (0 to 1) lies; 0 of none.
+// The quantile `share` (0 to 1) of the values, which are reordered; 0 if there are none.
 double Quantile(std::vector<double>* values, double share);
 
 }  // namespace oxbowspread::check
--- a/src/lab/outcome.hpp
+++ b/src/lab/outcome.hpp
@@ -37,14 +37,14 @@
 class Witness {
  public:
   // `trace` may be empty.
-  Witness(const check::Rules& rules, const check::Terms& terms, OnTrace trace)
-      : checker_(rules), tally_(terms), trace_(std::move(trace)) {}
+  Witness(const check::Rules& rules, const check::Scoring& scoring, OnTrace trace)
+      : checker_(rules), tally_(scoring), trace_(std::move(trace)) {}
 
   // In the order of time.
-  void See(const trace::Event& event) {
-    checker_.See(event);
-    tally_.See(event);
-    list_delay_.See(event);
+  void Observe(const trace::Event& event) {
+    checker_.Observe(event);
+    tally_.Observe(event);
+    list_delay_.Observe(event);
     if (trace_) trace_(event);
   }
   // After the last event: what was seen goes into the outcome, the rest of which is left as it is.
@@ -52,7 +52,7 @@
     checker_.Finish();
     outcome->breaches = checker_.breaches();
     outcome->cut_short = checker_.cut_short();
-    outcome->figures = tally_.Sum();
+    outcome->figures = tally_.ComputeFigures();
     outcome->worst_news = list_delay_.worst();
   }
 
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -72,22 +72,22 @@
   Json latency = Json::object();
   for (const auto& [name, ms] : f.deliver_ms) latency[name] = ms;
   return {{"service", f.service},
-          {"whole", f.whole},
-          {"worst_10s", f.worst},
-          {"prices", f.prices},
+          {"whole", f.worth_share},
+          {"worst_10s", f.worst_window_share},
+          {"prices", f.deductions},
           {"asked", f.asked},
-          {"taken", f.taken},
+          {"taken", f.accepted},
           {"delivered", f.delivered},
-          {"in_aim", f.in_aim},
+          {"in_aim", f.within_aim},
           {"undelivered", f.undelivered},
-          {"turned_away", f.turned_away},
-          {"unanswered", f.left},
+          {"turned_away", f.rejected},
+          {"unanswered", f.unanswered},
           {"deferred", f.deferred},
           {"undeliverable", f.undeliverable},
           {"calls", f.calls},
-          {"tries", f.tries},
+          {"tries", f.calls_per_message},
           {"repeats", f.repeats},
-          {"fresh", f.fresh},
+          {"fresh", f.new_connections},
           {"refused_calls", f.refused_calls},
           {"over_limit", f.over_limit},
           {"errors", f.errors},
@@ -97,9 +97,9 @@
           {"deliver_p50_ms", f.deliver_p50_ms},
           {"deliver_p99_ms", f.deliver_p99_ms},
           {"deliver_ms", latency},
-          {"worst_over", f.worst_over},
+          {"worst_over", f.worst_limit_excess},
           {"fairness", f.fairness},
-          {"fell", f.fell},
+          {"fell", f.collapsed_hosts},
           {"partners", partners},
           {"worth_by_second", f.worth_by_second}};
 }
@@ -147,15 +147,17 @@
 
 std::string TextOf(const Outcome& o, const model::Day& day, const std::string& scenario) {
   const check::Figures& f = o.figures;
-  std::string text = Line("%-22s seed %-6llu service %.3f  whole %.3f  worst 10 s %.3f  prices %.3f",
-                          scenario.c_str(), U(day.seed), f.service, f.whole, f.worst, f.prices);
+  std::string text =
+      Line("%-22s seed %-6llu service %.3f  whole %.3f  worst 10 s %.3f  prices %.3f", scenario.c_str(),
+           U(day.seed), f.service, f.worth_share, f.worst_window_share, f.deductions);
   text +=
       Line("  asked %llu  taken %llu  delivered %llu  within the aim %llu  turned away %llu  unanswered %llu",
-           U(f.asked), U(f.taken), U(f.delivered), U(f.in_aim), U(f.turned_away), U(f.left));
+           U(f.asked), U(f.accepted), U(f.delivered), U(f.within_aim), U(f.rejected), U(f.unanswered));
   text += Line(
       "  calls %llu (%.3f a message)  refused %llu, above a limit %llu  errors %llu  dropped %llu  new lines "
       "%llu",
-      U(f.calls), f.tries, U(f.refused_calls), U(f.over_limit), U(f.errors), U(f.dropped), U(f.fresh));
+      U(f.calls), f.calls_per_message, U(f.refused_calls), U(f.over_limit), U(f.errors), U(f.dropped),
+      U(f.new_connections));
   text += Line(
       "  accepted p50 %.1f p99 %.1f ms  delivered p50 %.0f p99 %.0f ms  deferred %llu  undeliverable %llu",
       f.accept_p50_ms, f.accept_p99_ms, f.deliver_p50_ms, f.deliver_p99_ms, U(f.deferred),
--- a/src/lab/settings.cpp
+++ b/src/lab/settings.cpp
@@ -65,20 +65,20 @@
 check::Rules RulesOf(const model::Scenario& s) {
   check::Rules rules;
   rules.repeat_window = Seconds(s.relay.window);
-  rules.tip_after = Seconds(s.partners.fall);
+  rules.collapse_after = Seconds(s.partners.fall);
   return rules;
 }
 
-check::Terms TermsOf(const model::Scenario& s, const model::Day& day) {
-  check::Terms terms;
-  for (const model::Host& host : day.hosts) terms.limits[host.id] = host.limit;
-  terms.aim = Seconds(s.relay.aim);
-  terms.deadline = Seconds(s.relay.deadline);
-  terms.refused_price = s.relay.refused_price;
-  terms.handshake_price = kHandshakePrice;
-  terms.late_fail_price = kLateFailPrice;
-  terms.zone_fee = s.relay.zone_fee;
-  return terms;
+check::Scoring ScoringOf(const model::Scenario& s, const model::Day& day) {
+  check::Scoring scoring;
+  for (const model::Host& host : day.hosts) scoring.host_limits[host.id] = host.limit;
+  scoring.aim = Seconds(s.relay.aim);
+  scoring.deadline = Seconds(s.relay.deadline);
+  scoring.over_limit_price = s.relay.refused_price;
+  scoring.new_connection_price = kHandshakePrice;
+  scoring.late_failure_price = kLateFailPrice;
+  scoring.zone_fees = s.relay.zone_fee;
+  return scoring;
 }
 
 }  // namespace oxbowspread::lab
--- a/src/lab/settings.hpp
+++ b/src/lab/settings.hpp
@@ -16,6 +16,6 @@
 std::uint64_t SeedOf(const model::Day& day, int relay, int life);
 // What the rules and the counting of service are on such a day.
 check::Rules RulesOf(const model::Scenario& scenario);
-check::Terms TermsOf(const model::Scenario& scenario, const model::Day& day);
+check::Scoring ScoringOf(const model::Scenario& scenario, const model::Day& day);
 
 }  // namespace oxbowspread::lab
--- a/src/lab/simulation.cpp
+++ b/src/lab/simulation.cpp
@@ -19,8 +19,8 @@
       : scenario_(scenario),
         day_(day),
         options_(options),
-        witness_(RulesOf(scenario), TermsOf(scenario, day), options.trace),
-        world_(scenario, day, [this](const trace::Event& event) { witness_.See(event); }),
+        witness_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
+        world_(scenario, day, [this](const trace::Event& event) { witness_.Observe(event); }),
         body_(static_cast<std::size_t>(scenario.traffic.body), 'b'),
         lives_(static_cast<std::size_t>(day.relays)) {
     std::filesystem::remove_all(options_.folder);
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -122,7 +122,7 @@
       return Finish(due.subject);
     case Todo::kPublish:
       for (std::size_t v = published_; v < due.subject; ++v) {
-        trace::Event event = EventOf(Kind::kChanged);
+        trace::Event event = EventOf(Kind::kHostChanged);
         event.host = changes_[v].id;
         event.up = changes_[v].state == ListEntry::State::kReady;
         sink_(event);
@@ -160,7 +160,7 @@
     relay.up = relay.stopped = false;
     relay.watch = 0;
     relay.notice_at = now_ + Seconds(network_.In(scenario_.network.front_notices));
-    trace::Event event = EventOf(Kind::kDead);
+    trace::Event event = EventOf(Kind::kExited);
     event.relay = down->relay;
     sink_(event);
     if (relay.down >= 0)
@@ -173,7 +173,7 @@
     // Its host works on: it may run yet, only nobody hears of it.
     const auto it = calls_.find(dropped->call);
     if (it == calls_.end()) return;
-    sink_(EventOf(Kind::kDropped, it->second));
+    sink_(EventOf(Kind::kConnectionLost, it->second));
     Comes(dropped->call);  // also one that is still on its way gets there
     calls_.erase(dropped->call);
   } else if (const auto* noticed = std::get_if<Noticed>(&input)) {
@@ -203,10 +203,10 @@
   last_until_ = std::max(last_until_, m.until);
   messages_.push_back(std::move(m));
   ++pending_;
-  trace::Event event = EventOf(Kind::kAsked);
+  trace::Event event = EventOf(Kind::kMessageDue);
   event.message = arrival;
   event.destination = a.partner;
-  event.until = messages_.back().until;
+  event.deadline = messages_.back().until;
   sink_(event);
   HandTo(arrival);
   if (arrival + 1 < day_.arrivals.size()) Add(day_.arrivals[arrival + 1].due, Todo::kArrival, arrival + 1);
@@ -242,12 +242,12 @@
   in.died_before = m.died_before;
   hands_[hand] = {number, in.relay, in.id};
   ids_[in.id].message = number;
-  trace::Event event = EventOf(Kind::kHanded);
+  trace::Event event = EventOf(Kind::kSubmitted);
   event.message = number;
   event.id = in.id;
   event.relay = in.relay;
   event.destination = m.destination;
-  event.until = m.until;
+  event.deadline = m.until;
   sink_(event);
   effects_.push_back(std::move(in));
   Add(now_ + kAnswerWithin, Todo::kHandDue, hand);
@@ -259,7 +259,7 @@
   const Hand hand = it->second;
   hands_.erase(it);
   Id& id = ids_[hand.id];
-  trace::Event event = EventOf(Kind::kTaken);
+  trace::Event event = EventOf(Kind::kAccepted);
   event.id = hand.id;
   event.relay = hand.relay;
   event.message = hand.message;
@@ -270,13 +270,13 @@
       if (id.delivered || id.noticed) Over(hand.message);
       return;
     case Answered::What::kTurnedAway:
-      event.kind = Kind::kTurnedAway;
-      event.wait = answered.come_again;
+      event.kind = Kind::kRejected;
+      event.retry_after = answered.come_again;
       sink_(event);
       ids_.erase(hand.id);
       return Refused(hand.message, answered.come_again);
     case Answered::What::kBroken:
-      event.kind = Kind::kLeft;
+      event.kind = Kind::kUnanswered;
       sink_(event);
       id.left = true;
       messages_[hand.message].died_before = true;
@@ -303,17 +303,17 @@
   Message& m = messages_[number];
   if (std::exchange(m.over, true)) return;
   --pending_;
-  trace::Event event = EventOf(Kind::kGivenUp);
+  trace::Event event = EventOf(Kind::kAbandoned);
   event.message = number;
   sink_(event);
 }
 
 void World::Take(const Noticed& noticed) {
-  trace::Event event = EventOf(Kind::kNoticed);
+  trace::Event event = EventOf(Kind::kNoticeReceived);
   event.id = noticed.id;
   event.relay = noticed.relay;
   event.deferred = noticed.deferred;
-  event.wait = noticed.again;
+  event.retry_after = noticed.again;
   sink_(event);
   const auto it = ids_.find(noticed.id);
   if (it == ids_.end()) return;
@@ -358,7 +358,7 @@
   call.fresh = called.fresh;
   call.crowded = called.crowded;
   trace::Event event = EventOf(Kind::kCalled, call);
-  event.fresh = called.fresh;
+  event.new_connection = called.fresh;
   sink_(event);
   Time way = Seconds(network_.In(scenario_.network.one_way));
   if (called.fresh) {
@@ -400,7 +400,7 @@
   call.wait = verdict.wait;
   call.over_limit = verdict.over_limit;
   if (verdict.tips) {
-    trace::Event event = EventOf(Kind::kFell);
+    trace::Event event = EventOf(Kind::kHostCollapsed);
     event.host = day_.hosts[call.host].id;
     sink_(event);
   }
@@ -418,7 +418,7 @@
   calls_.erase(it);
   trace::Event event = EventOf(Kind::kAnswered, call);
   event.status = call.status;
-  event.wait = call.wait;
+  event.retry_after = call.wait;
   event.over_limit = call.over_limit;
   sink_(event);
   effects_.push_back(AnswerCall{number, call.status, call.wait});
@@ -444,7 +444,7 @@
     case Turn::Kind::kTerminate:
       if (!relays_[index].up) return;
       relays_[index].down = turn.value;
-      event = EventOf(Kind::kTerminated);
+      event = EventOf(Kind::kTerminating);
       event.relay = turn.index;
       sink_(event);
       effects_.push_back(TerminateRelay{turn.index});
@@ -454,7 +454,7 @@
       relays_[index].stopped = true;
       relays_[index].notice_at = now_ + Seconds(network_.In(scenario_.network.front_notices));
       effects_.push_back(StopRelay{turn.index});
-      event = EventOf(Kind::kStopped);
+      event = EventOf(Kind::kSuspended);
       event.relay = turn.index;
       return sink_(event);
     case Turn::Kind::kContinue:
@@ -467,13 +467,13 @@
     case Turn::Kind::kOutage:
       if (!standing_[index]) return;
       routes_[index].Outage(now_, turn.value, turn.until);
-      event = EventOf(Kind::kOutage);
+      event = EventOf(Kind::kHostOutage);
       event.host = day_.hosts[index].id;
       return sink_(event);
     case Turn::Kind::kBack:
       if (!standing_[index]) return;
       routes_[index].Back(now_);
-      event = EventOf(Kind::kBack);
+      event = EventOf(Kind::kHostRecovered);
       event.host = day_.hosts[index].id;
       return sink_(event);
     case Turn::Kind::kDrain:
@@ -488,7 +488,7 @@
       }
       std::sort(broken.begin(), broken.end());
       for (const std::uint64_t number : broken) {
-        sink_(EventOf(Kind::kDropped, calls_.at(number)));
+        sink_(EventOf(Kind::kConnectionLost, calls_.at(number)));
         effects_.push_back(BreakCall{number});
         calls_.erase(number);
       }
@@ -570,7 +570,7 @@
   }
   for (std::size_t v = relay.told; v < published_; ++v) {
     list.entries.push_back(changes_[v]);
-    trace::Event event = EventOf(Kind::kTold);
+    trace::Event event = EventOf(Kind::kHostAnnounced);
     event.relay = number;
     event.host = changes_[v].id;
     event.up = changes_[v].state == ListEntry::State::kReady;
@@ -627,7 +627,7 @@
   TellList list = Known(wanted.relay);
   list.call = wanted.call;
   for (const ListEntry& entry : list.entries) {
-    trace::Event event = EventOf(Kind::kTold);
+    trace::Event event = EventOf(Kind::kHostAnnounced);
     event.relay = wanted.relay;
     event.host = entry.id;
     event.up = entry.state == ListEntry::State::kReady;
@@ -667,7 +667,7 @@
     effects_.push_back(RefuseList{r, relay.watch});
     relay.watch = 0;
   }
-  trace::Event event = EventOf(Kind::kDiscovery);
+  trace::Event event = EventOf(Kind::kDiscoveryReachable);
   event.up = discovery_ != Service::kDown && discovery_ != Service::kSilent;
   sink_(event);
 }
--- a/src/trace/event.cpp
+++ b/src/trace/event.cpp
@@ -15,19 +15,19 @@
                                "changed",    "discovery", "end"};
 static_assert(kNames.size() == static_cast<std::size_t>(Event::Kind::kEnd) + 1);
 
-// Each field once, for both ways.
+// Lists the optional fields under their outer names, for writing and for reading.
 template <typename E, typename Visit>
-void Fields(E&& e, Visit visit) {
+void VisitFields(E&& e, Visit visit) {
   visit("message", e.message);
   visit("id", e.id);
   visit("relay", e.relay);
   visit("host", e.host);
   visit("destination", e.destination);
   visit("zone", e.zone);
-  visit("until_us", e.until);
-  visit("wait_us", e.wait);
+  visit("until_us", e.deadline);
+  visit("wait_us", e.retry_after);
   visit("status", e.status);
-  visit("fresh", e.fresh);
+  visit("fresh", e.new_connection);
   visit("over_limit", e.over_limit);
   visit("deferred", e.deferred);
   visit("up", e.up);
@@ -37,41 +37,41 @@
 
 const char* NameOf(Event::Kind kind) { return kNames[static_cast<std::size_t>(kind)]; }
 
-std::string ToLine(const Event& event) {
+std::string ToJsonLine(const Event& event) {
   Json json = {{"at_us", event.at.count()}, {"kind", NameOf(event.kind)}};
-  const auto put = [](Json& to) {
-    return [&to](const char* name, const auto& value) {
+  const auto put = [](Json& target) {
+    return [&target](const char* name, const auto& value) {
       if constexpr (std::is_same_v<std::decay_t<decltype(value)>, Time>) {
-        to[name] = value.count();
+        target[name] = value.count();
       } else {
-        to[name] = value;
+        target[name] = value;
       }
     };
   };
-  static const Json plain = [&] {
-    Json none;
-    Fields(Event(), put(none));
-    return none;
+  static const Json defaults = [&] {
+    Json default_fields;
+    VisitFields(Event(), put(default_fields));
+    return default_fields;
   }();
-  Json all;
-  Fields(event, put(all));
-  for (const auto& [name, value] : all.items()) {
-    if (value != plain.at(name)) json[name] = value;
+  Json fields;
+  VisitFields(event, put(fields));
+  for (const auto& [name, value] : fields.items()) {
+    if (value != defaults.at(name)) json[name] = value;
   }
   return json.dump();
 }
 
-Event FromLine(const std::string& line) {
+Event ParseJsonLine(const std::string& line) {
   try {
     const Json json = Json::parse(line);
     Event e;
     e.at = Time(json.at("at_us").get<Time::rep>());
     const std::string kind = json.at("kind");
-    std::size_t i = 0;
-    while (i < kNames.size() && kind != kNames[i]) ++i;
-    if (i == kNames.size()) throw std::runtime_error("kind: unknown: '" + kind + "'");
-    e.kind = static_cast<Event::Kind>(i);
-    Fields(e, [&](const char* name, auto& value) {
+    std::size_t index = 0;
+    while (index < kNames.size() && kind != kNames[index]) ++index;
+    if (index == kNames.size()) throw std::runtime_error("kind: unknown: '" + kind + "'");
+    e.kind = static_cast<Event::Kind>(index);
+    VisitFields(e, [&](const char* name, auto& value) {
       const auto it = json.find(name);
       if (it == json.end()) return;
       if constexpr (std::is_same_v<std::decay_t<decltype(value)>, Time>) {
@@ -82,7 +82,7 @@
     });
     return e;
   } catch (const Json::exception& e) {
-    throw std::runtime_error(std::string("no event: ") + e.what());
+    throw std::runtime_error(std::string("not a trace event: ") + e.what());
   }
 }
 
--- a/src/trace/event.hpp
+++ b/src/trace/event.hpp
@@ -1,6 +1,6 @@
-// What crossed between clients, relays, endpoints, discovery and the platform, as one stream of events in
-// the order of time. Written by whoever stands between them; read by the checker and the tally, and kept as
-// lines of JSON. No I/O.
+// Trace events: what clients, relays, endpoints, discovery and the platform exchanged during a run, as one
+// stream in order of time. The platform model writes them; the checker and the tally read them. A trace is
+// stored as one JSON object a line. No I/O.
 #pragma once
 
 #include <chrono>
@@ -11,53 +11,58 @@
 
 using Time = std::chrono::microseconds;  // since the start of the run
 
+// One exchange between two parties, or a change of one party's state.
 struct Event {
+  // Each kind lists the fields that it sets beside `at`.
   enum class Kind {
-    kAsked,       // a client's message became due: message, destination, until
-    kHanded,      // and was written to a relay: message, id, relay, destination, until
-    kTaken,       // +OK was read by its client: id
-    kTurnedAway,  // -BUSY was: id, wait
-    kLeft,        // the client gave up waiting for the answer, or its connection broke: id
-    kGivenUp,     // the client comes no more: message
-    kCalled,    // a call's last byte came to a host: id, relay, host, destination and zone of the host, fresh
-    kAnswered,  // its answer was written: id, relay, host, status, wait, over_limit
-    kDropped,   // its connection ended first: id, relay, host
-    kNoticed,   // the platform was told: id, relay, deferred, wait
-    kTold,      // discovery wrote to a relay what a host is: relay, host, up
-    kReady,     // a relay answers: relay
-    kTerminated,  // it got SIGTERM: relay
-    kDead,        // its process is gone: relay
-    kStopped,     // it got SIGSTOP; kReady when it goes on, though it may be ending: relay
-    kOutage,      // a host shuts, or fails most calls: host
-    kBack,        // it is back, cold: host
-    kFell,        // it was pushed over: host
-    kChanged,     // discovery has it that a host is up, or drains or is gone: host, up
-    kDiscovery,   // whether discovery can be reached from now on: up
-    kEnd,         // the run's regular end
+    kMessageDue,  // a client's message became due: message, destination, deadline
+    kSubmitted,   // a message was written to a relay: message, id, relay, destination, deadline
+    kAccepted,    // the client read +OK: id
+    kRejected,    // the client read -BUSY: id, retry_after
+    kUnanswered,  // the client stopped waiting for the answer, or its connection broke: id
+    kAbandoned,   // the client will not submit the message again: message
+    kCalled,      // a host received the last byte of a call: id, relay, host, destination, zone of the host,
+                  // new_connection
+    kAnswered,    // a host wrote its answer to a call: id, relay, host, status, retry_after, over_limit
+    kConnectionLost,  // the connection of a call ended before its answer: id, relay, host
+    kNoticeReceived,  // the platform received the notice of a message's end: id, relay, deferred, retry_after
+    kHostAnnounced,   // discovery wrote the state of a host to a relay: relay, host, up
+    kReady,           // a relay answers commands: relay
+    kTerminating,     // a relay got SIGTERM: relay
+    kExited,          // a relay's process has ended: relay
+    kSuspended,       // a relay got SIGSTOP: relay. Followed by kReady when the process continues, even if it
+                      // is terminating
+    kHostOutage,      // a host stops accepting connections or fails most calls: host
+    kHostRecovered,   // a host is back and cold: host
+    kHostCollapsed,   // a cold host went down under load: host
+    kHostChanged,     // discovery's list changed: a host is up, or is draining or removed: host, up
+    kDiscoveryReachable,  // whether discovery can be reached from now on: up
+    kEnd,                 // the regular end of the run
   };
 
   Time at{0};
   Kind kind = Kind::kEnd;
-  std::uint64_t message = 0;  // of the run; all hand-ins of one message share it
-  std::string id;             // of one hand-in
+  std::uint64_t message = 0;  // number within the run; all submissions of one message share it
+  std::string id;             // of one submission
   int relay = -1;
   std::string host;
   int destination = -1;
   int zone = -1;
-  Time until{0};  // when the message's time is up
-  Time wait{0};   // told; 0: none
+  Time deadline{0};     // of the message
+  Time retry_after{0};  // wait that the answer or notice asked for; 0: none
   int status = 0;
-  bool fresh = false;       // on a connection that had carried no call before
-  bool over_limit = false;  // turned away since the host's limit was used up
-  bool deferred = false;    // else undeliverable
-  bool up = false;          // else draining or gone
+  bool new_connection = false;  // the connection had carried no call before
+  bool over_limit = false;      // refused because the host's rate limit was used up
+  bool deferred = false;        // false: undeliverable
+  bool up = false;              // false: draining, removed or not reachable
 };
 
+// The name of the kind in a stored trace.
 const char* NameOf(Event::Kind kind);
 
-// One line without its end. Fields at their default are left out.
-std::string ToLine(const Event& event);
-// Throws std::runtime_error in one line on what is no event.
-Event FromLine(const std::string& line);
+// One JSON object without a line end. Fields at their default are left out.
+std::string ToJsonLine(const Event& event);
+// Throws std::runtime_error with a message of one line if `line` is not an event.
+Event ParseJsonLine(const std::string& line);
 
 }  // namespace oxbowspread::trace
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -24,17 +24,17 @@
     event_.relay = 0;
     Put();
     Hand("m", 16s);
-    At(10ms).kind = Kind::kTaken;
+    At(10ms).kind = Kind::kAccepted;
     event_.id = "m";
     Put();
   }
 
   Stream& Hand(const std::string& id, Time until) {
-    At(now_).kind = Kind::kHanded;
+    At(now_).kind = Kind::kSubmitted;
     event_.id = id;
     event_.relay = 0;
     event_.destination = 7;
-    event_.until = until;
+    event_.deadline = until;
     return Put();
   }
   Stream& Call(Time at, const std::string& host = "a", int zone = 1, int destination = 7,
@@ -54,11 +54,11 @@
     event_.relay = relay;
     event_.host = host;
     event_.status = status;
-    event_.wait = wait;
+    event_.retry_after = wait;
     return Put();
   }
   Stream& Notice(Time at, bool deferred, const std::string& id = "m") {
-    At(at).kind = Kind::kNoticed;
+    At(at).kind = Kind::kNoticeReceived;
     event_.id = id;
     event_.relay = 0;
     event_.deferred = deferred;
@@ -72,7 +72,7 @@
     return Put();
   }
   Stream& Drop(Time at, const std::string& host = "a") {
-    At(at).kind = Kind::kDropped;
+    At(at).kind = Kind::kConnectionLost;
     event_.id = "m";
     event_.relay = 0;
     event_.host = host;
@@ -99,7 +99,7 @@
     return event_;
   }
   Stream& Put() {
-    checker_.See(event_);
+    checker_.Observe(event_);
     return *this;
   }
   Checker checker_;
@@ -128,18 +128,18 @@
           "[checker]") {
   const auto restarted = [] {
     Stream s;
-    s.Of(Kind::kTerminated, 15s, 0).Of(Kind::kDead, 18s, 0).Of(Kind::kReady, 19s, 0);
+    s.Of(Kind::kTerminating, 15s, 0).Of(Kind::kExited, 18s, 0).Of(Kind::kReady, 19s, 0);
     return s;
   };
   CHECK(restarted().Notice(20s + 550ms, false).End(22s) == Rules{});
   CHECK(restarted().Of(Kind::kReady, 20s + 552ms, 1).Notice(21s, false).End(22s) == Rules{"lost"});
   // Nor while it is stopped.
-  const auto stopped = [] { return Stream().Of(Kind::kStopped, 15s, 0).Of(Kind::kReady, 19s, 0); };
+  const auto stopped = [] { return Stream().Of(Kind::kSuspended, 15s, 0).Of(Kind::kReady, 19s, 0); };
   CHECK(stopped().Notice(20s + 550ms, false).End(22s) == Rules{});
   CHECK(stopped().Of(Kind::kReady, 20s + 552ms, 1).Notice(21s, false).End(22s) == Rules{"lost"});
   // One that another relay owes is lost all the same.
   Stream other;
-  other.Of(Kind::kDead, 15s, 1);
+  other.Of(Kind::kExited, 15s, 1);
   CHECK(other.Notice(17s, false).End(18s) == Rules{"lost"});
 }
 
@@ -150,8 +150,8 @@
 TEST_CASE("checker: a stopped relay that was told to end and goes on has not come back yet", "[checker]") {
   const auto restarted = [] {
     Stream s;
-    s.Of(Kind::kStopped, 14s, 0).Of(Kind::kTerminated, 14s + 500ms, 0).Of(Kind::kReady, 15s, 0);
-    s.Of(Kind::kDead, 18s, 0).Of(Kind::kReady, 19s, 0);
+    s.Of(Kind::kSuspended, 14s, 0).Of(Kind::kTerminating, 14s + 500ms, 0).Of(Kind::kReady, 15s, 0);
+    s.Of(Kind::kExited, 18s, 0).Of(Kind::kReady, 19s, 0);
     return s;
   };
   CHECK(restarted().Notice(20s + 550ms, false).End(22s) == Rules{});
@@ -199,7 +199,7 @@
 TEST_CASE("checker: a drain that was never written counts as told after 6 s", "[checker]") {
   const auto called = [](Time call) {
     Stream s;
-    s.Of(Kind::kChanged, 2s, -1, "a");
+    s.Of(Kind::kHostChanged, 2s, -1, "a");
     return s.Call(call).Answer(call + 100ms, 200).End(20s);
   };
   CHECK(called(8s + 300ms) == Rules{});
@@ -209,7 +209,9 @@
 TEST_CASE("checker: the 6 s run from when discovery can be reached again", "[checker]") {
   const auto called = [](Time call) {
     Stream s;
-    s.Of(Kind::kDiscovery, 1s, -1).Of(Kind::kChanged, 2s, -1, "a").Of(Kind::kDiscovery, 5s, -1, "", true);
+    s.Of(Kind::kDiscoveryReachable, 1s, -1)
+        .Of(Kind::kHostChanged, 2s, -1, "a")
+        .Of(Kind::kDiscoveryReachable, 5s, -1, "", true);
     return s.Call(call).Answer(call + 100ms, 200).End(20s);
   };
   CHECK(called(11s + 300ms) == Rules{});
@@ -218,20 +220,20 @@
 
 TEST_CASE("checker: while discovery can't be reached nothing counts as told", "[checker]") {
   Stream s;
-  s.Of(Kind::kDiscovery, 1s, -1).Of(Kind::kChanged, 2s, -1, "a");
+  s.Of(Kind::kDiscoveryReachable, 1s, -1).Of(Kind::kHostChanged, 2s, -1, "a");
   CHECK(s.Call(15s).Answer(15s + 100ms, 200).End(20s) == Rules{});
 }
 
 TEST_CASE("checker: what was written to a relay binds it before the 6 s are over", "[checker]") {
   Stream s;
-  s.Of(Kind::kChanged, 2s, -1, "a").Of(Kind::kTold, 3s, 0, "a");
+  s.Of(Kind::kHostChanged, 2s, -1, "a").Of(Kind::kHostAnnounced, 3s, 0, "a");
   CHECK(s.Call(3s + 301ms).Answer(4s, 200).End(20s) == Rules{"drain"});
 }
 
 TEST_CASE("checker: a new process has 6 s from its start to hear of a drain", "[checker]") {
   const auto called = [](Time call) {
     Stream s;
-    s.Of(Kind::kChanged, 1s, -1, "a").Of(Kind::kDead, 5s, 0).Of(Kind::kReady, 6s, 0);
+    s.Of(Kind::kHostChanged, 1s, -1, "a").Of(Kind::kExited, 5s, 0).Of(Kind::kReady, 6s, 0);
     return s.Call(call).Answer(call + 100ms, 200).End(20s);
   };
   CHECK(called(12s + 300ms) == Rules{});
@@ -241,7 +243,7 @@
 TEST_CASE("checker: a relay that was stopped and goes on has no more time to hear of a drain", "[checker]") {
   const auto called = [](Time call) {
     Stream s;
-    s.Of(Kind::kChanged, 2s, -1, "a").Of(Kind::kStopped, 5s, 0).Of(Kind::kReady, 7s, 0);
+    s.Of(Kind::kHostChanged, 2s, -1, "a").Of(Kind::kSuspended, 5s, 0).Of(Kind::kReady, 7s, 0);
     return s.Call(call).Answer(call + 100ms, 200).End(20s);
   };
   CHECK(called(8s + 300ms) == Rules{});
@@ -250,7 +252,7 @@
 
 TEST_CASE("checker: a host that is up again may be called", "[checker]") {
   Stream s;
-  s.Of(Kind::kChanged, 1s, -1, "a").Of(Kind::kChanged, 5s, -1, "a", true);
+  s.Of(Kind::kHostChanged, 1s, -1, "a").Of(Kind::kHostChanged, 5s, -1, "a", true);
   CHECK(s.Call(12s).Answer(12s + 100ms, 200).End(20s) == Rules{});
 }
 
@@ -263,15 +265,15 @@
     e.relay = relay;
     e.host = host;
     e.up = up;
-    delay.See(e);
+    delay.Observe(e);
   };
   for (int relay = 0; relay < 3; ++relay) see(Kind::kReady, 0s, relay, "", false);
-  see(Kind::kChanged, 1s, -1, "a", false);
-  see(Kind::kTold, 2s, 0, "a", false);
+  see(Kind::kHostChanged, 1s, -1, "a", false);
+  see(Kind::kHostAnnounced, 2s, 0, "a", false);
   CHECK(delay.worst() == 1s);
-  see(Kind::kDiscovery, 3s, -1, "", false);
-  see(Kind::kDiscovery, 6s, -1, "", true);
-  see(Kind::kTold, 9s, 1, "a", false);
+  see(Kind::kDiscoveryReachable, 3s, -1, "", false);
+  see(Kind::kDiscoveryReachable, 6s, -1, "", true);
+  see(Kind::kHostAnnounced, 9s, 1, "a", false);
   CHECK(delay.worst() == 3s);  // since discovery could be reached
   see(Kind::kEnd, 11s, -1, "", false);
   CHECK(delay.worst() == 5s);  // relay 2 never was
@@ -279,17 +281,21 @@
 
 TEST_CASE("checker: a drain leaves 250 ms and the slack", "[checker]") {
   const auto drained = [](Time call) {
-    return Stream().Of(Kind::kTold, 1s, 0, "a").Call(call).Answer(call + 10ms, 200).End();
+    return Stream().Of(Kind::kHostAnnounced, 1s, 0, "a").Call(call).Answer(call + 10ms, 200).End();
   };
   CHECK(drained(1s + 300ms) == Rules{});
   CHECK(drained(1s + 301ms) == Rules{"drain"});
   // Told to another relay, taken back, or forgotten with the process that was told.
-  CHECK(Stream().Of(Kind::kTold, 1s, 1, "a").Call(3s).Answer(4s, 200).End() == Rules{});
+  CHECK(Stream().Of(Kind::kHostAnnounced, 1s, 1, "a").Call(3s).Answer(4s, 200).End() == Rules{});
+  CHECK(Stream()
+            .Of(Kind::kHostAnnounced, 1s, 0, "a")
+            .Of(Kind::kHostAnnounced, 2s, 0, "a", true)
+            .Call(3s)
+            .Answer(4s, 200)
+            .End() == Rules{});
   CHECK(
-      Stream().Of(Kind::kTold, 1s, 0, "a").Of(Kind::kTold, 2s, 0, "a", true).Call(3s).Answer(4s, 200).End() ==
+      Stream().Of(Kind::kHostAnnounced, 1s, 0, "a").Of(Kind::kExited, 2s, 0).Call(3s).Answer(4s, 200).End() ==
       Rules{});
-  CHECK(Stream().Of(Kind::kTold, 1s, 0, "a").Of(Kind::kDead, 2s, 0).Call(3s).Answer(4s, 200).End() ==
-        Rules{});
 }
 
 TEST_CASE("checker: a told wait is kept by the relay that heard it", "[checker]") {
@@ -337,17 +343,17 @@
   // Of three calls in the last 3 s, those of relay 0 count once it has seen a failure in the outage.
   const auto fallen = [](int knowing, bool died) {
     Stream s;
-    s.Of(Kind::kOutage, 1s, -1, "a");
+    s.Of(Kind::kHostOutage, 1s, -1, "a");
     s.Call(2s).Answer(2s + 10ms, 500).Notice(2s + 20ms, false);
-    s.Of(Kind::kBack, 3s, -1, "a");
-    if (died) s.Of(Kind::kDead, 3s, 0);
+    s.Of(Kind::kHostRecovered, 3s, -1, "a");
+    if (died) s.Of(Kind::kExited, 3s, 0);
     for (int i = 0; i < 3; ++i) {
       const std::string id = "p" + std::to_string(i);
       s.Hand(id, 19s);
       const int relay = i < knowing ? 0 : 1;
       s.Call(5s + 1ms * i, "a", 1, 7, id, relay).Answer(5s + 1ms * i, 503, 0ms, "a", id, relay);
     }
-    return s.Of(Kind::kFell, 5s + 10ms, -1, "a").End();
+    return s.Of(Kind::kHostCollapsed, 5s + 10ms, -1, "a").End();
   };
   CHECK(fallen(2, false) == Rules{"push-over"});
   CHECK(fallen(1, false) == Rules{});
@@ -368,7 +374,7 @@
   s.Call(20ms).Answer(1s, 200);
   for (int i = 0; i < 1000; ++i)
     s.Of(Kind::kReady, 2s + 1s * i, 1).Hand("h" + std::to_string(i), 3s + 1s * i);
-  CHECK(s.checker().held() < 100);
+  CHECK(s.checker().tracked_submissions() < 100);
   CHECK(s.End(2000s) == Rules{});
 }
 
@@ -382,26 +388,26 @@
   e.host = "s-1";
   e.destination = 0;
   e.zone = 1;
-  e.until = 16s;
-  e.wait = 250ms;
+  e.deadline = 16s;
+  e.retry_after = 250ms;
   e.status = 429;
-  e.fresh = e.over_limit = e.deferred = e.up = true;
-  const Event r = trace::FromLine(trace::ToLine(e));
-  CHECK(trace::ToLine(r) == trace::ToLine(e));
+  e.new_connection = e.over_limit = e.deferred = e.up = true;
+  const Event r = trace::ParseJsonLine(trace::ToJsonLine(e));
+  CHECK(trace::ToJsonLine(r) == trace::ToJsonLine(e));
   CHECK(r.id == e.id);
-  CHECK(r.wait == e.wait);
+  CHECK(r.retry_after == e.retry_after);
   CHECK(r.destination == 0);
   for (const char* bad : {"", "{", "{}", R"({"at_us":1,"kind":"sent"})", R"({"at_us":"x","kind":"end"})"}) {
-    CHECK_THROWS_AS(trace::FromLine(bad), std::runtime_error);
+    CHECK_THROWS_AS(trace::ParseJsonLine(bad), std::runtime_error);
   }
 }
 
 TEST_CASE("tally: worth, windows and prices by hand", "[checker]") {
-  check::Terms terms;
-  terms.refused_price = 0.03;
-  terms.handshake_price = 0.06;
-  terms.limits = {{"h", 2}};
-  check::Tally tally(terms);
+  check::Scoring scoring;
+  scoring.over_limit_price = 0.03;
+  scoring.new_connection_price = 0.06;
+  scoring.host_limits = {{"h", 2}};
+  check::Tally tally(scoring);
   const auto see = [&](Kind kind, Time at, std::uint64_t message, auto change) {
     Event e;
     e.kind = kind;
@@ -409,19 +415,20 @@
     e.message = message;
     e.id = "m" + std::to_string(message);
     change(e);
-    tally.See(e);
+    tally.Observe(e);
   };
   // Four messages, due at 0, 1, 2 and 30 s: at once, after two aims (half), never, and of an id its client
   // left.
   const Time due[] = {0s, 1s, 2s, 30s};
   for (std::uint64_t m = 0; m < 4; ++m) {
-    see(Kind::kAsked, due[m] + 5ms, m, [&](Event& e) { e.until = due[m] + terms.deadline; });
-    see(Kind::kHanded, due[m] + 5ms, m, [&](Event& e) { e.relay = m < 2 ? 0 : 1; });
+    see(Kind::kMessageDue, due[m] + 5ms, m, [&](Event& e) { e.deadline = due[m] + scoring.deadline; });
+    see(Kind::kSubmitted, due[m] + 5ms, m, [&](Event& e) { e.relay = m < 2 ? 0 : 1; });
   }
-  see(Kind::kTaken, 10ms, 0, [](Event&) {});
-  see(Kind::kTaken, 1s + 10ms, 1, [](Event&) {});
-  see(Kind::kLeft, 31s, 3, [](Event&) {});
-  for (const std::uint64_t m : {0, 1, 3}) see(Kind::kCalled, 40s, m, [](Event& e) { e.fresh = true; });
+  see(Kind::kAccepted, 10ms, 0, [](Event&) {});
+  see(Kind::kAccepted, 1s + 10ms, 1, [](Event&) {});
+  see(Kind::kUnanswered, 31s, 3, [](Event&) {});
+  for (const std::uint64_t m : {0, 1, 3})
+    see(Kind::kCalled, 40s, m, [](Event& e) { e.new_connection = true; });
   see(Kind::kAnswered, 500ms, 0, [](Event& e) { e.status = 200; });
   see(Kind::kAnswered, 7s, 1, [](Event& e) { e.status = 200; });
   see(Kind::kAnswered, 32s, 3, [](Event& e) { e.status = 200; });
@@ -430,18 +437,18 @@
     see(Kind::kAnswered, 50s + 400ms * i, 2,
         [](Event& e) { e.status = 503, e.over_limit = true, e.host = "h"; });
   }
-  see(Kind::kFell, 60s, 0, [](Event& e) { e.host = "h"; });
-  const check::Figures f = tally.Sum();
-  CHECK(f.worst_over == Approx(1.5));  // three in one second at a host that takes two
-  CHECK(f.fairness == Approx(0.5));    // one relay's messages had it all
-  CHECK(f.fell == 1);
+  see(Kind::kHostCollapsed, 60s, 0, [](Event& e) { e.host = "h"; });
+  const check::Figures f = tally.ComputeFigures();
+  CHECK(f.worst_limit_excess == Approx(1.5));  // three in one second at a host that takes two
+  CHECK(f.fairness == Approx(0.5));            // one relay's messages had it all
+  CHECK(f.collapsed_hosts == 1);
   CHECK(f.asked == 4);
-  CHECK(f.taken == 2);
+  CHECK(f.accepted == 2);
   CHECK(f.delivered == 2);
-  CHECK(f.in_aim == 1);
+  CHECK(f.within_aim == 1);
   CHECK(f.accept_p50_ms == Approx(10));
-  CHECK(f.whole == Approx(1.5 / 4));
-  CHECK(f.worst == Approx(0));  // 21 to 30 s
-  CHECK(f.prices == Approx(0.03 * 4 / 4 + 0.06 * 3 / 4));
-  CHECK(f.service == Approx(0.75 * 1.5 / 4 - f.prices));
+  CHECK(f.worth_share == Approx(1.5 / 4));
+  CHECK(f.worst_window_share == Approx(0));  // 21 to 30 s
+  CHECK(f.deductions == Approx(0.03 * 4 / 4 + 0.06 * 3 / 4));
+  CHECK(f.service == Approx(0.75 * 1.5 / 4 - f.deductions));
 }
--- a/tests/lab/model_test.cpp
+++ b/tests/lab/model_test.cpp
@@ -60,7 +60,7 @@
 
   std::string Trace() const {  // written out only where it is looked at: it takes longer than the day
     std::string all;
-    for (const trace::Event& event : events) all += trace::ToLine(event) + "\n";
+    for (const trace::Event& event : events) all += trace::ToJsonLine(event) + "\n";
     return all;
   }
 };
@@ -328,32 +328,32 @@
   const std::vector<Case> cases = {
       {"length: 15s\n", Kind::kAnswered, 100},
       {"length: 15s\ntraffic: {load: 1.3, shape: bursty}\n", Kind::kAnswered, 300},
-      {"length: 15s\ntroubles:\n  - relays_killed: {at: 4s, for: 3s, share: 0.67}\n", Kind::kDead, 2},
+      {"length: 15s\ntroubles:\n  - relays_killed: {at: 4s, for: 3s, share: 0.67}\n", Kind::kExited, 2},
       {"length: 25s\ntroubles:\n  - relays_rolled: {at: 3s, for: 15s, share: 1, down: 0.5s}\n",
-       Kind::kTerminated, 3},
+       Kind::kTerminating, 3},
       {"length: 20s\ntroubles:\n  - list_behind: {at: 2s, for: 10s, by: 5s}\n"
        "  - hosts_replaced: {at: 3s, for: 4s, count: 4}\n"
        "  - hosts_replaced: {at: 3s, for: 4s, count: 4, same_address: true}\n",
-       Kind::kTold, 12},
+       Kind::kHostAnnounced, 12},
       {"length: 25s\ntraffic: {load: 0.9}\ntroubles:\n  - partners_shut: {at: 3s, for: 8s, share: 0.3}\n",
-       Kind::kBack, 2},
+       Kind::kHostRecovered, 2},
       {"length: 25s\ntraffic: {load: 0.9}\ntroubles:\n  - partners_down: {at: 3s, for: 8s, share: 0.4}\n",
-       Kind::kBack, 5},
+       Kind::kHostRecovered, 5},
       {"length: 30s\nrelays: 30\npartners: {count: 20}\ntroubles:\n  - discovery_down: {at: 3s, for: 5s}\n"
        "  - hosts_replaced: {at: 4s, for: 1s, count: 6, drain: 20s}\n"
        "  - discovery_silent: {at: 15s, for: 3s}\n"
        "  - hosts_replaced: {at: 16s, for: 1s, count: 6, drain: 10s}\n",
-       Kind::kDiscovery, 4},
+       Kind::kDiscoveryReachable, 4},
       {"length: 25s\nrelays: 30\npartners: {count: 20}\ntroubles:\n  - discovery_down: {at: 3s, for: 1s}\n"
        "  - discovery_slow: {at: 4s, for: 15s, each: 100ms}\n"
        "  - hosts_replaced: {at: 3.5s, for: 1s, count: 6, drain: 20s}\n",
-       Kind::kChanged, 12},
+       Kind::kHostChanged, 12},
       {"length: 20s\nrelays: 30\npartners: {count: 20}\nrelay: {senders_told: 10}\ntroubles:\n"
        "  - lists_broken: {at: 3s, for: 0.1s}\n"
        "  - discovery_crowded: {at: 3s, for: 9s}\n"
        "  - hosts_replaced: {at: 3.2s, for: 1s, count: 6, drain: 15s}\n"
        "  - discovery_moved: {at: 5s, for: 2s, share: 0.5}\n",
-       Kind::kChanged, 12},
+       Kind::kHostChanged, 12},
       {"length: 15s\ntroubles:\n  - partners_draw: {at: 3s, for: 8s, share: 0.24, count: 2}\n",
        Kind::kAnswered, 100},
   };
@@ -365,7 +365,7 @@
       CHECK(played.outcome.crash.empty());
       CHECK_FALSE(played.outcome.cut_short);
       CHECK(Count(played, c.sign) >= c.least);
-      CHECK(played.outcome.figures.whole > 0.5);
+      CHECK(played.outcome.figures.worth_share > 0.5);
     }
   }
 }
@@ -377,10 +377,10 @@
   CHECK(played.outcome.breaches.empty());
   std::set<std::string> taken, ended, owed_at_death;
   for (const trace::Event& e : played.events) {
-    if (e.kind == trace::Event::Kind::kTaken) taken.insert(e.id);
-    if (e.kind == trace::Event::Kind::kNoticed) ended.insert(e.id);
+    if (e.kind == trace::Event::Kind::kAccepted) taken.insert(e.id);
+    if (e.kind == trace::Event::Kind::kNoticeReceived) ended.insert(e.id);
     if (e.kind == trace::Event::Kind::kAnswered && e.status == 200) ended.insert(e.id);
-    if (e.kind == trace::Event::Kind::kDead && owed_at_death.empty()) {
+    if (e.kind == trace::Event::Kind::kExited && owed_at_death.empty()) {
       for (const std::string& id : taken) {
         if (ended.count(id) == 0) owed_at_death.insert(id);
       }
