--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -1,5 +1,5 @@
-// oxbowlab: plays days of the platform's model around relays, checks every rule, counts the service, and
-// keeps, compares and draws what came of them.
+// oxbowlab: runs days of the platform model against relays, checks every rule and measures the service.
+// Stores, compares and charts the results.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -32,46 +32,46 @@
 using namespace oxbowspread;
 using results::Json;
 
-constexpr int kBroken = 1;  // a rule was broken, a relay crashed, or the run was spoilt
+constexpr int kExitNotClean = 1;  // a rule was broken, a relay crashed, or the run is invalid
 
-struct Day {
+struct RunOptions {
   std::string file, trace, relay;
   std::vector<std::string> sets;
   std::uint64_t seed = 1;
   bool json = false;
 };
 
-int Play(const Day& wanted, bool on_sockets) {
-  const model::Scenario scenario = model::ReadScenario(wanted.file, wanted.sets);
-  const model::Day day = model::Draw(scenario, wanted.seed);
+int RunDay(const RunOptions& options, bool on_sockets) {
+  const model::Scenario scenario = model::ReadScenario(options.file, options.sets);
+  const model::Day day = model::Draw(scenario, options.seed);
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("oxbowlab-" + std::to_string(getpid()))).string();
   std::ofstream trace;
-  lab::OnTrace keep;
-  if (!wanted.trace.empty()) {
-    trace.open(wanted.trace);
-    if (!trace) throw yaml::Error(wanted.trace + ": can't be written");
+  lab::TraceSink keep;
+  if (!options.trace.empty()) {
+    trace.open(options.trace);
+    if (!trace) throw yaml::Error(options.trace + ": can't be written");
     keep = [&](const trace::Event& event) { trace << trace::ToJsonLine(event) << "\n"; };
   }
-  const lab::Outcome outcome = on_sockets ? lab::Play(scenario, day, {wanted.relay, folder, keep})
+  const lab::Outcome outcome = on_sockets ? lab::RunOnSockets(scenario, day, {options.relay, folder, keep})
                                           : lab::Simulate(scenario, day, {folder, keep});
-  if (wanted.json) {
-    std::cout << lab::ReportOf(outcome, day, scenario.name).dump() << "\n";
+  if (options.json) {
+    std::cout << lab::ToJson(outcome, day, scenario.name).dump() << "\n";
   } else {
-    std::cout << lab::TextOf(outcome, day, scenario.name);
+    std::cout << lab::ToText(outcome, day, scenario.name);
   }
-  return outcome.clean() ? 0 : kBroken;
+  return outcome.clean() ? 0 : kExitNotClean;
 }
 
 // ---- soak ----
 
-struct Soak {
+struct SoakOptions {
   std::string seeds = "1-10", relay, program, keep;
   int jobs = 2;
 };
 
-// One day in this process; its report as JSON.
-int PlaySoak(std::uint64_t seed, const std::string& relay, const std::string& folder) {
+// Runs one day in this process and prints its report as JSON.
+int RunSoakDay(std::uint64_t seed, const std::string& relay, const std::string& folder) {
   const model::Scenario scenario = model::DrawSoak(seed);
   const model::Day day = model::Draw(scenario, seed);
   const std::string at =
@@ -79,18 +79,18 @@
           ? (std::filesystem::temp_directory_path() / ("oxbowlab-" + std::to_string(getpid()))).string()
           : folder + "/" + scenario.name;
   std::ofstream trace;
-  lab::OnTrace keep;
+  lab::TraceSink keep;
   if (!folder.empty()) {
     std::filesystem::create_directories(folder);
     trace.open(at + ".trace");
     keep = [&](const trace::Event& event) { trace << trace::ToJsonLine(event) << "\n"; };
   }
-  const lab::Outcome outcome = lab::Play(scenario, day, {relay, at, keep});
-  std::cout << lab::ReportOf(outcome, day, scenario.name).dump() << "\n";
-  return outcome.clean() ? 0 : kBroken;
+  const lab::Outcome outcome = lab::RunOnSockets(scenario, day, {relay, at, keep});
+  std::cout << lab::ToJson(outcome, day, scenario.name).dump() << "\n";
+  return outcome.clean() ? 0 : kExitNotClean;
 }
 
-void PrintSoak(std::uint64_t seed, const Json& report) {
+void PrintSoakRow(std::uint64_t seed, const Json& report) {
   const Json& breaches = report.at("breaches");
   std::string broken;
   for (const Json& breach : breaches) {
@@ -105,43 +105,44 @@
   std::fflush(stdout);
 }
 
-// Each day is a process of its own. Ends with kBroken if a rule was broken or a relay crashed; a day that the
-// load spoilt is shown with what it broke, which may be the load's doing, and only a crash counts on it.
-int RunSoak(const Soak& soak) {
-  const auto seeds = results::ReadSeeds(soak.seeds);
+// Runs each day in a process of its own. Returns kExitNotClean if a rule was broken or a relay crashed. An
+// invalid day, with a late load, is printed with the rules that it broke, but the lateness may have caused
+// those: only a crash on such a day counts.
+int RunSoak(const SoakOptions& options) {
+  const auto seeds = results::ReadSeeds(options.seeds);
   std::printf("| seed | calls | asked, delivered | breaches | crash | spoilt |\n");
   std::printf("| --- | --- | --- | --- | --- | --- |\n");
-  std::mutex lock;
+  std::mutex mutex;
   std::atomic<std::size_t> next{0};
-  std::size_t bad = 0, spoilt = 0;
-  std::string fault;
-  const auto play = [&] {
+  std::size_t not_clean = 0, invalid_days = 0;
+  std::string error;
+  const auto run_days = [&] {
     for (std::size_t i = next++; i < seeds.size(); i = next++) {
-      std::vector<std::string> words = {soak.program, "soak",    "--one", std::to_string(seeds[i]),
-                                        "--relay",    soak.relay};
-      if (!soak.keep.empty()) words.insert(words.end(), {"--keep", soak.keep});
-      const results::Ran ran = results::RunToEnd(words);
-      const std::lock_guard<std::mutex> hold(lock);
-      if (ran.exit_code != 0 && ran.exit_code != kBroken) {
-        if (fault.empty()) fault = "seed " + std::to_string(seeds[i]) + ": " + ran.err;
+      std::vector<std::string> arguments = {options.program,          "soak",    "--one",
+                                            std::to_string(seeds[i]), "--relay", options.relay};
+      if (!options.keep.empty()) arguments.insert(arguments.end(), {"--keep", options.keep});
+      const results::Ran child = results::RunToEnd(arguments);
+      const std::lock_guard<std::mutex> guard(mutex);
+      if (child.exit_code != 0 && child.exit_code != kExitNotClean) {
+        if (error.empty()) error = "seed " + std::to_string(seeds[i]) + ": " + child.err;
         continue;
       }
-      const Json report = Json::parse(ran.out);
-      PrintSoak(seeds[i], report);
-      const bool late = !report.at("spoilt").get<std::string>().empty();
+      const Json report = Json::parse(child.out);
+      PrintSoakRow(seeds[i], report);
+      const bool invalid = !report.at("spoilt").get<std::string>().empty();
       const bool crashed = !report.at("crash").get<std::string>().empty();
-      const bool broken = crashed || (!late && !report.at("breaches").empty());
-      bad += broken;
-      spoilt += !broken && ran.exit_code != 0;
+      const bool broken = crashed || (!invalid && !report.at("breaches").empty());
+      not_clean += broken;
+      invalid_days += !broken && child.exit_code != 0;
     }
   };
   std::vector<std::thread> threads;
-  for (int i = 0; i < soak.jobs; ++i) threads.emplace_back(play);
+  for (int i = 0; i < options.jobs; ++i) threads.emplace_back(run_days);
   for (std::thread& thread : threads) thread.join();
-  std::printf("%zu days: %zu with a broken rule or a crash, %zu spoilt by the load\n", seeds.size(), bad,
-              spoilt);
-  if (!fault.empty()) throw std::runtime_error(fault);
-  return bad == 0 ? 0 : kBroken;
+  std::printf("%zu days: %zu with a broken rule or a crash, %zu spoilt by the load\n", seeds.size(),
+              not_clean, invalid_days);
+  if (!error.empty()) throw std::runtime_error(error);
+  return not_clean == 0 ? 0 : kExitNotClean;
 }
 
 int Check(const std::string& file, const std::string& scenario_file) {
@@ -157,7 +158,7 @@
     try {
       checker.Observe(trace::ParseJsonLine(line));
     } catch (const std::exception& e) {
-      // A last line without its end is one that was cut short: the checker says so.
+      // A last line without a line end was cut short, which the checker reports.
       if (in.eof()) break;
       throw yaml::Error(file + ":" + std::to_string(number) + ": " + e.what());
     }
@@ -171,132 +172,135 @@
               static_cast<unsigned long long>(checker.calls()), checker.breaches().size());
   if (checker.cut_short()) std::printf(", cut short with %zu messages undecided", checker.undecided());
   std::printf("\n");
-  return checker.breaches().empty() && !checker.cut_short() ? 0 : kBroken;
+  return checker.breaches().empty() && !checker.cut_short() ? 0 : kExitNotClean;
 }
 
 // ---- experiments ----
 
-struct Sweep {
+struct SweepOptions {
   std::vector<std::string> scenarios, sets;
   std::string out, seeds = "1-5", label = "now", driver = "sim", relay, program;
   int jobs = 0;
 };
 
-struct Work {
+struct PlannedRun {
   results::Key key;
   std::string file;
 };
 
-std::vector<Work> PlanOf(const Sweep& sweep) {
-  const auto seeds = results::ReadSeeds(sweep.seeds);
-  const auto variants = results::ReadVariants(sweep.sets);
-  std::vector<Work> all;
-  for (const std::string& file : sweep.scenarios) {
+std::vector<PlannedRun> PlanRuns(const SweepOptions& options) {
+  const auto seeds = results::ReadSeeds(options.seeds);
+  const auto variants = results::ReadVariants(options.sets);
+  std::vector<PlannedRun> all;
+  for (const std::string& file : options.scenarios) {
     for (const std::string& variant : variants) {
-      // All is read before anything is played: a fault in the last one must not come after an hour.
+      // All scenarios are read before the first run, so that an error in the last one does not show up only
+      // after an hour of runs.
       const model::Scenario scenario = model::ReadScenario(file, results::SettingsIn(variant));
       for (const std::uint64_t seed : seeds) {
-        all.push_back({{sweep.label, scenario.name, scenario.version, variant, seed, sweep.driver}, file});
+        all.push_back(
+            {{options.label, scenario.name, scenario.version, variant, seed, options.driver}, file});
       }
     }
   }
   return all;
 }
 
-void Progress(std::size_t done, std::size_t all, std::size_t bad) {
+void PrintProgress(std::size_t done, std::size_t all, std::size_t not_clean) {
   if (isatty(STDERR_FILENO) == 0) return;
   constexpr std::size_t kWidth = 40;
   const std::size_t filled = all == 0 ? kWidth : kWidth * done / all;
   std::fprintf(stderr, "\r[%s%s] %zu of %zu days%s", std::string(filled, '#').c_str(),
                std::string(kWidth - filled, '.').c_str(), done, all,
-               bad > 0 ? (", " + std::to_string(bad) + " not clean").c_str() : "");
+               not_clean > 0 ? (", " + std::to_string(not_clean) + " not clean").c_str() : "");
   if (done == all) std::fprintf(stderr, "\n");
 }
 
-// Each day is a process of its own: one that crashes takes nothing with it.
-results::Row PlayApart(const Sweep& sweep, const Work& work) {
-  std::vector<std::string> words = {sweep.program, sweep.driver, work.file,
-                                    "--json",      "--seed",     std::to_string(work.key.seed)};
-  for (const std::string& set : results::SettingsIn(work.key.variant)) {
-    words.insert(words.end(), {"--set", set});
+// Runs a day in a process of its own, so that a crash does not end the sweep.
+results::Row RunInChild(const SweepOptions& options, const PlannedRun& planned_run) {
+  std::vector<std::string> arguments = {options.program,  options.driver,
+                                        planned_run.file, "--json",
+                                        "--seed",         std::to_string(planned_run.key.seed)};
+  for (const std::string& set : results::SettingsIn(planned_run.key.variant)) {
+    arguments.insert(arguments.end(), {"--set", set});
   }
-  if (sweep.driver == "run") words.insert(words.end(), {"--relay", sweep.relay});
-  const results::Ran ran = results::RunToEnd(words);
-  if (ran.exit_code != 0 && ran.exit_code != kBroken) {
+  if (options.driver == "run") arguments.insert(arguments.end(), {"--relay", options.relay});
+  const results::Ran child = results::RunToEnd(arguments);
+  if (child.exit_code != 0 && child.exit_code != kExitNotClean) {
     throw std::runtime_error(
-        work.key.scenario + " seed " + std::to_string(work.key.seed) + ": " +
-        (ran.exit_code < 0 ? "ended by a signal" : ran.err.substr(0, ran.err.find('\n'))));
+        planned_run.key.scenario + " seed " + std::to_string(planned_run.key.seed) + ": " +
+        (child.exit_code < 0 ? "ended by a signal" : child.err.substr(0, child.err.find('\n'))));
   }
-  return {work.key, Json::parse(ran.out)};
+  return {planned_run.key, Json::parse(child.out)};
 }
 
-int RunSweep(const Sweep& sweep) {
-  const std::vector<Work> all = PlanOf(sweep);
-  results::Results kept(sweep.out);
-  std::vector<const Work*> open;
-  for (const Work& work : all) {
-    if (!kept.Has(work.key)) open.push_back(&work);
+int RunSweep(const SweepOptions& options) {
+  const std::vector<PlannedRun> all = PlanRuns(options);
+  results::Results stored_results(options.out);
+  std::vector<const PlannedRun*> open;
+  for (const PlannedRun& planned_run : all) {
+    if (!stored_results.Has(planned_run.key)) open.push_back(&planned_run);
   }
-  const std::size_t known = all.size() - open.size();
-  std::mutex lock;
-  std::size_t done = known, bad = 0;
-  std::string fault;
+  const std::size_t already_done = all.size() - open.size();
+  std::mutex mutex;
+  std::size_t done = already_done, not_clean = 0;
+  std::string error;
   std::atomic<std::size_t> next{0};
-  Progress(done, all.size(), bad);
-  const auto play = [&] {
+  PrintProgress(done, all.size(), not_clean);
+  const auto run_days = [&] {
     for (std::size_t i = next++; i < open.size(); i = next++) {
-      const Work& work = *open[i];
+      const PlannedRun& planned_run = *open[i];
       try {
-        const results::Row row = PlayApart(sweep, work);
-        const std::lock_guard<std::mutex> hold(lock);
-        kept.Put(row);
+        const results::Row row = RunInChild(options, planned_run);
+        const std::lock_guard<std::mutex> guard(mutex);
+        stored_results.Put(row);
         ++done;
-        if (!row.clean()) ++bad;
-        Progress(done, all.size(), bad);
+        if (!row.clean()) ++not_clean;
+        PrintProgress(done, all.size(), not_clean);
       } catch (const std::exception& e) {
-        const std::lock_guard<std::mutex> hold(lock);
-        if (fault.empty()) fault = e.what();
-        next = open.size();  // what is kept is kept; the rest is for another time
+        const std::lock_guard<std::mutex> guard(mutex);
+        if (error.empty()) error = e.what();
+        next = open.size();  // stops; stored results stay, and the next sweep runs the remaining days
       }
     }
   };
-  const int most =
-      sweep.driver == "run" ? 2 : static_cast<int>(std::max(1u, std::thread::hardware_concurrency()));
+  const int default_jobs =
+      options.driver == "run" ? 2 : static_cast<int>(std::max(1u, std::thread::hardware_concurrency()));
   std::vector<std::thread> threads;
-  for (int i = 0; i < (sweep.jobs > 0 ? sweep.jobs : most); ++i) threads.emplace_back(play);
+  for (int i = 0; i < (options.jobs > 0 ? options.jobs : default_jobs); ++i) threads.emplace_back(run_days);
   for (std::thread& thread : threads) thread.join();
-  std::printf("%zu days: %zu played, %zu known already, %zu not clean\n", all.size(), done - known, known,
-              bad);
-  if (!fault.empty()) {
-    std::cerr << "oxbowlab: " << fault << "\n";
-    return kBroken;
+  std::printf("%zu days: %zu played, %zu known already, %zu not clean\n", all.size(), done - already_done,
+              already_done, not_clean);
+  if (!error.empty()) {
+    std::cerr << "oxbowlab: " << error << "\n";
+    return kExitNotClean;
   }
-  return bad == 0 ? 0 : kBroken;
+  return not_clean == 0 ? 0 : kExitNotClean;
 }
 
-// The highest value at which every seed's day stays within the bounds.
-int RunSearch(const Sweep& sweep, const std::string& key, double low, double high, double tolerance,
+// Searches for the highest value of the setting `key` at which the days of all seeds stay within the bounds.
+int RunSearch(const SweepOptions& options, const std::string& key, double low, double high, double tolerance,
               const results::Bounds& bounds) {
   if (!(low < high)) throw std::runtime_error("search: --from must be below --to");
-  const auto seeds = results::ReadSeeds(sweep.seeds);
+  const auto seeds = results::ReadSeeds(options.seeds);
   const auto setting = [&](double value) {
     char text[40];
     std::snprintf(text, sizeof text, "%g", value);
     return key + "=" + text;
   };
-  const std::string& file = sweep.scenarios.front();
-  // All faults come before anything is played.
-  const std::string fixed = results::ReadVariants(sweep.sets).front();
+  const std::string& file = options.scenarios.front();
+  // Errors in the settings are reported before the first run.
+  const std::string fixed = results::ReadVariants(options.sets).front();
   const auto variant = [&](double value) { return fixed + (fixed.empty() ? "" : " ") + setting(value); };
   const model::Scenario scenario = model::ReadScenario(file, results::SettingsIn(variant(low)));
   model::ReadScenario(file, results::SettingsIn(variant(high)));
   std::printf("%-28s %6s %10s %10s %10s   within\n", "setting", "days", "p99 ms", "refused", "delivered");
-  const auto good = [&](double value) {
+  const auto within_bounds = [&](double value) {
     double p99 = 0, refused = 0, delivered = 1;
     bool all = true;
     for (const std::uint64_t seed : seeds) {
-      const results::Row row = PlayApart(
-          sweep, {{"search", scenario.name, scenario.version, variant(value), seed, sweep.driver}, file});
+      const results::Row row = RunInChild(
+          options, {{"search", scenario.name, scenario.version, variant(value), seed, options.driver}, file});
       const double asked = std::max(1.0, row.Number("figures/asked"));
       p99 = std::max(p99, row.Number("figures/deliver_p99_ms"));
       refused = std::max(refused, (row.Number("figures/turned_away") + row.Number("figures/unanswered") +
@@ -310,7 +314,7 @@
     std::fflush(stdout);
     return all;
   };
-  const auto tried = results::Search(low, high, tolerance, good);
+  const auto tried = results::Search(low, high, tolerance, within_bounds);
   double best = low;
   bool any = false;
   for (const results::Tried& t : tried) {
@@ -318,7 +322,7 @@
   }
   std::printf(any ? "highest within: %s%s\n" : "none within: not even %s%s\n", setting(best).c_str(),
               any && best >= high ? ", the end of the span" : "");
-  return any ? 0 : kBroken;
+  return any ? 0 : kExitNotClean;
 }
 
 int Compare(const std::string& file, const std::string& a, const std::string& b, const std::string& figure,
@@ -374,30 +378,31 @@
       "Plays days of the platform's model around relays, checks every rule, and counts the service.");
   app.set_version_flag("--version", OXBOWSPREAD_VERSION);
   app.require_subcommand(1);
-  const std::string beside = (std::filesystem::path(argv[0]).parent_path() / "oxbowspread").string();
+  const std::string default_relay = (std::filesystem::path(argv[0]).parent_path() / "oxbowspread").string();
 
-  Day day;
-  day.relay = beside;
+  RunOptions run_options;
+  run_options.relay = default_relay;
   CLI::App* const sim = app.add_subcommand("sim", "one day on a virtual clock");
   CLI::App* const run = app.add_subcommand("run", "one day on loopback sockets, in real time");
-  for (CLI::App* const one : {sim, run}) {
-    one->add_option("SCENARIO", day.file, "YAML file")->required();
-    one->add_option("--seed", day.seed, "which day (1)");
-    one->add_option("--set", day.sets, "KEY=VALUE laid over the scenario, such as traffic.load=0.9");
-    one->add_flag("--json", day.json, "one JSON object");
-    one->add_option("--trace", day.trace, "all that crossed, one JSON object a line");
+  for (CLI::App* const subcommand : {sim, run}) {
+    subcommand->add_option("SCENARIO", run_options.file, "YAML file")->required();
+    subcommand->add_option("--seed", run_options.seed, "which day (1)");
+    subcommand->add_option("--set", run_options.sets,
+                           "KEY=VALUE laid over the scenario, such as traffic.load=0.9");
+    subcommand->add_flag("--json", run_options.json, "one JSON object");
+    subcommand->add_option("--trace", run_options.trace, "all that crossed, one JSON object a line");
   }
-  run->add_option("--relay", day.relay, "the relay's program (beside this one)");
+  run->add_option("--relay", run_options.relay, "the relay's program (beside this one)");
 
-  Soak soaked;
-  soaked.relay = beside;
-  soaked.program = argv[0];
+  SoakOptions soak_options;
+  soak_options.relay = default_relay;
+  soak_options.program = argv[0];
   std::uint64_t one_seed = 0;
   CLI::App* const soak = app.add_subcommand("soak", "days on sockets with faults drawn from seeds");
-  soak->add_option("--seeds", soaked.seeds, "such as 1-50 (1-10)");
-  soak->add_option("--jobs", soaked.jobs, "days at once (2)")->check(CLI::Range(1, 64));
-  soak->add_option("--relay", soaked.relay, "the relay's program (beside this one)");
-  soak->add_option("--keep", soaked.keep,
+  soak->add_option("--seeds", soak_options.seeds, "such as 1-50 (1-10)");
+  soak->add_option("--jobs", soak_options.jobs, "days at once (2)")->check(CLI::Range(1, 64));
+  soak->add_option("--relay", soak_options.relay, "the relay's program (beside this one)");
+  soak->add_option("--keep", soak_options.keep,
                    "a folder for traces, and for what relays leave on days that are not clean");
   soak->add_option("--one", one_seed, "this day alone, in this process; one JSON object");
 
@@ -406,19 +411,23 @@
   check->add_option("TRACE", file, "one JSON object a line")->required();
   check->add_option("--scenario", scenario_file, "whose figures the rules have");
 
-  Sweep sweep;
-  sweep.relay = beside;
-  sweep.program = argv[0];
-  CLI::App* const many =
+  SweepOptions sweep_options;
+  sweep_options.relay = default_relay;
+  sweep_options.program = argv[0];
+  CLI::App* const sweep_command =
       app.add_subcommand("sweep", "many days, side by side; goes on where it was broken off");
-  many->add_option("SCENARIO", sweep.scenarios, "YAML files")->required();
-  many->add_option("--out", sweep.out, "file of results (SQLite)")->required();
-  many->add_option("--seeds", sweep.seeds, "such as 1-20 (1-5)");
-  many->add_option("--set", sweep.sets, "KEY=VALUE,VALUE: each value a variant; several: their product");
-  many->add_option("--label", sweep.label, "what is tried, such as a program's version (now)");
-  many->add_option("--driver", sweep.driver, "sim or run (sim)")->check(CLI::IsMember({"sim", "run"}));
-  many->add_option("--jobs", sweep.jobs, "days at once (one a core; 2 with run)")->check(CLI::Range(1, 256));
-  many->add_option("--relay", sweep.relay, "with run: the relay's program");
+  sweep_command->add_option("SCENARIO", sweep_options.scenarios, "YAML files")->required();
+  sweep_command->add_option("--out", sweep_options.out, "file of results (SQLite)")->required();
+  sweep_command->add_option("--seeds", sweep_options.seeds, "such as 1-20 (1-5)");
+  sweep_command->add_option("--set", sweep_options.sets,
+                            "KEY=VALUE,VALUE: each value a variant; several: their product");
+  sweep_command->add_option("--label", sweep_options.label,
+                            "what is tried, such as a program's version (now)");
+  sweep_command->add_option("--driver", sweep_options.driver, "sim or run (sim)")
+      ->check(CLI::IsMember({"sim", "run"}));
+  sweep_command->add_option("--jobs", sweep_options.jobs, "days at once (one a core; 2 with run)")
+      ->check(CLI::Range(1, 256));
+  sweep_command->add_option("--relay", sweep_options.relay, "with run: the relay's program");
 
   std::string key = "traffic.load";
   double low = 0.1, high = 3, tolerance = 0.02;
@@ -433,10 +442,11 @@
   search->add_option("--p99-ms", bounds.deliver_p99_ms, "of delivery, from when due, at most (3000)");
   search->add_option("--refused", bounds.refused, "turned away, given back or unanswered, a message (0.01)");
   search->add_option("--delivered", bounds.delivered, "share of the messages, at least (0.99)");
-  search->add_option("--seeds", sweep.seeds, "all of which must be within (1-5)");
-  search->add_option("--set", sweep.sets, "KEY=VALUE laid over the scenario");
-  search->add_option("--driver", sweep.driver, "sim or run (sim)")->check(CLI::IsMember({"sim", "run"}));
-  search->add_option("--relay", sweep.relay, "with run: the relay's program");
+  search->add_option("--seeds", sweep_options.seeds, "all of which must be within (1-5)");
+  search->add_option("--set", sweep_options.sets, "KEY=VALUE laid over the scenario");
+  search->add_option("--driver", sweep_options.driver, "sim or run (sim)")
+      ->check(CLI::IsMember({"sim", "run"}));
+  search->add_option("--relay", sweep_options.relay, "with run: the relay's program");
 
   std::string a, b, figure = "service", out, svg_folder;
   bool json = false;
@@ -455,17 +465,18 @@
 
   if (const auto code = apps::Parse(app, "oxbowlab", argc, argv)) return *code;
   try {
-    if (sim->parsed() || run->parsed()) return Play(day, run->parsed());
-    if (soak->parsed() && one_seed > 0) return PlaySoak(one_seed, soaked.relay, soaked.keep);
-    if (soak->parsed()) return RunSoak(soaked);
+    if (sim->parsed() || run->parsed()) return RunDay(run_options, run->parsed());
+    if (soak->parsed() && one_seed > 0) return RunSoakDay(one_seed, soak_options.relay, soak_options.keep);
+    if (soak->parsed()) return RunSoak(soak_options);
     if (check->parsed()) return Check(file, scenario_file);
-    if (many->parsed()) return RunSweep(sweep);
+    if (sweep_command->parsed()) return RunSweep(sweep_options);
     if (search->parsed()) {
-      sweep.scenarios = {one_file};
-      return RunSearch(sweep, key, low, high, tolerance, bounds);
+      sweep_options.scenarios = {one_file};
+      return RunSearch(sweep_options, key, low, high, tolerance, bounds);
     }
-    for (CLI::App* const one : {compare, csv, report}) {
-      if (one->parsed() && !std::filesystem::exists(file)) throw std::runtime_error(file + ": is not there");
+    for (CLI::App* const subcommand : {compare, csv, report}) {
+      if (subcommand->parsed() && !std::filesystem::exists(file))
+        throw std::runtime_error(file + ": is not there");
     }
     if (compare->parsed()) return Compare(file, a, b, figure, json);
     if (report->parsed()) return Report(file, out, svg_folder);
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -14,10 +14,11 @@
 using wheathub::Outcome;
 using namespace std::chrono_literals;
 
-// The relay's own clocks: never near 0, which some spans use for "not yet".
-constexpr Time kMonotonic = 1000s;
-constexpr Time kUnix = 1'700'000'000s;
-// The figures of the endpoint side and of the program's end.
+// Offsets of the relay's clocks from the time of the run. They keep the clocks away from 0, which some time
+// fields use for "not yet".
+constexpr Time kMonotonicOffset = 1000s;
+constexpr Time kUnixOffset = 1'700'000'000s;
+// The same limits as in the relay program: endpoint connections and shutdown.
 using endpoint::kKeepaliveShare;
 using endpoint::kReuseDelay;
 using endpoint::kSweepInterval;
@@ -26,143 +27,148 @@
 using relay::kPollInterval;
 using relay::kStopSendingAfter;
 
-std::ostream& Nowhere() {
-  static std::ostream none(nullptr);
-  return none;
+std::ostream& NullStream() {
+  static std::ostream stream(nullptr);
+  return stream;
 }
 
 }  // namespace
 
-struct Node::Hand final : relay::Client {
-  Hand(Node& n, std::uint64_t h) : node(n), number(h) {}
+struct SimulatedRelay::Submission final : relay::Client {
+  Submission(SimulatedRelay& owner, std::uint64_t submission_number)
+      : relay(owner), number(submission_number) {}
   bool OnAccepted() override {
-    node.around_.Tell(model::Answered{number, model::Answered::What::kTaken, Time(0)});
-    Over();
+    relay.environment_.Notify(model::Answered{number, model::Answered::What::kTaken, Time(0)});
+    Finish();
     return true;
   }
   void OnRejected(relay::Time come_again) override {
-    node.around_.Tell(model::Answered{number, model::Answered::What::kTurnedAway, come_again});
-    Over();
+    relay.environment_.Notify(model::Answered{number, model::Answered::What::kTurnedAway, come_again});
+    Finish();
   }
-  // The core is done with it, but may still be in the call.
-  void Over() {
-    node.Later(Time(0), [&n = node, h = number] { n.hands_.erase(h); });
+  // Erases itself later, since the relay core may still be in a call to this object.
+  void Finish() {
+    relay.RunAfter(Time(0), [&owner = relay, submission_number = number] {
+      owner.submissions_.erase(submission_number);
+    });
     answered = true;
   }
-  Node& node;
+  SimulatedRelay& relay;
   std::uint64_t number;
   bool answered = false;
 };
 
-Node::Node(const Options& options, const wheathub::Settings& settings, Around& around,
-           const model::TellList& known)
+SimulatedRelay::SimulatedRelay(const Options& options, const wheathub::Settings& settings,
+                               Environment& environment, const model::TellList& known)
     : options_(options),
-      around_(around),
+      environment_(environment),
       list_({.pushed_by_agent = !settings.must_request_list,
              .senders = settings.senders,
              .failures_are_reported = false},
             ~options.seed),
-      list_calls_before_(options.list_calls_before) {
-  std::vector<bool> apart;
-  for (const auto& kind : settings.kinds) apart.push_back(kind.separate_routes);
-  hosts_.SetSeparateRoutes(std::move(apart));
+      list_call_offset_(options.list_call_offset) {
+  std::vector<bool> separate_routes;
+  for (const auto& kind : settings.kinds) separate_routes.push_back(kind.separate_routes);
+  hosts_.SetSeparateRoutes(std::move(separate_routes));
   std::filesystem::create_directories(options_.folder);
   journal_ = std::make_unique<journal::Journal>(options_.folder, options_.disk_bytes);
   relay_ = std::make_unique<relay::Relay>(settings, options_.seed, *journal_,
-                                          relay::Relay::Ports{*this, *this, *this, &Nowhere()}, counters_);
+                                          relay::Relay::Ports{*this, *this, *this, &NullStream()}, counters_);
   version_ = known.version;
-  relay_->Recover(ChangeOf(known, true));
-  TellLease(wheathub::ListLease::Started{});
+  relay_->Recover(ToRoutingChange(known, true));
+  UpdateLease(wheathub::ListLease::Started{});
   StepList(wheathub::ListSubscription::Started{});
-  Later(kSweepInterval, [this] { Sweep(); });
+  RunAfter(kSweepInterval, [this] { Sweep(); });
 }
 
-Node::~Node() {
+SimulatedRelay::~SimulatedRelay() {
   *alive_ = false;
   for (const auto& [number, call] : calls_) {
-    around_.Tell(model::Dropped{number});
-    around_.Disconnect(call.address);
+    environment_.Notify(model::Dropped{number});
+    environment_.Disconnect(call.address);
   }
   for (const auto& [host, pool] : pools_) {
-    for (std::size_t i = 0; i < pool.free_since.size(); ++i) around_.Disconnect(pool.address);
+    for (std::size_t i = 0; i < pool.idle_since.size(); ++i) environment_.Disconnect(pool.address);
   }
-  for (const auto& [number, hand] : hands_) {
-    if (!hand->answered) around_.Tell(model::Answered{number, model::Answered::What::kBroken, Time(0)});
+  for (const auto& [number, submission] : submissions_) {
+    if (!submission->answered)
+      environment_.Notify(model::Answered{number, model::Answered::What::kBroken, Time(0)});
   }
 }
 
-Time Node::Now() const { return around_.Now() + kMonotonic; }
-Time Node::UnixNow() const { return around_.Now() + kUnix; }
+Time SimulatedRelay::Now() const { return environment_.Now() + kMonotonicOffset; }
+Time SimulatedRelay::UnixNow() const { return environment_.Now() + kUnixOffset; }
 
-void Node::Later(Time after, std::function<void()> what) {
-  around_.At(around_.Now() + after, [this, alive = alive_, what = std::move(what)] {
-    if (*alive) Meet(what);
+void SimulatedRelay::RunAfter(Time after, std::function<void()> callback) {
+  environment_.Schedule(environment_.Now() + after, [this, alive = alive_, callback = std::move(callback)] {
+    if (*alive) RunOrDefer(callback);
   });
 }
 
-void Node::Meet(std::function<void()> what) {
-  if (stopped_) return missed_.push_back(std::move(what));
-  what();
+void SimulatedRelay::RunOrDefer(std::function<void()> callback) {
+  if (suspended_) return deferred_.push_back(std::move(callback));
+  callback();
 }
 
-void Node::Stop() {
-  stopped_ = true;
+void SimulatedRelay::Suspend() {
+  suspended_ = true;
   unread_since_ = Now();
 }
 
-void Node::Continue() {
-  stopped_ = false;
-  // One of them may end this life.
-  for (const auto& what : std::exchange(missed_, {})) Later(Time(0), what);
-  Later(Time(0), [this] { unread_since_ = Time(-1); });
+void SimulatedRelay::Resume() {
+  suspended_ = false;
+  // Scheduled rather than run here, since one of them may end this process.
+  for (const auto& callback : std::exchange(deferred_, {})) RunAfter(Time(0), callback);
+  RunAfter(Time(0), [this] { unread_since_ = Time(-1); });
 }
 
-// As the client side reckons it with net::Loop::earliest_arrival.
-Time Node::LainUnread() const {
+// How long a command may have waited in the socket before it was read. The client side of the relay program
+// computes the same from net::Loop::earliest_arrival.
+Time SimulatedRelay::TimeUnread() const {
   return unread_since_ < 0us ? Time(0) : std::min<Time>(Now() - unread_since_, relay::kClientTimeout);
 }
 
-void Node::WakeAt(Time moment) {
-  const std::uint64_t wake = ++wake_;
-  Later(std::max(Time(0), moment - Now()), [this, wake] {
-    if (wake == wake_) relay_->ProcessEvents();
+void SimulatedRelay::WakeAt(Time moment) {
+  const std::uint64_t wake = ++wake_generation_;
+  RunAfter(std::max(Time(0), moment - Now()), [this, wake] {
+    if (wake == wake_generation_) relay_->ProcessEvents();
   });
 }
 
 // ---- clients ----
 
-void Node::Take(const model::HandIn& in, const std::string& body) {
-  last_hand_ = around_.Now();
-  journal::Message a;
-  a.id = in.id;
-  a.key = in.key;
-  a.class_name = "outbound";
-  a.destination = in.destination;
-  a.deadline = UnixNow() + in.left - LainUnread();
-  a.resubmitted = in.refused_before || in.died_before;
-  a.body = body;
-  const auto [it, made] = hands_.emplace(in.hand, std::make_unique<Hand>(*this, in.hand));
-  relay_->Submit(std::move(a), *it->second);
-}
-
-void Node::Leave(std::uint64_t number) {
-  const auto it = hands_.find(number);
-  if (it == hands_.end() || it->second->answered) return;
+void SimulatedRelay::Submit(const model::HandIn& in, const std::string& body) {
+  last_submission_at_ = environment_.Now();
+  journal::Message message;
+  message.id = in.id;
+  message.key = in.key;
+  message.class_name = "outbound";
+  message.destination = in.destination;
+  message.deadline = UnixNow() + in.left - TimeUnread();
+  message.resubmitted = in.refused_before || in.died_before;
+  message.body = body;
+  const auto [it, inserted] = submissions_.emplace(in.hand, std::make_unique<Submission>(*this, in.hand));
+  relay_->Submit(std::move(message), *it->second);
+}
+
+void SimulatedRelay::Withdraw(std::uint64_t number) {
+  const auto it = submissions_.find(number);
+  if (it == submissions_.end() || it->second->answered) return;
   relay_->Withdraw(*it->second);
-  hands_.erase(it);
+  submissions_.erase(it);
 }
 
-// ---- lines ----
+// ---- connections to endpoints ----
 
-void Node::Fail(const relay::AttemptId& attempt, Outcome outcome) {
-  Later(Time(0), [this, attempt, outcome] { relay_->AttemptEnded(attempt, {outcome, false, Time(0)}); });
+void SimulatedRelay::FailAttempt(const relay::AttemptId& attempt, Outcome outcome) {
+  RunAfter(Time(0), [this, attempt, outcome] { relay_->AttemptEnded(attempt, {outcome, false, Time(0)}); });
 }
 
-// An idle line, or a new one; false: none to be had. `fresh` by whether the pool had one.
-bool Node::TakeLine(const std::string& host, const std::string& address, Time now) {
+// Takes an idle connection to the host out of its pool; false if none can be reused.
+bool SimulatedRelay::TakeIdleConnection(const std::string& host, const std::string& address, Time now) {
   const auto it = pools_.find(host);
   if (it == pools_.end() || it->second.address != address) return false;
-  auto& idle = it->second.free_since;
+  auto& idle = it->second.idle_since;
   for (std::size_t i = idle.size(); i-- > 0;) {
     if (now - idle[i] < kReuseDelay) continue;
     if (static_cast<double>((now - idle[i]).count()) >
@@ -175,51 +181,52 @@
   return false;
 }
 
-void Node::GiveLine(const std::string& host, const std::string& address) {
+void SimulatedRelay::ReturnConnection(const std::string& host, const std::string& address) {
   const endpoint::Host* const known = hosts_.Find(host);
   if (known == nullptr || !known->ready || !known->owns_address || known->address != address)
-    return CloseLine(address);
+    return CloseConnection(address);
   Pool& pool = pools_[host];
   pool.address = address;
-  pool.free_since.push_back(Now());
+  pool.idle_since.push_back(Now());
 }
 
-void Node::CloseLine(const std::string& address) {
-  around_.Disconnect(address);
-  lines_ -= 1;
+void SimulatedRelay::CloseConnection(const std::string& address) {
+  environment_.Disconnect(address);
+  connections_ -= 1;
 }
 
-bool Node::MakeRoom() {
-  Pool* longest = nullptr;
+bool SimulatedRelay::EvictIdleConnection() {
+  Pool* longest_idle = nullptr;
   for (auto& [host, pool] : pools_) {
-    if (pool.free_since.empty()) continue;
-    if (longest == nullptr || pool.free_since.front() < longest->free_since.front()) longest = &pool;
+    if (pool.idle_since.empty()) continue;
+    if (longest_idle == nullptr || pool.idle_since.front() < longest_idle->idle_since.front())
+      longest_idle = &pool;
   }
-  if (longest == nullptr) return false;
-  longest->free_since.erase(longest->free_since.begin());
+  if (longest_idle == nullptr) return false;
+  longest_idle->idle_since.erase(longest_idle->idle_since.begin());
   counters_.connections_evicted += 1;
-  CloseLine(longest->address);
+  CloseConnection(longest_idle->address);
   return true;
 }
 
-void Node::CloseIdle(const std::string& host) {
+void SimulatedRelay::CloseIdle(const std::string& host) {
   const auto it = pools_.find(host);
   if (it == pools_.end()) return;
-  for (std::size_t i = 0; i < it->second.free_since.size(); ++i) CloseLine(it->second.address);
+  for (std::size_t i = 0; i < it->second.idle_since.size(); ++i) CloseConnection(it->second.address);
   pools_.erase(it);
 }
 
-void Node::Sweep() {
-  Later(kSweepInterval, [this] { Sweep(); });
+void SimulatedRelay::Sweep() {
+  RunAfter(kSweepInterval, [this] { Sweep(); });
   const Time now = Now();
   const auto keep =
       Time(static_cast<Time::rep>(kKeepaliveShare * static_cast<double>(options_.keepalive.count())));
   for (auto it = pools_.begin(); it != pools_.end();) {
-    auto& idle = it->second.free_since;
+    auto& idle = it->second.idle_since;
     while (!idle.empty() && now - idle.front() > keep) {
       idle.erase(idle.begin());
       counters_.idle_connections_closed += 1;
-      CloseLine(it->second.address);
+      CloseConnection(it->second.address);
     }
     it = idle.empty() ? pools_.erase(it) : std::next(it);
   }
@@ -230,35 +237,37 @@
 
 // ---- calls ----
 
-void Node::StartAttempt(relay::AttemptRequest order) {
-  const endpoint::Host* const host = hosts_.Find(order.host);
-  if (host == nullptr || !host->owns_address) return Fail(order.attempt, Outcome::kNoConnection);
+void SimulatedRelay::StartAttempt(relay::AttemptRequest request) {
+  const endpoint::Host* const host = hosts_.Find(request.host);
+  if (host == nullptr || !host->owns_address) return FailAttempt(request.attempt, Outcome::kNoConnection);
   const Time now = Now();
   const std::string address = host->address;
-  const bool fresh = !TakeLine(order.host, address, now);
-  if (fresh) {
-    if (lines_ >= options_.most_lines && !MakeRoom()) return Fail(order.attempt, Outcome::kNotSent);
-    if (!around_.Connect(address)) {
+  const bool new_connection = !TakeIdleConnection(request.host, address, now);
+  if (new_connection) {
+    if (connections_ >= options_.max_connections && !EvictIdleConnection())
+      return FailAttempt(request.attempt, Outcome::kNotSent);
+    if (!environment_.Connect(address)) {
       counters_.connection_failures += 1;
-      return Fail(order.attempt, Outcome::kNoConnection);
+      return FailAttempt(request.attempt, Outcome::kNoConnection);
     }
-    lines_ += 1;
+    connections_ += 1;
     counters_.connections_opened += 1;
   }
-  if (!hosts_.MayWrite(order.host, order.write_deadline, now) ||
-      !relay_->RecordAttemptStart(order.attempt, order.host, host->zone)) {
+  if (!hosts_.MayWrite(request.host, request.write_deadline, now) ||
+      !relay_->RecordAttemptStart(request.attempt, request.host, host->zone)) {
     counters_.attempts_withheld += 1;
-    GiveLine(order.host, address);
-    return Fail(order.attempt, Outcome::kNotSent);
+    ReturnConnection(request.host, address);
+    return FailAttempt(request.attempt, Outcome::kNotSent);
   }
-  const std::uint64_t call = around_.NextCall(options_.number);
-  calls_[call] = {order.attempt, order.host, address};
-  by_attempt_[order.attempt] = call;
-  around_.Tell(model::Called{call, options_.number, address, order.attempt.id, order.key, fresh});
-  Later(std::max(Time(0), order.timeout_at - now), [this, call] { Expire(call); });
+  const std::uint64_t call = environment_.NextCallNumber(options_.relay_index);
+  calls_[call] = {request.attempt, request.host, address};
+  by_attempt_[request.attempt] = call;
+  environment_.Notify(
+      model::Called{call, options_.relay_index, address, request.attempt.id, request.key, new_connection});
+  RunAfter(std::max(Time(0), request.timeout_at - now), [this, call] { TimeOutCall(call); });
 }
 
-void Node::Expire(std::uint64_t number) {
+void SimulatedRelay::TimeOutCall(std::uint64_t number) {
   const auto it = calls_.find(number);
   if (it == calls_.end()) return;
   const relay::AttemptId attempt = it->second.attempt;
@@ -266,24 +275,24 @@
   relay_->AttemptEnded(attempt, {Outcome::kTimedOut, false, Time(0)});
 }
 
-bool Node::CancelAttempt(const relay::AttemptId& attempt) {
+bool SimulatedRelay::CancelAttempt(const relay::AttemptId& attempt) {
   const auto it = by_attempt_.find(attempt);
   if (it == by_attempt_.end()) return true;
   const std::uint64_t number = it->second;
-  CloseLine(calls_.at(number).address);
+  CloseConnection(calls_.at(number).address);
   calls_.erase(number);
   by_attempt_.erase(it);
-  around_.Tell(model::Dropped{number});
+  environment_.Notify(model::Dropped{number});
   return true;
 }
 
-void Node::Answer(const model::AnswerCall& answer) {
+void SimulatedRelay::AnswerCall(const model::AnswerCall& answer) {
   const auto it = calls_.find(answer.call);
   if (it == calls_.end()) return;
   const Call call = it->second;
   calls_.erase(it);
   by_attempt_.erase(call.attempt);
-  // Read as the endpoint side reads it.
+  // Interpreted as the endpoint side interprets a response.
   proto::HttpResponseHead head;
   head.status = answer.status;
   if (answer.wait > 0us) {
@@ -291,27 +300,28 @@
     std::snprintf(text, sizeof text, "%.6f", static_cast<double>(answer.wait.count()) / 1e6);
     head.headers["retry-after"] = text;
   }
-  const relay::AttemptResult end = endpoint::InterpretResponse(head);
-  if (end.retry_after > 0us) {
-    TellWaits(hosts_.RecordRetryAfter(call.host, *net::ParseAddress(call.address), end.retry_after, Now()));
+  const relay::AttemptResult result = endpoint::InterpretResponse(head);
+  if (result.retry_after > 0us) {
+    ApplyHostWaits(
+        hosts_.RecordRetryAfter(call.host, *net::ParseAddress(call.address), result.retry_after, Now()));
   }
-  GiveLine(call.host, call.address);
-  relay_->AttemptEnded(call.attempt, end);
+  ReturnConnection(call.host, call.address);
+  relay_->AttemptEnded(call.attempt, result);
 }
 
-void Node::Break(std::uint64_t number) {
+void SimulatedRelay::BreakCall(std::uint64_t number) {
   const auto it = calls_.find(number);
   if (it == calls_.end()) return;
   const Call call = it->second;
   calls_.erase(it);
   by_attempt_.erase(call.attempt);
-  CloseLine(call.address);
+  CloseConnection(call.address);
   relay_->AttemptEnded(call.attempt, {Outcome::kReset, false, Time(0)});
 }
 
 // ---- discovery and notices ----
 
-relay::RoutingChange Node::ChangeOf(const model::TellList& list, bool remembered) const {
+relay::RoutingChange SimulatedRelay::ToRoutingChange(const model::TellList& list, bool remembered) const {
   relay::RoutingChange change;
   change.scope = remembered  ? wheathub::ListScope::kRemembered
                  : list.full ? wheathub::ListScope::kAll
@@ -334,114 +344,117 @@
   return change;
 }
 
-void Node::ApplyRoutingChange(const relay::RoutingChange& change) {
+void SimulatedRelay::ApplyRoutingChange(const relay::RoutingChange& change) {
   for (const std::string& id : hosts_.Apply(change, Now())) CloseIdle(id);
-  std::vector<std::string> named;
-  for (const relay::Host& host : change.hosts) named.push_back(host.info.id);
-  TellWaits(named);
+  std::vector<std::string> host_ids;
+  for (const relay::Host& host : change.hosts) host_ids.push_back(host.info.id);
+  ApplyHostWaits(host_ids);
 }
 
-void Node::TellWaits(const std::vector<std::string>& hosts) {
+void SimulatedRelay::ApplyHostWaits(const std::vector<std::string>& hosts) {
   for (const std::string& id : hosts) {
     const Time until = hosts_.BlockedUntil(id);
     if (until > Now()) relay_->DelayHost(id, until);
   }
 }
 
-void Node::Adopt(const model::TellList& list) {
+void SimulatedRelay::ApplyList(const model::TellList& list) {
   if (list.version >= version_) {
     version_ = list.version;
-    relay_->RoutingChanged(ChangeOf(list, false));
+    relay_->RoutingChanged(ToRoutingChange(list, false));
   }
-  ListHeard(list.call);
+  OnListReceived(list.call);
 }
 
-void Node::Beat(const model::BeatWatch& beat) { ListHeard(beat.call); }
+void SimulatedRelay::OnHeartbeat(const model::BeatWatch& beat) { OnListReceived(beat.call); }
 
-void Node::Refuse(const model::RefuseList& refused) {
-  if (refused.call <= list_calls_before_) return;
-  const auto number = NumberOf(refused.call);
-  const auto begun = list_calls_begun_.find(number);
+void SimulatedRelay::RefuseListCall(const model::RefuseList& refused) {
+  if (refused.call <= list_call_offset_) return;
+  const auto number = ToSubscriptionCall(refused.call);
+  const auto open_call = open_list_calls_.find(number);
   if (number == list_.subscription()) {
-    TellLease(wheathub::ListLease::SubscriptionEnded{});
-  } else if (begun != list_calls_begun_.end()) {
-    TellLease(wheathub::ListLease::Refused(begun->second, Now()));
-    list_calls_begun_.erase(begun);
+    UpdateLease(wheathub::ListLease::SubscriptionEnded{});
+  } else if (open_call != open_list_calls_.end()) {
+    UpdateLease(wheathub::ListLease::Refused(open_call->second, Now()));
+    open_list_calls_.erase(open_call);
   }
   StepList(wheathub::ListSubscription::Failed{number});
 }
 
-void Node::BreakList(std::uint64_t call) {
-  if (call <= list_calls_before_) return;
-  TellLease(wheathub::ListLease::SubscriptionBroken{});
-  StepList(wheathub::ListSubscription::Failed{NumberOf(call)});
+void SimulatedRelay::BreakList(std::uint64_t call) {
+  if (call <= list_call_offset_) return;
+  UpdateLease(wheathub::ListLease::SubscriptionBroken{});
+  StepList(wheathub::ListSubscription::Failed{ToSubscriptionCall(call)});
 }
 
-void Node::MoveDiscovery() {
-  list_calls_begun_.clear();
+void SimulatedRelay::MoveDiscovery() {
+  open_list_calls_.clear();
   if (list_.subscription() != 0) {
-    around_.Tell(model::WatchEnded{options_.number, CallOf(list_.subscription())});
+    environment_.Notify(model::WatchEnded{options_.relay_index, ToWorldCall(list_.subscription())});
   }
-  TellLease(wheathub::ListLease::Moved{});
+  UpdateLease(wheathub::ListLease::Moved{});
   StepList(wheathub::ListSubscription::Moved{});
 }
 
-void Node::ListHeard(std::uint64_t call) {
-  if (call <= list_calls_before_) return;
-  TellLease(wheathub::ListLease::Confirmed{});
-  list_calls_begun_.clear();
-  StepList(wheathub::ListSubscription::Received{NumberOf(call)});
+void SimulatedRelay::OnListReceived(std::uint64_t call) {
+  if (call <= list_call_offset_) return;
+  UpdateLease(wheathub::ListLease::Confirmed{});
+  open_list_calls_.clear();
+  StepList(wheathub::ListSubscription::Received{ToSubscriptionCall(call)});
 }
 
-void Node::TellLease(const wheathub::ListLease::Event& event) {
-  // As routing::Discovery reckons it: what was missed counts from when it may have come.
+void SimulatedRelay::UpdateLease(const wheathub::ListLease::Event& event) {
+  // As in routing::DiscoveryClient: what was deferred counts from the earliest time at which it may have
+  // arrived.
   relay_->SetListValidUntil(lease_.Step(unread_since_ < 0us ? Now() : unread_since_, event));
 }
 
-wheathub::ListSubscription::CallNumber Node::NumberOf(std::uint64_t call) const {
-  return static_cast<int>(call - list_calls_before_);
+wheathub::ListSubscription::CallNumber SimulatedRelay::ToSubscriptionCall(std::uint64_t call) const {
+  return static_cast<int>(call - list_call_offset_);
 }
 
-std::uint64_t Node::CallOf(wheathub::ListSubscription::CallNumber number) const {
-  return list_calls_before_ + static_cast<std::uint64_t>(number);
+std::uint64_t SimulatedRelay::ToWorldCall(wheathub::ListSubscription::CallNumber number) const {
+  return list_call_offset_ + static_cast<std::uint64_t>(number);
 }
 
-void Node::StepList(const wheathub::ListSubscription::Event& event) {
+void SimulatedRelay::StepList(const wheathub::ListSubscription::Event& event) {
   for (const auto& call : list_.Step(Now(), event)) {
-    if (call.replaced_call) around_.Tell(model::WatchEnded{options_.number, CallOf(*call.replaced_call)});
-    if (list_.subscription() != 0) TellLease(wheathub::ListLease::SubscriptionBroken{});
-    list_calls_begun_[call.number] = Now();
-    around_.Tell(model::ListWanted{options_.number, CallOf(call.number), version_});
+    if (call.replaced_call)
+      environment_.Notify(model::WatchEnded{options_.relay_index, ToWorldCall(*call.replaced_call)});
+    if (list_.subscription() != 0) UpdateLease(wheathub::ListLease::SubscriptionBroken{});
+    open_list_calls_[call.number] = Now();
+    environment_.Notify(model::ListWanted{options_.relay_index, ToWorldCall(call.number), version_});
   }
-  const std::uint64_t alarm = ++list_alarm_;
+  const std::uint64_t alarm = ++list_alarm_generation_;
   if (list_.alarm() == Time::max()) return;
-  Later(std::max(Time(0), list_.alarm() - Now()), [this, alarm] {
-    if (alarm == list_alarm_) StepList(wheathub::ListSubscription::Elapsed{});
+  RunAfter(std::max(Time(0), list_.alarm() - Now()), [this, alarm] {
+    if (alarm == list_alarm_generation_) StepList(wheathub::ListSubscription::Elapsed{});
   });
 }
 
-void Node::Post(const std::string& id, const journal::Ending& ending) {
-  Later(Time(0), [this, id, ending] {
-    around_.Tell(model::Noticed{options_.number, id, ending.deferred, Time(ending.retry_after_ms * 1000)});
+void SimulatedRelay::Post(const std::string& id, const journal::Ending& ending) {
+  RunAfter(Time(0), [this, id, ending] {
+    environment_.Notify(
+        model::Noticed{options_.relay_index, id, ending.deferred, Time(ending.retry_after_ms * 1000)});
     relay_->NoticeAccepted(id);
   });
 }
 
-// ---- the end ----
+// ---- shutdown ----
 
-void Node::Terminate() {
-  if (terminated_ >= 0us) return;
-  terminated_ = last_hand_ = around_.Now();
-  Later(kPollInterval, [this] { LookAtEnd(); });
+void SimulatedRelay::Terminate() {
+  if (terminated_at_ >= 0us) return;
+  terminated_at_ = last_submission_at_ = environment_.Now();
+  RunAfter(kPollInterval, [this] { CheckShutdown(); });
 }
 
-void Node::LookAtEnd() {
-  const Time since = around_.Now() - terminated_;
-  if (since >= kStopSendingAfter && !std::exchange(settled_, true)) relay_->StopSending();
-  const bool nothing_owed = relay_->done() && around_.Now() - last_hand_ >= kKeepAccepting;
-  if (nothing_owed || since >= kExitAfter || (settled_ && relay_->in_flight() == 0))
-    return around_.Ended(options_.number);
-  Later(kPollInterval, [this] { LookAtEnd(); });
+void SimulatedRelay::CheckShutdown() {
+  const Time since = environment_.Now() - terminated_at_;
+  if (since >= kStopSendingAfter && !std::exchange(sending_stopped_, true)) relay_->StopSending();
+  const bool nothing_owed = relay_->done() && environment_.Now() - last_submission_at_ >= kKeepAccepting;
+  if (nothing_owed || since >= kExitAfter || (sending_stopped_ && relay_->in_flight() == 0))
+    return environment_.OnExit(options_.relay_index);
+  RunAfter(kPollInterval, [this] { CheckShutdown(); });
 }
 
 }  // namespace oxbowspread::lab
--- a/src/lab/node.hpp
+++ b/src/lab/node.hpp
@@ -1,5 +1,6 @@
-// One life of a relay on a virtual clock: the real core, module, journal and host book, with lines to hosts
-// that are numbers instead of sockets. In place of `client`, `endpoint::Pool`, `routing` and `notice`.
+// One process of a relay on a virtual clock: the real relay core, decision module, journal and host book. The
+// connections to hosts are numbers instead of sockets. Stands in for `client`, `endpoint::Pool`, `routing`
+// and `notice` of the relay program.
 #pragma once
 
 #include <functional>
@@ -21,118 +22,124 @@
 
 using model::Time;
 
-class Node final : private relay::Clock, private relay::EndpointTransport, private relay::NoticeSender {
+// A relay process of the simulation. All calls into it and out of it happen at moments of the virtual clock.
+class SimulatedRelay final : private relay::Clock,
+                             private relay::EndpointTransport,
+                             private relay::NoticeSender {
  public:
-  // What surrounds it. Outlives it.
-  class Around {
+  // What the simulation provides to the relay. Outlives it.
+  class Environment {
    public:
-    virtual ~Around() = default;
-    virtual Time Now() const = 0;  // of the day
-    virtual void At(Time moment, std::function<void()> what) = 0;
-    virtual void Tell(model::Input input) = 0;  // the world hears of it within the same moment
-    virtual std::uint64_t NextCall(int relay) = 0;
+    virtual ~Environment() = default;
+    virtual Time Now() const = 0;  // time of the run
+    // Runs the callback at `moment`; callbacks of one moment run in the order in which they were scheduled.
+    virtual void Schedule(Time moment, std::function<void()> callback) = 0;
+    virtual void Notify(model::Input input) = 0;  // the model gets the input within the same moment
+    virtual std::uint64_t NextCallNumber(int relay) = 0;
+    // Whether a host at the address takes one more connection; each one is given back with Disconnect.
     virtual bool Connect(const std::string& address) = 0;
     virtual void Disconnect(const std::string& address) = 0;
-    virtual void Ended(int relay) = 0;  // after Terminate; the node is destroyed after this call
+    virtual void OnExit(int relay) = 0;  // after Terminate; the relay is destroyed after this call
   };
 
   struct Options {
-    int number = 0;
-    std::string folder;  // its journal's; lasts from one life to the next
+    int relay_index = 0;
+    std::string folder;  // for the journal; kept from one process of the relay to the next
     std::size_t disk_bytes = 3'000'000;
-    std::size_t most_lines = 500;
+    std::size_t max_connections = 500;
     std::uint64_t seed = 0;
     Time keepalive{15'000'000};
-    std::uint64_t list_calls_before = 0;  // numbers that earlier lives may have used
+    std::uint64_t list_call_offset = 0;  // list calls of earlier processes have numbers up to this one
   };
 
-  // Recovers what its journal owes. Throws what the journal throws.
-  Node(const Options& options, const wheathub::Settings& settings, Around& around,
-       const model::TellList& known);
-  // As a SIGKILL does: what is out is dropped, who waits hears that the connection broke.
-  ~Node();
+  // Recovers the messages of the journal that have not ended. Throws what the journal throws.
+  SimulatedRelay(const Options& options, const wheathub::Settings& settings, Environment& environment,
+                 const model::TellList& known);
+  // Acts as SIGKILL does: open calls lose their connection, and so do clients that wait for an answer.
+  ~SimulatedRelay();
 
-  void Take(const model::HandIn& in, const std::string& body);
-  void Leave(std::uint64_t hand);
-  void Answer(const model::AnswerCall& answer);
-  void Break(std::uint64_t call);
-  void Adopt(const model::TellList& list);
-  void Refuse(const model::RefuseList& refused);
-  void Beat(const model::BeatWatch& beat);
-  void BreakList(std::uint64_t call);  // the watch breaks off in the middle of a message
+  void Submit(const model::HandIn& in, const std::string& body);
+  void Withdraw(std::uint64_t number);
+  void AnswerCall(const model::AnswerCall& answer);
+  void BreakCall(std::uint64_t call);
+  void ApplyList(const model::TellList& list);
+  void RefuseListCall(const model::RefuseList& refused);
+  void OnHeartbeat(const model::BeatWatch& beat);
+  void BreakList(std::uint64_t call);  // the subscription ends in the middle of a message
   void MoveDiscovery();
   void Terminate();
-  // SIGSTOP and SIGCONT. Timers that fall due in between come at the end, in their order; whoever tells it
-  // anything tells it through Meet, so that this does too.
-  void Stop();
-  void Continue();
-  void Meet(std::function<void()> what);  // now, or once it goes on; not once this life is over
+  // SIGSTOP and SIGCONT. Timers that fall due meanwhile run after Resume, in their order. All other calls
+  // from outside go through RunOrDefer, so that they are deferred too.
+  void Suspend();
+  void Resume();
+  // Runs the callback now, or after Resume if the process is suspended; never once the process has ended.
+  void RunOrDefer(std::function<void()> callback);
   const relay::Counters& counters() const { return counters_; }
-  std::size_t held() const { return relay_->held(); }
+  std::size_t held_messages() const { return relay_->held(); }
 
  private:
-  struct Hand;
-  Time LainUnread() const;
-  void TellWaits(const std::vector<std::string>& hosts);
+  struct Submission;
+  Time TimeUnread() const;
+  void ApplyHostWaits(const std::vector<std::string>& hosts);
   struct Call {
     relay::AttemptId attempt;
     std::string host, address;
   };
   struct Pool {
     std::string address;
-    std::vector<Time> free_since;  // of idle lines, in the order in which they got free
+    std::vector<Time> idle_since;  // of idle connections, oldest first
   };
 
   Time Now() const override;
   Time UnixNow() const override;
   void WakeAt(Time moment) override;
   void ApplyRoutingChange(const relay::RoutingChange& change) override;
-  void StartAttempt(relay::AttemptRequest order) override;
+  void StartAttempt(relay::AttemptRequest request) override;
   bool CancelAttempt(const relay::AttemptId& attempt) override;
   void CloseIdle(const std::string& host) override;
   void SetListValidUntil(Time moment) override { hosts_.SetListValidUntil(moment); }
   void StepList(const wheathub::ListSubscription::Event& event);
-  void ListHeard(std::uint64_t call);
-  void TellLease(const wheathub::ListLease::Event& event);
-  wheathub::ListSubscription::CallNumber NumberOf(std::uint64_t call) const;
-  std::uint64_t CallOf(wheathub::ListSubscription::CallNumber number) const;
+  void OnListReceived(std::uint64_t call);
+  void UpdateLease(const wheathub::ListLease::Event& event);
+  wheathub::ListSubscription::CallNumber ToSubscriptionCall(std::uint64_t call) const;
+  std::uint64_t ToWorldCall(wheathub::ListSubscription::CallNumber number) const;
   void Post(const std::string& id, const journal::Ending& ending) override;
 
-  void Later(Time after, std::function<void()> what);  // not once this life is over
-  void Fail(const relay::AttemptId& attempt, wheathub::Outcome outcome);
-  bool TakeLine(const std::string& host, const std::string& address, Time now);
-  void GiveLine(const std::string& host, const std::string& address);
-  void CloseLine(const std::string& address);
-  bool MakeRoom();
-  void Expire(std::uint64_t call);
+  void RunAfter(Time after, std::function<void()> callback);  // not once this process has ended
+  void FailAttempt(const relay::AttemptId& attempt, wheathub::Outcome outcome);
+  bool TakeIdleConnection(const std::string& host, const std::string& address, Time now);
+  void ReturnConnection(const std::string& host, const std::string& address);
+  void CloseConnection(const std::string& address);
+  bool EvictIdleConnection();
+  void TimeOutCall(std::uint64_t call);
   void Sweep();
-  void LookAtEnd();
-  relay::RoutingChange ChangeOf(const model::TellList& list, bool remembered) const;
+  void CheckShutdown();
+  relay::RoutingChange ToRoutingChange(const model::TellList& list, bool remembered) const;
 
   Options options_;
-  Around& around_;
+  Environment& environment_;
   relay::Counters counters_;
   endpoint::Hosts hosts_;
   std::unique_ptr<journal::Journal> journal_;
   std::unique_ptr<relay::Relay> relay_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  std::uint64_t wake_ = 0;
-  bool stopped_ = false;
-  Time unread_since_{-1};  // what is told now was missed from then on; below 0: nothing is
-  std::vector<std::function<void()>> missed_;  // while it was stopped
+  std::uint64_t wake_generation_ = 0;
+  bool suspended_ = false;
+  Time unread_since_{-1};  // since when deferred input may have waited; below 0: none has
+  std::vector<std::function<void()>> deferred_;  // callbacks of the time of suspension
   std::int64_t version_ = 0;
   wheathub::ListSubscription list_;
   wheathub::ListLease lease_;
-  std::map<wheathub::ListSubscription::CallNumber, Time> list_calls_begun_;  // unanswered
-  std::uint64_t list_calls_before_ = 0;  // of earlier lives: no two calls share a number
-  std::uint64_t list_alarm_ = 0;         // the one that counts
+  std::map<wheathub::ListSubscription::CallNumber, Time> open_list_calls_;  // when each unanswered call began
+  std::uint64_t list_call_offset_ = 0;       // keeps numbers unique across processes of the relay
+  std::uint64_t list_alarm_generation_ = 0;  // only the timer of this generation counts
   std::map<std::string, Pool> pools_;
-  std::size_t lines_ = 0;
+  std::size_t connections_ = 0;
   std::map<std::uint64_t, Call> calls_;
   std::map<relay::AttemptId, std::uint64_t> by_attempt_;
-  std::map<std::uint64_t, std::unique_ptr<Hand>> hands_;
-  Time terminated_{-1}, last_hand_{0};
-  bool settled_ = false;
+  std::map<std::uint64_t, std::unique_ptr<Submission>> submissions_;
+  Time terminated_at_{-1}, last_submission_at_{0};
+  bool sending_stopped_ = false;
 };
 
 }  // namespace oxbowspread::lab
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -12,6 +12,7 @@
 
 double Seconds(trace::Time t) { return static_cast<double>(t.count()) / 1e6; }
 
+// The outer name of an event of the day.
 const char* NameOf(const model::Turn& turn) {
   using Kind = model::Turn::Kind;
   switch (turn.kind) {
@@ -59,53 +60,53 @@
   return "";
 }
 
-Json FiguresOf(const check::Figures& f) {
+Json FiguresToJson(const check::Figures& figures) {
   Json partners = Json::array();
-  for (const auto& [number, d] : f.by_destination) {
+  for (const auto& [number, counts] : figures.by_destination) {
     partners.push_back({{"partner", number},
-                        {"asked", d.asked},
-                        {"delivered", d.delivered},
-                        {"calls", d.calls},
-                        {"refused", d.refused},
-                        {"errors", d.errors}});
+                        {"asked", counts.asked},
+                        {"delivered", counts.delivered},
+                        {"calls", counts.calls},
+                        {"refused", counts.refused},
+                        {"errors", counts.errors}});
   }
   Json latency = Json::object();
-  for (const auto& [name, ms] : f.deliver_ms) latency[name] = ms;
-  return {{"service", f.service},
-          {"whole", f.worth_share},
-          {"worst_10s", f.worst_window_share},
-          {"prices", f.deductions},
-          {"asked", f.asked},
-          {"taken", f.accepted},
-          {"delivered", f.delivered},
-          {"in_aim", f.within_aim},
-          {"undelivered", f.undelivered},
-          {"turned_away", f.rejected},
-          {"unanswered", f.unanswered},
-          {"deferred", f.deferred},
-          {"undeliverable", f.undeliverable},
-          {"calls", f.calls},
-          {"tries", f.calls_per_message},
-          {"repeats", f.repeats},
-          {"fresh", f.new_connections},
-          {"refused_calls", f.refused_calls},
-          {"over_limit", f.over_limit},
-          {"errors", f.errors},
-          {"dropped", f.dropped},
-          {"accept_p50_ms", f.accept_p50_ms},
-          {"accept_p99_ms", f.accept_p99_ms},
-          {"deliver_p50_ms", f.deliver_p50_ms},
-          {"deliver_p99_ms", f.deliver_p99_ms},
+  for (const auto& [name, ms] : figures.deliver_ms) latency[name] = ms;
+  return {{"service", figures.service},
+          {"whole", figures.worth_share},
+          {"worst_10s", figures.worst_window_share},
+          {"prices", figures.deductions},
+          {"asked", figures.asked},
+          {"taken", figures.accepted},
+          {"delivered", figures.delivered},
+          {"in_aim", figures.within_aim},
+          {"undelivered", figures.undelivered},
+          {"turned_away", figures.rejected},
+          {"unanswered", figures.unanswered},
+          {"deferred", figures.deferred},
+          {"undeliverable", figures.undeliverable},
+          {"calls", figures.calls},
+          {"tries", figures.calls_per_message},
+          {"repeats", figures.repeats},
+          {"fresh", figures.new_connections},
+          {"refused_calls", figures.refused_calls},
+          {"over_limit", figures.over_limit},
+          {"errors", figures.errors},
+          {"dropped", figures.dropped},
+          {"accept_p50_ms", figures.accept_p50_ms},
+          {"accept_p99_ms", figures.accept_p99_ms},
+          {"deliver_p50_ms", figures.deliver_p50_ms},
+          {"deliver_p99_ms", figures.deliver_p99_ms},
           {"deliver_ms", latency},
-          {"worst_over", f.worst_limit_excess},
-          {"fairness", f.fairness},
-          {"fell", f.collapsed_hosts},
+          {"worst_over", figures.worst_limit_excess},
+          {"fairness", figures.fairness},
+          {"fell", figures.collapsed_hosts},
           {"partners", partners},
-          {"worth_by_second", f.worth_by_second}};
+          {"worth_by_second", figures.worth_by_second}};
 }
 
-std::string Line(const char* format, ...) __attribute__((format(printf, 1, 2)));
-std::string Line(const char* format, ...) {
+std::string FormatLine(const char* format, ...) __attribute__((format(printf, 1, 2)));
+std::string FormatLine(const char* format, ...) {
   std::array<char, 600> text;
   va_list arguments;
   va_start(arguments, format);
@@ -114,72 +115,79 @@
   return std::string(text.data()) + "\n";
 }
 
-unsigned long long U(std::uint64_t n) { return n; }
+unsigned long long AsUnsignedLongLong(std::uint64_t n) { return n; }
 
 }  // namespace
 
-Json ReportOf(const Outcome& o, const model::Day& day, const std::string& scenario) {
-  Json all = {{"scenario", scenario}, {"seed", day.seed}, {"figures", FiguresOf(o.figures)}};
-  all["breaches"] = Json::array();
-  for (const check::Breach& b : o.breaches) {
-    all["breaches"].push_back(
-        {{"at_us", b.at.count()}, {"rule", b.rule}, {"message", b.message}, {"events", b.events}});
+Json ToJson(const Outcome& outcome, const model::Day& day, const std::string& scenario) {
+  Json report = {{"scenario", scenario}, {"seed", day.seed}, {"figures", FiguresToJson(outcome.figures)}};
+  report["breaches"] = Json::array();
+  for (const check::Breach& breach : outcome.breaches) {
+    report["breaches"].push_back({{"at_us", breach.at.count()},
+                                  {"rule", breach.rule},
+                                  {"message", breach.message},
+                                  {"events", breach.events}});
   }
-  all["cut_short"] = o.cut_short;
-  all["crash"] = o.crash;
-  all["spoilt"] = o.spoilt;
-  all["length_us"] = o.length.count();
-  all["late_us"] = o.lateness.count();
-  all["steps"] = o.turns;
-  all["most_held"] = o.most_held;
-  all["cpu_us"] = o.cpu.count();
-  all["cpu_us_a_message"] =
-      static_cast<double>(o.cpu.count()) / std::max(1.0, static_cast<double>(o.figures.asked));
-  all["peak_kb"] = o.peak_kb;
-  all["worst_news_us"] = o.worst_news.count();
-  all["list_calls"] = o.list_calls;
-  all["turns"] = Json::array();
+  report["cut_short"] = outcome.cut_short;
+  report["crash"] = outcome.crash;
+  report["spoilt"] = outcome.invalid_reason;
+  report["length_us"] = outcome.length.count();
+  report["late_us"] = outcome.load_lateness.count();
+  report["steps"] = outcome.steps;
+  report["most_held"] = outcome.max_held_messages;
+  report["cpu_us"] = outcome.cpu_time.count();
+  report["cpu_us_a_message"] = static_cast<double>(outcome.cpu_time.count()) /
+                               std::max(1.0, static_cast<double>(outcome.figures.asked));
+  report["peak_kb"] = outcome.peak_kb;
+  report["worst_news_us"] = outcome.worst_list_delay.count();
+  report["list_calls"] = outcome.list_calls_by_second;
+  report["turns"] = Json::array();
   for (const model::Turn& turn : day.turns) {
-    all["turns"].push_back({{"at_s", Seconds(turn.at)}, {"what", NameOf(turn)}, {"index", turn.index}});
+    report["turns"].push_back({{"at_s", Seconds(turn.at)}, {"what", NameOf(turn)}, {"index", turn.index}});
   }
-  return all;
+  return report;
 }
 
-std::string TextOf(const Outcome& o, const model::Day& day, const std::string& scenario) {
-  const check::Figures& f = o.figures;
-  std::string text =
-      Line("%-22s seed %-6llu service %.3f  whole %.3f  worst 10 s %.3f  prices %.3f", scenario.c_str(),
-           U(day.seed), f.service, f.worth_share, f.worst_window_share, f.deductions);
-  text +=
-      Line("  asked %llu  taken %llu  delivered %llu  within the aim %llu  turned away %llu  unanswered %llu",
-           U(f.asked), U(f.accepted), U(f.delivered), U(f.within_aim), U(f.rejected), U(f.unanswered));
-  text += Line(
+std::string ToText(const Outcome& outcome, const model::Day& day, const std::string& scenario) {
+  const check::Figures& figures = outcome.figures;
+  std::string text = FormatLine("%-22s seed %-6llu service %.3f  whole %.3f  worst 10 s %.3f  prices %.3f",
+                                scenario.c_str(), AsUnsignedLongLong(day.seed), figures.service,
+                                figures.worth_share, figures.worst_window_share, figures.deductions);
+  text += FormatLine(
+      "  asked %llu  taken %llu  delivered %llu  within the aim %llu  turned away %llu  unanswered %llu",
+      AsUnsignedLongLong(figures.asked), AsUnsignedLongLong(figures.accepted),
+      AsUnsignedLongLong(figures.delivered), AsUnsignedLongLong(figures.within_aim),
+      AsUnsignedLongLong(figures.rejected), AsUnsignedLongLong(figures.unanswered));
+  text += FormatLine(
       "  calls %llu (%.3f a message)  refused %llu, above a limit %llu  errors %llu  dropped %llu  new lines "
       "%llu",
-      U(f.calls), f.calls_per_message, U(f.refused_calls), U(f.over_limit), U(f.errors), U(f.dropped),
-      U(f.new_connections));
-  text += Line(
+      AsUnsignedLongLong(figures.calls), figures.calls_per_message, AsUnsignedLongLong(figures.refused_calls),
+      AsUnsignedLongLong(figures.over_limit), AsUnsignedLongLong(figures.errors),
+      AsUnsignedLongLong(figures.dropped), AsUnsignedLongLong(figures.new_connections));
+  text += FormatLine(
       "  accepted p50 %.1f p99 %.1f ms  delivered p50 %.0f p99 %.0f ms  deferred %llu  undeliverable %llu",
-      f.accept_p50_ms, f.accept_p99_ms, f.deliver_p50_ms, f.deliver_p99_ms, U(f.deferred),
-      U(f.undeliverable));
-  if (o.cpu.count() > 0) {
-    text += Line("  relays: %.1f us of CPU a message, %.1f MB at most  load late %.1f ms at most",
-                 static_cast<double>(o.cpu.count()) / std::max(1.0, static_cast<double>(f.asked)),
-                 static_cast<double>(o.peak_kb) / 1024, Seconds(o.lateness) * 1e3);
+      figures.accept_p50_ms, figures.accept_p99_ms, figures.deliver_p50_ms, figures.deliver_p99_ms,
+      AsUnsignedLongLong(figures.deferred), AsUnsignedLongLong(figures.undeliverable));
+  if (outcome.cpu_time.count() > 0) {
+    text += FormatLine(
+        "  relays: %.1f us of CPU a message, %.1f MB at most  load late %.1f ms at most",
+        static_cast<double>(outcome.cpu_time.count()) / std::max(1.0, static_cast<double>(figures.asked)),
+        static_cast<double>(outcome.peak_kb) / 1024, Seconds(outcome.load_lateness) * 1e3);
   }
-  if (!o.list_calls.empty()) {
-    std::vector<std::uint64_t> calls = o.list_calls;
+  if (!outcome.list_calls_by_second.empty()) {
+    std::vector<std::uint64_t> calls = outcome.list_calls_by_second;
     std::sort(calls.begin(), calls.end());
-    text += Line("  discovery: %llu calls a second in the median, %llu at most  news %.2f s at most",
-                 U(calls[calls.size() / 2]), U(calls.back()), Seconds(o.worst_news));
+    text += FormatLine("  discovery: %llu calls a second in the median, %llu at most  news %.2f s at most",
+                       AsUnsignedLongLong(calls[calls.size() / 2]), AsUnsignedLongLong(calls.back()),
+                       Seconds(outcome.worst_list_delay));
   }
-  if (!o.crash.empty()) text += "  crashed: " + o.crash + "\n";
-  if (!o.spoilt.empty()) text += "  spoilt: " + o.spoilt + "\n";
-  if (o.cut_short) text += "  the stream was cut short\n";
-  for (const check::Breach& b : o.breaches) {
-    text += Line("  broken at %.6f s: ", Seconds(b.at));
+  if (!outcome.crash.empty()) text += "  crashed: " + outcome.crash + "\n";
+  if (!outcome.invalid_reason.empty()) text += "  spoilt: " + outcome.invalid_reason + "\n";
+  if (outcome.cut_short) text += "  the stream was cut short\n";
+  for (const check::Breach& breach : outcome.breaches) {
+    text += FormatLine("  broken at %.6f s: ", Seconds(breach.at));
     text.pop_back();
-    text += b.rule + ", " + b.message + ": " + b.events + "\n";
+    text += breach.rule + ", " + breach.message + ": " + breach.events + "\n";
   }
   return text;
 }
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -1,4 +1,4 @@
-// A played day as a report: for programs (JSON) and for people. No I/O.
+// Formats the outcome of a run as JSON and as text. No I/O.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 
 namespace oxbowspread::lab {
 
-nlohmann::ordered_json ReportOf(const Outcome& outcome, const model::Day& day, const std::string& scenario);
-std::string TextOf(const Outcome& outcome, const model::Day& day, const std::string& scenario);
+nlohmann::ordered_json ToJson(const Outcome& outcome, const model::Day& day, const std::string& scenario);
+std::string ToText(const Outcome& outcome, const model::Day& day, const std::string& scenario);
 
 }  // namespace oxbowspread::lab
--- a/src/lab/settings.hpp
+++ b/src/lab/settings.hpp
@@ -1,4 +1,5 @@
-// What the platform tells a relay of a day of the model: the settings in the platform's JSON. Nothing fails.
+// The settings that the platform gives to a relay on a day of the model, in the JSON format of the platform.
+// No function here fails.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +11,12 @@
 
 namespace oxbowspread::lab {
 
-// `rank` counts relays from 0. Spans in seconds, as the keys' names say. `day` is of `scenario`.
+// `rank` is the index of the relay from 0. Times are in seconds, as the names of the keys say. `day` must
+// belong to `scenario`.
 std::string SettingsOf(const model::Scenario& scenario, const model::Day& day, int rank);
-// For random numbers; new with each life, counted from 0.
-std::uint64_t SeedOf(const model::Day& day, int relay, int life);
-// What the rules and the counting of service are on such a day.
+// The random seed of a relay process: a new one for each process of the relay, counted from 0.
+std::uint64_t RelaySeed(const model::Day& day, int relay, int process_number);
+// The limits of the rules and the scoring of the service for a day of the scenario.
 check::Rules RulesOf(const model::Scenario& scenario);
 check::Scoring ScoringOf(const model::Scenario& scenario, const model::Day& day);
 
--- a/src/lab/simulation.cpp
+++ b/src/lab/simulation.cpp
@@ -11,28 +11,28 @@
 namespace oxbowspread::lab {
 namespace {
 
-constexpr std::uint64_t kListCallsOfALife = 1'000'000'000;
+constexpr std::uint64_t kListCallsPerProcess = 1'000'000'000;
 
-class Simulation final : public Node::Around {
+class Simulation final : public SimulatedRelay::Environment {
  public:
   Simulation(const model::Scenario& scenario, const model::Day& day, const SimulationOptions& options)
       : scenario_(scenario),
         day_(day),
         options_(options),
-        witness_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
-        world_(scenario, day, [this](const trace::Event& event) { witness_.Observe(event); }),
+        observer_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
+        world_(scenario, day, [this](const trace::Event& event) { observer_.Observe(event); }),
         body_(static_cast<std::size_t>(scenario.traffic.body), 'b'),
-        lives_(static_cast<std::size_t>(day.relays)) {
+        process_counts_(static_cast<std::size_t>(day.relays)) {
     std::filesystem::remove_all(options_.folder);
     std::filesystem::create_directories(options_.folder);
     for (int rank = 0; rank < day.relays; ++rank) {
-      std::vector<std::string> none;
-      settings_.push_back(wheathub::wire::ParseSettings(SettingsOf(scenario, day, rank), &none));
+      std::vector<std::string> faults;
+      settings_.push_back(wheathub::wire::ParseSettings(SettingsOf(scenario, day, rank), &faults));
     }
-    nodes_.resize(static_cast<std::size_t>(day.relays));
+    relays_.resize(static_cast<std::size_t>(day.relays));
   }
   ~Simulation() override {
-    nodes_.clear();
+    relays_.clear();
     std::error_code ignored;
     std::filesystem::remove_all(options_.folder, ignored);
   }
@@ -40,156 +40,167 @@
   Outcome Run() {
     Outcome outcome;
     try {
-      for (int r = 0; r < day_.relays; ++r) Start(r);
+      for (int relay = 0; relay < day_.relays; ++relay) StartRelay(relay);
       while (!world_.done()) {
         Time next = world_.wake_at();
-        if (!calendar_.empty()) next = std::min(next, calendar_.top().at);
+        if (!schedule_.empty()) next = std::min(next, schedule_.top().at);
         if (inputs_.empty()) now_ = std::max(now_, next);
-        Moment();
+        RunMoment();
       }
     } catch (const std::exception& e) {
       outcome.crash = e.what();
     }
-    witness_.Conclude(&outcome);
+    observer_.Finish(&outcome);
     outcome.length = now_;
-    outcome.turns = turns_;
-    outcome.most_held = most_held_;
-    for (const auto& node : nodes_) {
-      if (node) outcome.turns += node->counters().steps;
+    outcome.steps = steps_;
+    outcome.max_held_messages = max_held_messages_;
+    for (const auto& relay : relays_) {
+      if (relay) outcome.steps += relay->counters().steps;
     }
     return outcome;
   }
 
  private:
-  struct Entry {
+  struct ScheduledCallback {
     Time at;
     std::uint64_t order;
-    std::function<void()> what;
-    bool operator>(const Entry& other) const { return at != other.at ? at > other.at : order > other.order; }
+    std::function<void()> callback;
+    bool operator>(const ScheduledCallback& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
   };
 
-  // What is due now, then what the world makes of it. What follows from that at once is the next moment.
-  void Moment() {
-    while (!calendar_.empty() && calendar_.top().at <= now_) {
-      const std::function<void()> what = std::move(const_cast<Entry&>(calendar_.top()).what);
-      calendar_.pop();
-      what();
+  // Runs the callbacks that are due now, then lets the model step with their inputs. Inputs that follow from
+  // this at once belong to the next moment, at the same time.
+  void RunMoment() {
+    while (!schedule_.empty() && schedule_.top().at <= now_) {
+      const std::function<void()> callback =
+          std::move(const_cast<ScheduledCallback&>(schedule_.top()).callback);
+      schedule_.pop();
+      callback();
     }
     const std::vector<model::Input> inputs = std::exchange(inputs_, {});
     for (const model::Effect& effect : world_.Step(now_, inputs)) {
-      std::visit([this](const auto& e) { Do(e); }, effect);
+      std::visit([this](const auto& e) { Apply(e); }, effect);
     }
   }
 
-  Node* Of(int relay) { return nodes_[static_cast<std::size_t>(relay)].get(); }
-  Node* OfCall(std::uint64_t call) {
-    return Of(static_cast<int>(call % static_cast<std::uint64_t>(day_.relays)));
+  SimulatedRelay* FindRelay(int relay) { return relays_[static_cast<std::size_t>(relay)].get(); }
+  SimulatedRelay* FindRelayOfCall(std::uint64_t call) {
+    return FindRelay(static_cast<int>(call % static_cast<std::uint64_t>(day_.relays)));
   }
 
-  void Do(const model::HandIn& in) {
-    if (Node* node = Of(in.relay)) {
-      node->Meet([this, node, in] {
-        node->Take(in, body_);
-        most_held_ = std::max<std::uint64_t>(most_held_, node->held());
+  void Apply(const model::HandIn& in) {
+    if (SimulatedRelay* relay = FindRelay(in.relay)) {
+      relay->RunOrDefer([this, relay, in] {
+        relay->Submit(in, body_);
+        max_held_messages_ = std::max<std::uint64_t>(max_held_messages_, relay->held_messages());
       });
     } else {
-      Tell(model::Answered{in.hand, model::Answered::What::kBroken, Time(0)});
+      Notify(model::Answered{in.hand, model::Answered::What::kBroken, Time(0)});
     }
   }
-  void Do(const model::LeaveHand& leave) {
-    if (Node* node = Of(leave.relay)) node->Meet([node, hand = leave.hand] { node->Leave(hand); });
+  void Apply(const model::LeaveHand& leave) {
+    if (SimulatedRelay* relay = FindRelay(leave.relay))
+      relay->RunOrDefer([relay, hand = leave.hand] { relay->Withdraw(hand); });
   }
-  void Do(const model::AnswerCall& answer) {
-    if (Node* node = OfCall(answer.call)) node->Meet([node, answer] { node->Answer(answer); });
+  void Apply(const model::AnswerCall& answer) {
+    if (SimulatedRelay* relay = FindRelayOfCall(answer.call))
+      relay->RunOrDefer([relay, answer] { relay->AnswerCall(answer); });
   }
-  void Do(const model::BreakCall& broken) {
-    if (Node* node = OfCall(broken.call)) node->Meet([node, call = broken.call] { node->Break(call); });
+  void Apply(const model::BreakCall& broken) {
+    if (SimulatedRelay* relay = FindRelayOfCall(broken.call))
+      relay->RunOrDefer([relay, call = broken.call] { relay->BreakCall(call); });
   }
-  void Do(const model::TellList& list) {
-    if (Node* node = Of(list.relay)) node->Meet([node, list] { node->Adopt(list); });
+  void Apply(const model::TellList& list) {
+    if (SimulatedRelay* relay = FindRelay(list.relay))
+      relay->RunOrDefer([relay, list] { relay->ApplyList(list); });
   }
-  void Do(const model::RefuseList& refused) {
-    if (Node* node = Of(refused.relay)) node->Meet([node, refused] { node->Refuse(refused); });
+  void Apply(const model::RefuseList& refused) {
+    if (SimulatedRelay* relay = FindRelay(refused.relay))
+      relay->RunOrDefer([relay, refused] { relay->RefuseListCall(refused); });
   }
-  void Do(const model::BeatWatch& beat) {
-    if (Node* node = Of(beat.relay)) node->Meet([node, beat] { node->Beat(beat); });
+  void Apply(const model::BeatWatch& beat) {
+    if (SimulatedRelay* relay = FindRelay(beat.relay))
+      relay->RunOrDefer([relay, beat] { relay->OnHeartbeat(beat); });
   }
-  void Do(const model::BreakList& broken) {
-    if (Node* node = Of(broken.list.relay)) {
-      node->Meet([node, call = broken.list.call] { node->BreakList(call); });
+  void Apply(const model::BreakList& broken) {
+    if (SimulatedRelay* relay = FindRelay(broken.list.relay)) {
+      relay->RunOrDefer([relay, call = broken.list.call] { relay->BreakList(call); });
     }
   }
-  void Do(const model::MoveDiscovery& move) {
-    if (Node* node = Of(move.relay)) node->Meet([node] { node->MoveDiscovery(); });
-  }
-  // Signals that end nothing and clients that say nothing are for sockets.
-  void Do(const model::SignalRelay&) {}
-  void Do(const model::IdleClients&) {}
-  // Lines ask the world itself.
-  void Do(const model::HostUp&) {}
-  void Do(const model::HostDown&) {}
-  void Do(const model::KillRelay& kill) { End(kill.relay); }
-  void Do(const model::TerminateRelay& terminate) {
-    if (Node* node = Of(terminate.relay)) node->Meet([node] { node->Terminate(); });
-  }
-  void Do(const model::StartRelay& start) { Start(start.relay); }
-  void Do(const model::StopRelay& stop) {
-    if (Node* node = Of(stop.relay)) node->Stop();
-  }
-  void Do(const model::ContinueRelay& go_on) {
-    if (Node* node = Of(go_on.relay)) node->Continue();
-  }
-
-  void Start(int relay) {
-    if (Of(relay) != nullptr) return;
-    const auto r = static_cast<std::size_t>(relay);
-    Node::Options options;
-    options.number = relay;
+  void Apply(const model::MoveDiscovery& move) {
+    if (SimulatedRelay* relay = FindRelay(move.relay)) relay->RunOrDefer([relay] { relay->MoveDiscovery(); });
+  }
+  // Signals that don't end a process and idle clients exist in runs on sockets only.
+  void Apply(const model::SignalRelay&) {}
+  void Apply(const model::IdleClients&) {}
+  // Connect asks the model itself whether a host is there.
+  void Apply(const model::HostUp&) {}
+  void Apply(const model::HostDown&) {}
+  void Apply(const model::KillRelay& kill) { EndRelay(kill.relay); }
+  void Apply(const model::TerminateRelay& terminate) {
+    if (SimulatedRelay* relay = FindRelay(terminate.relay))
+      relay->RunOrDefer([relay] { relay->Terminate(); });
+  }
+  void Apply(const model::StartRelay& start) { StartRelay(start.relay); }
+  void Apply(const model::StopRelay& stop) {
+    if (SimulatedRelay* relay = FindRelay(stop.relay)) relay->Suspend();
+  }
+  void Apply(const model::ContinueRelay& resume) {
+    if (SimulatedRelay* relay = FindRelay(resume.relay)) relay->Resume();
+  }
+
+  void StartRelay(int relay) {
+    if (FindRelay(relay) != nullptr) return;
+    const auto index = static_cast<std::size_t>(relay);
+    SimulatedRelay::Options options;
+    options.relay_index = relay;
     options.folder = options_.folder + "/relay" + std::to_string(relay);
     options.disk_bytes = static_cast<std::size_t>(scenario_.relay.disk_mb * 1e6);
-    options.most_lines = static_cast<std::size_t>(scenario_.relay.sockets) / 2;
-    options.list_calls_before = static_cast<std::uint64_t>(lives_[r]) * kListCallsOfALife;
-    options.seed = SeedOf(day_, relay, lives_[r]++);
-    nodes_[r] = std::make_unique<Node>(options, settings_[r], *this, world_.Known(relay));
-    Tell(model::RelayUp{relay});
+    options.max_connections = static_cast<std::size_t>(scenario_.relay.sockets) / 2;
+    options.list_call_offset = static_cast<std::uint64_t>(process_counts_[index]) * kListCallsPerProcess;
+    options.seed = RelaySeed(day_, relay, process_counts_[index]++);
+    relays_[index] = std::make_unique<SimulatedRelay>(options, settings_[index], *this, world_.Known(relay));
+    Notify(model::RelayUp{relay});
   }
 
-  void End(int relay) {
-    const auto r = static_cast<std::size_t>(relay);
-    if (!nodes_[r]) return;
-    turns_ += nodes_[r]->counters().steps;
-    nodes_[r].reset();
-    Tell(model::RelayDown{relay});
+  void EndRelay(int relay) {
+    const auto index = static_cast<std::size_t>(relay);
+    if (!relays_[index]) return;
+    steps_ += relays_[index]->counters().steps;
+    relays_[index].reset();
+    Notify(model::RelayDown{relay});
   }
 
-  // Node::Around
+  // SimulatedRelay::Environment
   Time Now() const override { return now_; }
-  void At(Time moment, std::function<void()> what) override {
-    calendar_.push({std::max(moment, now_), order_++, std::move(what)});
+  void Schedule(Time moment, std::function<void()> callback) override {
+    schedule_.push({std::max(moment, now_), next_order_++, std::move(callback)});
   }
-  void Tell(model::Input input) override { inputs_.push_back(std::move(input)); }
-  std::uint64_t NextCall(int relay) override {
-    return ++calls_ * static_cast<std::uint64_t>(day_.relays) + static_cast<std::uint64_t>(relay);
+  void Notify(model::Input input) override { inputs_.push_back(std::move(input)); }
+  std::uint64_t NextCallNumber(int relay) override {
+    return ++calls_made_ * static_cast<std::uint64_t>(day_.relays) + static_cast<std::uint64_t>(relay);
   }
   bool Connect(const std::string& address) override { return world_.Connect(address); }
   void Disconnect(const std::string& address) override { world_.Disconnect(address); }
-  void Ended(int relay) override {
-    At(now_, [this, relay] { End(relay); });
+  void OnExit(int relay) override {
+    Schedule(now_, [this, relay] { EndRelay(relay); });
   }
 
   const model::Scenario& scenario_;
   const model::Day& day_;
   const SimulationOptions& options_;
-  Witness witness_;
+  EventObserver observer_;
   model::World world_;
   std::string body_;
   std::vector<wheathub::Settings> settings_;
-  std::vector<std::unique_ptr<Node>> nodes_;
-  std::vector<int> lives_;
+  std::vector<std::unique_ptr<SimulatedRelay>> relays_;
+  std::vector<int> process_counts_;
   std::vector<model::Input> inputs_;
-  std::priority_queue<Entry, std::vector<Entry>, std::greater<>> calendar_;
+  std::priority_queue<ScheduledCallback, std::vector<ScheduledCallback>, std::greater<>> schedule_;
   Time now_{0};
-  std::uint64_t order_ = 0, calls_ = 0, turns_ = 0, most_held_ = 0;
+  std::uint64_t next_order_ = 0, calls_made_ = 0, steps_ = 0, max_held_messages_ = 0;
 };
 
 }  // namespace
--- a/src/lab/simulation.hpp
+++ b/src/lab/simulation.hpp
@@ -1,5 +1,5 @@
-// A day of the model around real relays on a virtual clock, many in one process, as fast as it goes. The same
-// scenario, seed and program give the same events.
+// Runs a day of the model against real relays on a virtual clock: many relays in one process, as fast as the
+// machine allows. The same scenario, seed and program give the same events.
 #pragma once
 
 #include <string>
@@ -11,12 +11,12 @@
 namespace oxbowspread::lab {
 
 struct SimulationOptions {
-  std::string folder;  // for the relays' journals; emptied if it is there, and removed at the end
-  OnTrace trace;       // told all events, after the checker; may be empty
+  std::string folder;  // for the relays' journals; emptied if it exists, and removed at the end
+  TraceSink trace;     // gets all events, after the checker; may be empty
 };
 
-// Throws std::filesystem::filesystem_error where the folder can't be used, and wheathub's
-// std::invalid_argument where the scenario's settings can't work. Whatever a relay throws later is its crash.
+// Throws std::filesystem::filesystem_error if the folder can't be used, and std::invalid_argument of wheathub
+// if the settings of the scenario are invalid. What a relay throws later is reported as its crash.
 Outcome Simulate(const model::Scenario& scenario, const model::Day& day, const SimulationOptions& options);
 
 }  // namespace oxbowspread::lab
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -27,38 +27,40 @@
 using model::Time;
 using Json = nlohmann::json;
 
-constexpr Time kLookEach = 10ms;  // at processes
-constexpr Time kReadyWithin = 20s;
-constexpr Time kKillAfter = 3700ms;    // after SIGTERM
-constexpr Time kOldPlaceFor = 1500ms;  // a discovery that has moved keeps its connections
-// Connections to one place of discovery are counted from here on, so that no two places share a number.
-constexpr std::uint64_t kCallsOfPlace = 1'000'000;
-
-class Stage final : public standin::ClientLine::Owner {
+constexpr Time kPollInterval = 10ms;  // of the relay processes
+constexpr Time kReadyTimeout = 20s;
+constexpr Time kKillAfter = 3700ms;             // after SIGTERM
+constexpr Time kOldDiscoveryLifetime = 1500ms;  // the old address keeps its connections so long after a move
+// The n-th discovery server of a relay numbers its connections from n times this on, so that no two servers
+// share a number.
+constexpr std::uint64_t kCallsPerDiscoveryServer = 1'000'000;
+
+// One run. Its loop drives the model, the stand-ins and the relay processes.
+class SocketRun final : public standin::ClientLine::Owner {
  public:
-  Stage(const model::Scenario& scenario, const model::Day& day, const StageOptions& options)
+  SocketRun(const model::Scenario& scenario, const model::Day& day, const SocketRunOptions& options)
       : scenario_(scenario),
         day_(day),
         options_(options),
-        witness_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
-        world_(scenario, day, [this](const trace::Event& event) { witness_.Observe(event); }),
+        observer_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
+        world_(scenario, day, [this](const trace::Event& event) { observer_.Observe(event); }),
         body_(static_cast<std::size_t>(scenario.traffic.body), 'b'),
-        turn_(loop_, [this] { Turn(); }),
-        look_(loop_, [this] { Look(); }),
-        second_(loop_, [this] { CountSecond(); }) {
+        world_timer_(loop_, [this] { StepWorld(); }),
+        poll_timer_(loop_, [this] { PollProcesses(); }),
+        second_timer_(loop_, [this] { CountSecond(); }) {
     std::filesystem::remove_all(options_.folder);
     std::filesystem::create_directories(options_.folder);
-    for (const std::string& address : world_.Addresses()) HostStands(address);
+    for (const std::string& address : world_.Addresses()) StartHost(address);
     relays_.resize(static_cast<std::size_t>(day.relays));
-    for (std::size_t r = 0; r < relays_.size(); ++r) {
-      Relay& relay = relays_[r];
+    for (std::size_t relay_index = 0; relay_index < relays_.size(); ++relay_index) {
+      Relay& relay = relays_[relay_index];
       relay.listen = "127.0.0.1:" + std::to_string(standin::FreePort());
       relay.address = *net::ParseAddress(relay.listen);
-      AddPlace(r);
+      AddDiscoveryServer(relay_index);
     }
   }
 
-  ~Stage() override {
+  ~SocketRun() override {
     for (const Relay& relay : relays_) {
       if (relay.pid <= 0) continue;
       kill(relay.pid, SIGKILL);
@@ -67,90 +69,92 @@
   }
 
   Outcome Run() {
-    for (std::size_t r = 0; r < relays_.size(); ++r) Start(static_cast<int>(r));
-    ready_until_ = net::Loop::Now() + kReadyWithin;
-    look_.After(kLookEach);
-    second_.After(1s);
+    for (std::size_t relay_index = 0; relay_index < relays_.size(); ++relay_index)
+      StartRelay(static_cast<int>(relay_index));
+    ready_deadline_ = net::Loop::Now() + kReadyTimeout;
+    poll_timer_.After(kPollInterval);
+    second_timer_.After(1s);
     loop_.Run();
-    witness_.Conclude(&outcome_);
-    outcome_.lateness = world_.lateness();
-    if (outcome_.spoilt.empty() && outcome_.lateness > options_.most_late) {
-      outcome_.spoilt = "the load was up to " + std::to_string(outcome_.lateness / 1ms) + " ms late";
+    observer_.Finish(&outcome_);
+    outcome_.load_lateness = world_.lateness();
+    if (outcome_.invalid_reason.empty() && outcome_.load_lateness > options_.max_lateness) {
+      outcome_.invalid_reason =
+          "the load was up to " + std::to_string(outcome_.load_lateness / 1ms) + " ms late";
     }
     if (outcome_.clean()) std::filesystem::remove_all(options_.folder);
     return outcome_;
   }
 
  private:
-  // One address of discovery, as that relay alone reaches it.
-  struct Place {
+  // A discovery server at one address, which a single relay uses.
+  struct DiscoveryServer {
     std::unique_ptr<standin::HttpServer> server;
-    Time closes_at{0};  // once it has moved
+    Time closes_at{0};  // 0 until discovery has moved on to another address
   };
   struct Relay {
     std::string listen;
     net::Address address{};
-    std::vector<Place> places;  // the last one counts
-    Json config;                // of this life
-    int signals = 0;            // still to be sent
+    std::vector<DiscoveryServer> discovery_servers;  // the last one is current
+    Json config;                                     // of the present process
+    int signals_left = 0;                            // SIGHUP and SIGUSR1 in turn, one at each poll
     std::vector<std::unique_ptr<standin::ClientLine>> idle_clients;
-    std::set<std::uint64_t> answered;  // connections with a watch that has begun
+    std::set<std::uint64_t> open_watches;  // calls for which a response has begun
     pid_t pid = 0;
-    int lives = 0;
-    bool answers = false;
+    int process_count = 0;
+    bool ready = false;
     bool pinging = false;
-    bool expected = false;  // its end
+    bool exit_expected = false;  // its process was told to end
     Time kill_at{0};
   };
-  struct HostAt {
+  struct HostServer {
     std::unique_ptr<standin::HttpServer> server;
-    std::map<std::uint64_t, std::uint64_t> calls;  // connection to the call that is out on it, 0: none
+    std::map<std::uint64_t, std::uint64_t> calls;  // connection number to its open call; 0: none
   };
-  struct Seat {
+  struct ClientConnection {
     std::unique_ptr<standin::ClientLine> line;
     int relay = 0;
     std::uint64_t hand = 0;  // 0: a PING
-    bool again = false;      // sent once more, as the first connection was closed unread
+    bool resent = false;  // the request was sent again, since the first connection closed without reading it
     std::string request;
   };
 
-  Time Day() const { return net::Loop::Now() - begun_; }
-  bool begun() const { return begun_ > 0us; }
+  Time TimeOfRun() const { return net::Loop::Now() - started_at_; }
+  bool started() const { return started_at_ > 0us; }
 
-  // ---- the world's turns ----
+  // ---- steps of the model ----
 
-  void Tell(model::Input input) {
+  void Notify(model::Input input) {
     inputs_.push_back(std::move(input));
-    if (begun()) turn_.After(Time(0));
+    if (started()) world_timer_.After(Time(0));
   }
 
-  void Turn() {
-    if (!begun() || ended_) return;
+  void StepWorld() {
+    if (!started() || run_ended_) return;
     do {
       const std::vector<model::Input> inputs = std::exchange(inputs_, {});
-      for (const model::Effect& effect : world_.Step(Day(), inputs)) {
-        std::visit([this](const auto& e) { Do(e); }, effect);
+      for (const model::Effect& effect : world_.Step(TimeOfRun(), inputs)) {
+        std::visit([this](const auto& e) { Apply(e); }, effect);
       }
     } while (!inputs_.empty());
-    if (world_.done()) return End();
-    turn_.After(std::max(Time(0), world_.wake_at() - Day()));
+    if (world_.done()) return EndRun();
+    world_timer_.After(std::max(Time(0), world_.wake_at() - TimeOfRun()));
   }
 
-  void End() {
-    outcome_.length = Day();
-    ended_ = true;
+  void EndRun() {
+    outcome_.length = TimeOfRun();
+    run_ended_ = true;
     for (Relay& relay : relays_) {
-      if (relay.pid <= 0 || relay.expected) continue;
-      relay.expected = true;
+      if (relay.pid <= 0 || relay.exit_expected) continue;
+      relay.exit_expected = true;
       relay.kill_at = net::Loop::Now() + kKillAfter;
       kill(relay.pid, SIGTERM);
-      kill(relay.pid, SIGCONT);  // where it was stopped
+      kill(relay.pid, SIGCONT);  // in case it is suspended
     }
   }
 
-  void Spoil(const std::string& why) {
-    if (outcome_.spoilt.empty()) outcome_.spoilt = why;
-    ended_ = true;
+  void MarkInvalid(const std::string& reason) {
+    if (outcome_.invalid_reason.empty()) outcome_.invalid_reason = reason;
+    run_ended_ = true;
     loop_.Stop();
   }
 
@@ -175,47 +179,47 @@
     return {{"version", list.version}, {"full", list.full}, {"servers", servers}};
   }
 
-  void AddPlace(std::size_t r) {
-    std::vector<Place>& places = relays_[r].places;
-    const std::uint64_t before = places.size() * kCallsOfPlace;
-    Place place;
-    place.server = std::make_unique<standin::HttpServer>(
+  void AddDiscoveryServer(std::size_t relay_index) {
+    std::vector<DiscoveryServer>& discovery_servers = relays_[relay_index].discovery_servers;
+    const std::uint64_t number_offset = discovery_servers.size() * kCallsPerDiscoveryServer;
+    DiscoveryServer discovery_server;
+    discovery_server.server = std::make_unique<standin::HttpServer>(
         loop_, 0,
-        [this, r, before](std::uint64_t connection, const standin::Request& request) {
-          OnDiscovery(r, before + connection, request);
+        [this, relay_index, number_offset](std::uint64_t connection, const standin::Request& request) {
+          OnDiscovery(relay_index, number_offset + connection, request);
         },
-        [this, r, before](std::uint64_t connection) {
-          Tell(model::WatchEnded{static_cast<int>(r), before + connection});
+        [this, relay_index, number_offset](std::uint64_t connection) {
+          Notify(model::WatchEnded{static_cast<int>(relay_index), number_offset + connection});
         });
-    places.push_back(std::move(place));
+    discovery_servers.push_back(std::move(discovery_server));
   }
-  static standin::HttpServer* PlaceOf(Relay& relay, std::uint64_t call) {
-    return relay.places.at(call / kCallsOfPlace).server.get();
+  static standin::HttpServer* FindServer(Relay& relay, std::uint64_t call) {
+    return relay.discovery_servers.at(call / kCallsPerDiscoveryServer).server.get();
   }
-  void WriteTo(int number, std::uint64_t call, const std::string& bytes) {
-    standin::HttpServer* const server = PlaceOf(relays_[static_cast<std::size_t>(number)], call);
-    if (server != nullptr) server->Write(call % kCallsOfPlace, bytes);
+  void WriteToCall(int number, std::uint64_t call, const std::string& bytes) {
+    standin::HttpServer* const server = FindServer(relays_[static_cast<std::size_t>(number)], call);
+    if (server != nullptr) server->Write(call % kCallsPerDiscoveryServer, bytes);
   }
   void CloseCall(int number, std::uint64_t call) {
-    standin::HttpServer* const server = PlaceOf(relays_[static_cast<std::size_t>(number)], call);
-    if (server != nullptr) server->Close(call % kCallsOfPlace);
+    standin::HttpServer* const server = FindServer(relays_[static_cast<std::size_t>(number)], call);
+    if (server != nullptr) server->Close(call % kCallsPerDiscoveryServer);
   }
   std::string FolderOf(int number) const { return options_.folder + "/n" + std::to_string(number + 1); }
   void WriteConfig(int number) {
     Relay& relay = relays_[static_cast<std::size_t>(number)];
-    relay.config["discovery"] = "127.0.0.1:" + std::to_string(relay.places.back().server->port());
+    relay.config["discovery"] = "127.0.0.1:" + std::to_string(relay.discovery_servers.back().server->port());
     const std::string file = FolderOf(number) + "/config.json";
     std::ofstream(file + ".new") << relay.config.dump();
     std::filesystem::rename(file + ".new", file);
   }
 
-  void Start(int number) {
+  void StartRelay(int number) {
     Relay& relay = relays_[static_cast<std::size_t>(number)];
     if (relay.pid > 0) return;
     const std::string name = "n" + std::to_string(number + 1), folder = FolderOf(number);
     std::filesystem::create_directories(folder + "/state");
     std::ostringstream seed;
-    seed << std::hex << SeedOf(day_, number, relay.lives++);
+    seed << std::hex << RelaySeed(day_, number, relay.process_count++);
     relay.config = {{"name", name},
                     {"listen", relay.listen},
                     {"state", folder + "/state"},
@@ -231,125 +235,131 @@
     program.path = options_.relay;
     program.environment["ROUTER_CONFIG"] = folder + "/config.json";
     program.log = folder + "/log";
-    std::string why;
-    relay.expected = relay.answers = false;
+    std::string reason;
+    relay.exit_expected = relay.ready = false;
     relay.kill_at = Time(0);
-    relay.pid = supervise::Start(program, &why);
-    if (relay.pid <= 0) throw std::runtime_error(options_.relay + ": " + why);
+    relay.pid = supervise::Start(program, &reason);
+    if (relay.pid <= 0) throw std::runtime_error(options_.relay + ": " + reason);
   }
 
   void Ping(int number) {
     relays_[static_cast<std::size_t>(number)].pinging = true;
-    AskOn(NewLine(number), 0, standin::RespCommand({"PING"}));
+    SendRequest(OpenClient(number), 0, standin::RespCommand({"PING"}));
   }
 
-  void Look() {
-    look_.After(kLookEach);
-    if (!starts_.empty() && !ended_) {
-      Start(starts_.front());
-      starts_.pop_front();
+  void PollProcesses() {
+    poll_timer_.After(kPollInterval);
+    if (!pending_starts_.empty() && !run_ended_) {
+      StartRelay(pending_starts_.front());
+      pending_starts_.pop_front();
     }
     const Time now = net::Loop::Now();
     bool all_ready = true, all_gone = true;
-    for (std::size_t r = 0; r < relays_.size(); ++r) {
-      Relay& relay = relays_[r];
+    for (std::size_t relay_index = 0; relay_index < relays_.size(); ++relay_index) {
+      Relay& relay = relays_[relay_index];
       int status = 0;
       rusage used{};
-      if (relay.pid > 0 && wait4(relay.pid, &status, WNOHANG, &used) == relay.pid) Gone(r, status, used);
-      if (relay.pid > 0 && relay.expected && relay.kill_at > 0us && now >= relay.kill_at) {
+      if (relay.pid > 0 && wait4(relay.pid, &status, WNOHANG, &used) == relay.pid)
+        OnRelayExit(relay_index, status, used);
+      if (relay.pid > 0 && relay.exit_expected && relay.kill_at > 0us && now >= relay.kill_at) {
         kill(relay.pid, SIGKILL);
         relay.kill_at = Time(0);
       }
-      if (relay.pid > 0 && !relay.answers && !relay.pinging) Ping(static_cast<int>(r));
-      if (relay.pid > 0 && relay.signals > 0) kill(relay.pid, relay.signals-- % 2 == 0 ? SIGHUP : SIGUSR1);
-      ClosePlaces(r, now);
-      all_ready = all_ready && relay.answers;
+      if (relay.pid > 0 && !relay.ready && !relay.pinging) Ping(static_cast<int>(relay_index));
+      if (relay.pid > 0 && relay.signals_left > 0)
+        kill(relay.pid, relay.signals_left-- % 2 == 0 ? SIGHUP : SIGUSR1);
+      CloseMovedServers(relay_index, now);
+      all_ready = all_ready && relay.ready;
       all_gone = all_gone && relay.pid <= 0;
     }
-    if (ended_) {
+    if (run_ended_) {
       if (all_gone) loop_.Stop();
       return;
     }
-    if (!begun() && all_ready) {
-      begun_ = now;
-      turn_.After(Time(0));
-    } else if (!begun() && now > ready_until_) {
-      Spoil("not all relays were ready within 20 s");
+    if (!started() && all_ready) {
+      started_at_ = now;
+      world_timer_.After(Time(0));
+    } else if (!started() && now > ready_deadline_) {
+      MarkInvalid("not all relays were ready within 20 s");
     }
   }
 
-  // Whoever has a watch there is told of nothing any more.
-  void ClosePlaces(std::size_t r, Time now) {
-    Relay& relay = relays_[r];
-    for (std::size_t i = 0; i < relay.places.size(); ++i) {
-      Place& place = relay.places[i];
-      if (place.server == nullptr || place.closes_at == 0us || now < place.closes_at) continue;
-      loop_.DestroyLater(std::move(place.server));
-      for (const std::uint64_t call : relay.answered) {
-        if (call / kCallsOfPlace == i) Tell(model::WatchEnded{static_cast<int>(r), call});
+  // Closes discovery servers at old addresses, kOldDiscoveryLifetime after the move, and reports their
+  // subscriptions as ended.
+  void CloseMovedServers(std::size_t relay_index, Time now) {
+    Relay& relay = relays_[relay_index];
+    for (std::size_t i = 0; i < relay.discovery_servers.size(); ++i) {
+      DiscoveryServer& discovery_server = relay.discovery_servers[i];
+      if (discovery_server.server == nullptr || discovery_server.closes_at == 0us ||
+          now < discovery_server.closes_at)
+        continue;
+      loop_.DestroyLater(std::move(discovery_server.server));
+      for (const std::uint64_t call : relay.open_watches) {
+        if (call / kCallsPerDiscoveryServer == i)
+          Notify(model::WatchEnded{static_cast<int>(relay_index), call});
       }
     }
   }
 
-  void Gone(std::size_t r, int status, const rusage& used) {
-    Relay& relay = relays_[r];
+  void OnRelayExit(std::size_t relay_index, int status, const rusage& used) {
+    Relay& relay = relays_[relay_index];
     relay.pid = 0;
-    relay.signals = 0;
-    relay.answers = false;
+    relay.signals_left = 0;
+    relay.ready = false;
     const auto micro = [](const timeval& t) { return Time(t.tv_sec * 1'000'000 + t.tv_usec); };
-    outcome_.cpu += micro(used.ru_utime) + micro(used.ru_stime);
+    outcome_.cpu_time += micro(used.ru_utime) + micro(used.ru_stime);
     outcome_.peak_kb = std::max(outcome_.peak_kb, static_cast<std::uint64_t>(used.ru_maxrss));
-    const bool clean = relay.expected && (WIFSIGNALED(status) || WEXITSTATUS(status) == 0);
+    const bool clean = relay.exit_expected && (WIFSIGNALED(status) || WEXITSTATUS(status) == 0);
     if (!clean && outcome_.crash.empty()) {
-      outcome_.crash = "n" + std::to_string(r + 1) +
+      outcome_.crash = "n" + std::to_string(relay_index + 1) +
                        (WIFSIGNALED(status) ? " ended by signal " + std::to_string(WTERMSIG(status))
                                             : " exited with " + std::to_string(WEXITSTATUS(status)));
     }
-    if (!begun()) return Spoil("a relay ended before the day began: " + outcome_.crash);
-    Tell(model::RelayDown{static_cast<int>(r)});
+    if (!started()) return MarkInvalid("a relay ended before the day began: " + outcome_.crash);
+    Notify(model::RelayDown{static_cast<int>(relay_index)});
   }
 
-  void Do(const model::KillRelay& order) {
-    Relay& relay = relays_[static_cast<std::size_t>(order.relay)];
+  void Apply(const model::KillRelay& effect) {
+    Relay& relay = relays_[static_cast<std::size_t>(effect.relay)];
     if (relay.pid <= 0) return;
-    relay.expected = true;
+    relay.exit_expected = true;
     kill(relay.pid, SIGKILL);
   }
-  void Do(const model::TerminateRelay& order) {
-    Relay& relay = relays_[static_cast<std::size_t>(order.relay)];
+  void Apply(const model::TerminateRelay& effect) {
+    Relay& relay = relays_[static_cast<std::size_t>(effect.relay)];
     if (relay.pid <= 0) return;
-    relay.expected = true;
+    relay.exit_expected = true;
     relay.kill_at = net::Loop::Now() + kKillAfter;
     kill(relay.pid, SIGTERM);
   }
-  // One at each look: several at once would hold all stand-ins up.
-  void Do(const model::StartRelay& order) { starts_.push_back(order.relay); }
-  void Do(const model::StopRelay& order) { Signal(order.relay, SIGSTOP); }
-  void Do(const model::ContinueRelay& order) { Signal(order.relay, SIGCONT); }
+  // Started one at each poll: starting several at once would delay all stand-ins.
+  void Apply(const model::StartRelay& effect) { pending_starts_.push_back(effect.relay); }
+  void Apply(const model::StopRelay& effect) { Signal(effect.relay, SIGSTOP); }
+  void Apply(const model::ContinueRelay& effect) { Signal(effect.relay, SIGCONT); }
   void Signal(int number, int signal) {
     const pid_t pid = relays_[static_cast<std::size_t>(number)].pid;
     if (pid > 0) kill(pid, signal);
   }
 
-  void Do(const model::MoveDiscovery& move) {
+  void Apply(const model::MoveDiscovery& move) {
     Relay& relay = relays_[static_cast<std::size_t>(move.relay)];
-    relay.places.back().closes_at = net::Loop::Now() + kOldPlaceFor;
-    AddPlace(static_cast<std::size_t>(move.relay));
+    relay.discovery_servers.back().closes_at = net::Loop::Now() + kOldDiscoveryLifetime;
+    AddDiscoveryServer(static_cast<std::size_t>(move.relay));
     if (relay.pid <= 0) return;
     WriteConfig(move.relay);
     kill(relay.pid, SIGHUP);
   }
-  void Do(const model::SignalRelay& order) {
-    relays_[static_cast<std::size_t>(order.relay)].signals = order.count;
+  void Apply(const model::SignalRelay& effect) {
+    relays_[static_cast<std::size_t>(effect.relay)].signals_left = effect.count;
   }
-  void Do(const model::IdleClients& order) {
-    Relay& relay = relays_[static_cast<std::size_t>(order.relay)];
+  void Apply(const model::IdleClients& effect) {
+    Relay& relay = relays_[static_cast<std::size_t>(effect.relay)];
     for (auto& line : relay.idle_clients) {
       line->Close();
       loop_.DestroyLater(std::move(line));
     }
     relay.idle_clients.clear();
-    for (int i = 0; i < order.count; ++i) {
+    for (int i = 0; i < effect.count; ++i) {
       relay.idle_clients.push_back(
           std::make_unique<standin::ClientLine>(loop_, idle_owner_, relay.address, Time(0)));
     }
@@ -357,104 +367,106 @@
 
   // ---- clients ----
 
-  // Whatever becomes of clients that say nothing is their relay's affair.
+  // Idle clients need no handling: the relay decides what happens to their connections.
   class IdleOwner final : public standin::ClientLine::Owner {
     void OnAnswer(standin::ClientLine&, const std::string&) override {}
     void OnBreak(standin::ClientLine&, const standin::ClientLine::Break&) override {}
   };
 
-  standin::ClientLine* NewLine(int relay) {
+  standin::ClientLine* OpenClient(int relay) {
     auto line = std::make_unique<standin::ClientLine>(
         loop_, *this, relays_[static_cast<std::size_t>(relay)].address, Time(0));
     if (!line->opened()) return nullptr;
     standin::ClientLine* const opened = line.get();
-    lines_[opened] = {std::move(line), relay, 0, false, {}};
+    clients_[opened] = {std::move(line), relay, 0, false, {}};
     return opened;
   }
 
-  void AskOn(standin::ClientLine* line, std::uint64_t hand, std::string request) {
-    if (line == nullptr) return Spoil("no socket for a client");
-    Seat& seat = lines_.at(line);
-    seat.hand = hand;
-    seat.request = request;
-    if (hand > 0) at_[hand] = line;
+  void SendRequest(standin::ClientLine* line, std::uint64_t hand, std::string request) {
+    if (line == nullptr) return MarkInvalid("no socket for a client");
+    ClientConnection& client = clients_.at(line);
+    client.hand = hand;
+    client.request = request;
+    if (hand > 0) waiting_clients_[hand] = line;
     line->Ask(std::move(request));
   }
 
-  void Do(const model::HandIn& in) {
-    relay_of_[in.id] = in.relay;
+  void Apply(const model::HandIn& in) {
+    relay_by_id_[in.id] = in.relay;
     const auto left = std::max<std::int64_t>(1, in.left / 1ms);
     const std::string values = "c=outbound,d=" + std::to_string(left) + ",k=" + in.key +
                                ",dest=" + std::to_string(in.destination) + (in.refused_before ? ",r=1" : "") +
                                (in.died_before ? ",again=1" : "");
     std::string request = standin::RespCommand({"MSG.PUT", "0000000000000000", in.id, values, body_});
-    for (auto& [line, seat] : lines_) {
-      if (seat.relay == in.relay && seat.line->free() && !seat.request.empty()) {
-        seat.again = false;
-        return AskOn(line, in.hand, std::move(request));
+    for (auto& [line, client] : clients_) {
+      if (client.relay == in.relay && client.line->free() && !client.request.empty()) {
+        client.resent = false;
+        return SendRequest(line, in.hand, std::move(request));
       }
     }
-    AskOn(NewLine(in.relay), in.hand, std::move(request));
+    SendRequest(OpenClient(in.relay), in.hand, std::move(request));
   }
-  void Do(const model::LeaveHand& leave) {
-    const auto it = at_.find(leave.hand);
-    if (it == at_.end()) return;
+  void Apply(const model::LeaveHand& leave) {
+    const auto it = waiting_clients_.find(leave.hand);
+    if (it == waiting_clients_.end()) return;
     standin::ClientLine* const line = it->second;
-    at_.erase(it);
-    Drop(*line);
+    waiting_clients_.erase(it);
+    CloseClient(*line);
   }
 
-  void Drop(standin::ClientLine& line) {
-    const auto it = lines_.find(&line);
-    if (it == lines_.end()) return;
+  void CloseClient(standin::ClientLine& line) {
+    const auto it = clients_.find(&line);
+    if (it == clients_.end()) return;
     line.Close();
     loop_.DestroyLater(std::move(it->second.line));
-    lines_.erase(it);
+    clients_.erase(it);
   }
 
   void OnAnswer(standin::ClientLine& line, const std::string& answer) override {
-    Seat& seat = lines_.at(&line);
-    const std::uint64_t hand = std::exchange(seat.hand, 0);
+    ClientConnection& client = clients_.at(&line);
+    const std::uint64_t hand = std::exchange(client.hand, 0);
     if (hand == 0) {
-      Relay& relay = relays_[static_cast<std::size_t>(seat.relay)];
+      Relay& relay = relays_[static_cast<std::size_t>(client.relay)];
       relay.pinging = false;
-      if (answer == "+PONG" && !std::exchange(relay.answers, true)) Tell(model::RelayUp{seat.relay});
+      if (answer == "+PONG" && !std::exchange(relay.ready, true)) Notify(model::RelayUp{client.relay});
       return;
     }
-    at_.erase(hand);
+    waiting_clients_.erase(hand);
     using What = model::Answered::What;
-    if (answer[0] == '+' || answer[0] == '$') return Tell(model::Answered{hand, What::kTaken, Time(0)});
+    if (answer[0] == '+' || answer[0] == '$') return Notify(model::Answered{hand, What::kTaken, Time(0)});
     if (answer.rfind("-BUSY", 0) == 0) {
       const Time wait(answer.size() > 6 ? std::atoll(answer.c_str() + 6) * 1000 : 0);
-      return Tell(model::Answered{hand, What::kTurnedAway, wait});
+      return Notify(model::Answered{hand, What::kTurnedAway, wait});
     }
-    // An error is final for its client; nothing of ours is malformed, so it is told.
+    // An error answer is final for the client. The commands here are well-formed, so it counts as a failure
+    // of the relay.
     if (outcome_.crash.empty()) outcome_.crash = "a relay answered " + answer;
-    Tell(model::Answered{hand, What::kTurnedAway, Time(0)});
-  }
-
-  void OnBreak(standin::ClientLine& line, const standin::ClientLine::Break& how) override {
-    const Seat& seat = lines_.at(&line);
-    const int relay = seat.relay;
-    const std::uint64_t hand = seat.hand;
-    const bool once_more = how.asking && hand > 0 && how.unread && !seat.again;
-    std::string request = seat.request;
-    at_.erase(hand);
-    Drop(line);
-    if (hand == 0 && how.asking) relays_[static_cast<std::size_t>(relay)].pinging = false;  // not up yet
-    if (ended_ || hand == 0 || !how.asking) return;
-    if (once_more) {
-      standin::ClientLine* const next = NewLine(relay);
-      if (next != nullptr) lines_.at(next).again = true;
-      return AskOn(next, hand, std::move(request));
+    Notify(model::Answered{hand, What::kTurnedAway, Time(0)});
+  }
+
+  void OnBreak(standin::ClientLine& line, const standin::ClientLine::Break& end) override {
+    const ClientConnection& client = clients_.at(&line);
+    const int relay = client.relay;
+    const std::uint64_t hand = client.hand;
+    const bool resend = end.asking && hand > 0 && end.unread && !client.resent;
+    std::string request = client.request;
+    waiting_clients_.erase(hand);
+    CloseClient(line);
+    if (hand == 0 && end.asking)
+      relays_[static_cast<std::size_t>(relay)].pinging = false;  // the relay does not listen yet
+    if (run_ended_ || hand == 0 || !end.asking) return;
+    if (resend) {
+      standin::ClientLine* const next = OpenClient(relay);
+      if (next != nullptr) clients_.at(next).resent = true;
+      return SendRequest(next, hand, std::move(request));
     }
-    Tell(model::Answered{hand, model::Answered::What::kBroken, Time(0)});
+    Notify(model::Answered{hand, model::Answered::What::kBroken, Time(0)});
   }
 
   // ---- endpoints ----
 
-  void HostStands(const std::string& address) {
-    HostAt& host = hosts_[address];
+  void StartHost(const std::string& address) {
+    HostServer& host = hosts_[address];
     const auto port = ports_.find(address);
     host.calls.clear();
     host.server = std::make_unique<standin::HttpServer>(
@@ -462,66 +474,66 @@
         [this, address](std::uint64_t connection, const standin::Request& request) {
           OnCall(address, connection, request);
         },
-        [this, address](std::uint64_t connection) { OnLineGone(address, connection); });
+        [this, address](std::uint64_t connection) { OnConnectionClosed(address, connection); });
     ports_[address] = host.server->port();
   }
-  void Do(const model::HostUp& up) { HostStands(up.address); }
-  void Do(const model::HostDown& down) {
-    HostAt& host = hosts_[down.address];
+  void Apply(const model::HostUp& up) { StartHost(up.address); }
+  void Apply(const model::HostDown& down) {
+    HostServer& host = hosts_[down.address];
     for (const auto& [connection, call] : host.calls) calls_.erase(call);
     host.calls.clear();
     loop_.DestroyLater(std::move(host.server));
   }
 
   void OnCall(const std::string& address, std::uint64_t connection, const standin::Request& request) {
-    HostAt& host = hosts_.at(address);
+    HostServer& host = hosts_.at(address);
     if (request.method != "POST" || request.target != "/inbox") {
       if (outcome_.crash.empty()) outcome_.crash = "a relay called " + request.method + " " + request.target;
       host.server->Write(connection, standin::Answer("400 Bad Request"));
       return;
     }
-    const auto [seat, fresh] = host.calls.emplace(connection, 0);
+    const auto [slot, fresh] = host.calls.emplace(connection, 0);
     const bool crowded = fresh && !world_.Connect(address);
     const std::uint64_t call = ++calls_made_;
-    seat->second = call;
+    slot->second = call;
     calls_[call] = {address, connection};
     const std::string id = request.Header("x-request-id");
-    EndBefore(id);
-    call_of_[id] = call;
-    const auto relay = relay_of_.find(id);
-    Tell(model::Called{call, relay == relay_of_.end() ? -1 : relay->second, address, id,
-                       request.Header("idempotency-key"), fresh, crowded});
-    if (crowded) host.calls.erase(connection);  // no seat is given back for it
-  }
-
-  // A call that its relay ended before this one may be told later: another socket, the same round of the
-  // loop.
-  void EndBefore(const std::string& id) {
-    const auto before = call_of_.find(id);
-    const auto it = before == call_of_.end() ? calls_.end() : calls_.find(before->second);
+    EndEarlierCall(id);
+    last_call_by_id_[id] = call;
+    const auto relay = relay_by_id_.find(id);
+    Notify(model::Called{call, relay == relay_by_id_.end() ? -1 : relay->second, address, id,
+                         request.Header("idempotency-key"), fresh, crowded});
+    if (crowded) host.calls.erase(connection);  // so that no Disconnect follows for it
+  }
+
+  // The relay may have ended an earlier call for this id whose closed connection has not been read yet, since
+  // it is another socket in the same iteration of the loop. Reports its end first.
+  void EndEarlierCall(const std::string& id) {
+    const auto previous = last_call_by_id_.find(id);
+    const auto it = previous == last_call_by_id_.end() ? calls_.end() : calls_.find(previous->second);
     if (it == calls_.end()) return;
     const auto [address, connection] = it->second;
-    const HostAt& host = hosts_.at(address);
-    if (host.server && host.server->Ended(connection)) OnLineGone(address, connection);
+    const HostServer& host = hosts_.at(address);
+    if (host.server && host.server->Ended(connection)) OnConnectionClosed(address, connection);
   }
 
-  void OnLineGone(const std::string& address, std::uint64_t connection) {
-    HostAt& host = hosts_.at(address);
+  void OnConnectionClosed(const std::string& address, std::uint64_t connection) {
+    HostServer& host = hosts_.at(address);
     const auto it = host.calls.find(connection);
     if (it == host.calls.end()) return;
     const std::uint64_t call = it->second;
     host.calls.erase(it);
     world_.Disconnect(address);
-    if (calls_.erase(call) > 0) Tell(model::Dropped{call});
+    if (calls_.erase(call) > 0) Notify(model::Dropped{call});
   }
 
-  void Do(const model::AnswerCall& answer) {
+  void Apply(const model::AnswerCall& answer) {
     const auto it = calls_.find(answer.call);
     if (it == calls_.end()) return;
     const auto [address, connection] = it->second;
     calls_.erase(it);
-    HostAt& host = hosts_.at(address);
-    if (const auto seat = host.calls.find(connection); seat != host.calls.end()) seat->second = 0;
+    HostServer& host = hosts_.at(address);
+    if (const auto slot = host.calls.find(connection); slot != host.calls.end()) slot->second = 0;
     std::string headers;
     if (answer.wait > 0us) {
       char text[60];
@@ -532,96 +544,99 @@
     const std::string status = std::to_string(answer.status) + " -";
     if (host.server) host.server->Write(connection, standin::Answer(status.c_str(), {}, headers));
   }
-  void Do(const model::BreakCall& broken) {
+  void Apply(const model::BreakCall& broken) {
     const auto it = calls_.find(broken.call);
     if (it == calls_.end()) return;
     const auto [address, connection] = it->second;
     calls_.erase(it);
-    HostAt& host = hosts_.at(address);
+    HostServer& host = hosts_.at(address);
     host.calls.erase(connection);
     if (host.server) host.server->Close(connection);
   }
 
   // ---- discovery and the platform ----
 
-  void OnDiscovery(std::size_t r, std::uint64_t connection, const standin::Request& request) {
-    const int number = static_cast<int>(r);
+  void OnDiscovery(std::size_t relay_index, std::uint64_t connection, const standin::Request& request) {
+    const int number = static_cast<int>(relay_index);
     if (request.target == "/v1/outcomes") {
       std::istringstream lines(request.body);
       for (std::string line; std::getline(lines, line);) {
         const Json notice = Json::parse(line, nullptr, false);
         if (!notice.is_object()) continue;
-        Tell(model::Noticed{number, notice.value("id", ""), notice.value("status", "") == "deferred",
-                            Time(notice.value("again_ms", std::int64_t{0}) * 1000)});
+        Notify(model::Noticed{number, notice.value("id", ""), notice.value("status", "") == "deferred",
+                              Time(notice.value("again_ms", std::int64_t{0}) * 1000)});
       }
-      WriteTo(number, connection, standin::Answer("204 No Content"));
+      WriteToCall(number, connection, standin::Answer("204 No Content"));
     } else {
       ++list_calls_;
       const std::size_t from = request.target.find("from=");
       const bool known = request.target.find("watch=1") != std::string::npos && from != std::string::npos;
-      Tell(model::ListWanted{number, connection, known ? std::atoll(request.target.c_str() + from + 5) : 0});
+      Notify(
+          model::ListWanted{number, connection, known ? std::atoll(request.target.c_str() + from + 5) : 0});
     }
   }
 
-  void Do(const model::TellList& list) {
+  void Apply(const model::TellList& list) {
     Relay& relay = relays_[static_cast<std::size_t>(list.relay)];
-    if (relay.answered.insert(list.call).second) {
-      WriteTo(list.relay, list.call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    if (relay.open_watches.insert(list.call).second) {
+      WriteToCall(list.relay, list.call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
-    WriteTo(list.relay, list.call, ChunkOf(list));
+    WriteToCall(list.relay, list.call, ChunkOf(list));
   }
-  void Do(const model::BreakList& broken) {
+  void Apply(const model::BreakList& broken) {
     const model::TellList& list = broken.list;
-    const std::string whole = ChunkOf(list);
-    WriteTo(list.relay, list.call, whole.substr(0, whole.size() / 2));
+    const std::string chunk = ChunkOf(list);
+    WriteToCall(list.relay, list.call, chunk.substr(0, chunk.size() / 2));
     CloseCall(list.relay, list.call);
   }
   std::string ChunkOf(const model::TellList& list) const {
     return standin::Chunk(ListJson(list, scenario_, ports_).dump() + "\n");
   }
-  void Do(const model::RefuseList& refused) {
+  void Apply(const model::RefuseList& refused) {
     Relay& relay = relays_[static_cast<std::size_t>(refused.relay)];
-    const bool watch = relay.answered.count(refused.call) > 0;
-    if (!watch) WriteTo(refused.relay, refused.call, standin::Answer("503 Service Unavailable"));
+    const bool watch = relay.open_watches.count(refused.call) > 0;
+    if (!watch) WriteToCall(refused.relay, refused.call, standin::Answer("503 Service Unavailable"));
     CloseCall(refused.relay, refused.call);
   }
-  void Do(const model::BeatWatch& beat) { WriteTo(beat.relay, beat.call, standin::Chunk("\n")); }
+  void Apply(const model::BeatWatch& beat) { WriteToCall(beat.relay, beat.call, standin::Chunk("\n")); }
 
   void CountSecond() {
-    second_.After(1s);
-    if (begun() && !ended_) outcome_.list_calls.push_back(std::exchange(list_calls_, 0));
+    second_timer_.After(1s);
+    if (started() && !run_ended_) outcome_.list_calls_by_second.push_back(std::exchange(list_calls_, 0));
   }
 
   const model::Scenario& scenario_;
   const model::Day& day_;
-  const StageOptions& options_;
-  Witness witness_;
+  const SocketRunOptions& options_;
+  EventObserver observer_;
   model::World world_;
   std::string body_;
   net::Loop loop_;
-  net::Timer turn_, look_, second_;
-  std::uint64_t list_calls_ = 0;  // in this second
-  Time begun_{0}, ready_until_{0};
-  bool ended_ = false;
+  net::Timer world_timer_, poll_timer_, second_timer_;
+  std::uint64_t list_calls_ = 0;  // in the current second
+  Time started_at_{0}, ready_deadline_{0};
+  bool run_ended_ = false;
   Outcome outcome_;
   std::vector<model::Input> inputs_;
   IdleOwner idle_owner_;
   std::vector<Relay> relays_;
-  std::deque<int> starts_;            // relays to be started
-  std::map<std::string, int> ports_;  // by the model's address
-  std::map<std::string, HostAt> hosts_;
-  std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> calls_;  // address and connection
+  std::deque<int> pending_starts_;    // relays to start
+  std::map<std::string, int> ports_;  // by address in the model
+  std::map<std::string, HostServer> hosts_;
+  // Address of the host and connection of each open call.
+  std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> calls_;
   std::uint64_t calls_made_ = 0;
-  std::map<std::string, std::uint64_t> call_of_;  // the last one, by the message's id
-  std::map<std::string, int> relay_of_;           // an id was handed to
-  std::map<standin::ClientLine*, Seat> lines_;
-  std::map<std::uint64_t, standin::ClientLine*> at_;  // hands that wait for their answer
+  std::map<std::string, std::uint64_t> last_call_by_id_;  // by submission id
+  std::map<std::string, int> relay_by_id_;                // by submission id
+  std::map<standin::ClientLine*, ClientConnection> clients_;
+  std::map<std::uint64_t, standin::ClientLine*> waiting_clients_;  // by submission that waits for its answer
 };
 
 }  // namespace
 
-Outcome Play(const model::Scenario& scenario, const model::Day& day, const StageOptions& options) {
-  return Stage(scenario, day, options).Run();
+Outcome RunOnSockets(const model::Scenario& scenario, const model::Day& day,
+                     const SocketRunOptions& options) {
+  return SocketRun(scenario, day, options).Run();
 }
 
 }  // namespace oxbowspread::lab
--- a/src/lab/stage.hpp
+++ b/src/lab/stage.hpp
@@ -1,5 +1,6 @@
-// A day of the model on loopback sockets around real relay processes, in real time. The stand-ins share this
-// process and its one thread: how late they were is measured, and a run that they spoilt says so.
+// Runs a day of the model on loopback sockets around real relay processes, in real time. The stand-ins share
+// this process and its only thread. Their lateness is measured, and a run that was late because of them is
+// marked invalid.
 #pragma once
 
 #include <string>
@@ -9,16 +10,15 @@
 
 namespace oxbowspread::lab {
 
-struct StageOptions {
-  std::string relay;  // the program
-  std::string
-      folder;     // for states, configurations and logs; emptied if it is there, and removed at a clean end
-  OnTrace trace;  // told all events, after the checker; may be empty
-  model::Time most_late{25'000};  // in microseconds: a load that came later than this spoils the run
+struct SocketRunOptions {
+  std::string relay;   // path of the relay program
+  std::string folder;  // for state, configuration and logs; emptied if it exists, removed after a clean run
+  TraceSink trace;     // gets all events, after the checker; may be empty
+  model::Time max_lateness{25'000};  // in microseconds; if the load is later than this, the run is invalid
 };
 
-// Blocks until the day is over; all processes that it started have ended then. Throws std::runtime_error
-// where the folder, a port or the program can't be used.
-Outcome Play(const model::Scenario& scenario, const model::Day& day, const StageOptions& options);
+// Blocks until the run is over; by then all processes that it started have ended. Throws std::runtime_error
+// if the folder, a port or the relay program can't be used.
+Outcome RunOnSockets(const model::Scenario& scenario, const model::Day& day, const SocketRunOptions& options);
 
 }  // namespace oxbowspread::lab
