--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -43,7 +43,7 @@
 
 int Play(const Day& wanted, bool on_sockets) {
   const model::Scenario scenario = model::ReadScenario(wanted.file, wanted.sets);
-  const model::Day day = model::Draw(scenario, wanted.seed);
+  const model::Day day = model::DrawDay(scenario, wanted.seed);
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("oxbowlab-" + std::to_string(getpid()))).string();
   std::ofstream trace;
@@ -73,7 +73,7 @@
 // One day in this process; its report as JSON.
 int PlaySoak(std::uint64_t seed, const std::string& relay, const std::string& folder) {
   const model::Scenario scenario = model::DrawSoak(seed);
-  const model::Day day = model::Draw(scenario, seed);
+  const model::Day day = model::DrawDay(scenario, seed);
   const std::string at =
       folder.empty()
           ? (std::filesystem::temp_directory_path() / ("oxbowlab-" + std::to_string(getpid()))).string()
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -36,12 +36,14 @@
 struct Node::Hand final : relay::Client {
   Hand(Node& n, std::uint64_t h) : node(n), number(h) {}
   bool OnAccepted() override {
-    node.around_.Tell(model::Answered{number, model::Answered::What::kTaken, Time(0)});
+    node.around_.Tell(
+        model::SubmissionAnswered{number, model::SubmissionAnswered::Result::kAccepted, Time(0)});
     Over();
     return true;
   }
   void OnRejected(relay::Time come_again) override {
-    node.around_.Tell(model::Answered{number, model::Answered::What::kTurnedAway, come_again});
+    node.around_.Tell(
+        model::SubmissionAnswered{number, model::SubmissionAnswered::Result::kRejected, come_again});
     Over();
   }
   // The core is done with it, but may still be in the call.
@@ -55,7 +57,7 @@
 };
 
 Node::Node(const Options& options, const wheathub::Settings& settings, Around& around,
-           const model::TellList& known)
+           const model::SendList& known)
     : options_(options),
       around_(around),
       list_({.pushed_by_agent = !settings.must_request_list,
@@ -80,14 +82,16 @@
 Node::~Node() {
   *alive_ = false;
   for (const auto& [number, call] : calls_) {
-    around_.Tell(model::Dropped{number});
+    around_.Tell(model::CallDropped{number});
     around_.Disconnect(call.address);
   }
   for (const auto& [host, pool] : pools_) {
     for (std::size_t i = 0; i < pool.free_since.size(); ++i) around_.Disconnect(pool.address);
   }
   for (const auto& [number, hand] : hands_) {
-    if (!hand->answered) around_.Tell(model::Answered{number, model::Answered::What::kBroken, Time(0)});
+    if (!hand->answered)
+      around_.Tell(
+          model::SubmissionAnswered{number, model::SubmissionAnswered::Result::kConnectionLost, Time(0)});
   }
 }
 
@@ -131,17 +135,17 @@
 
 // ---- clients ----
 
-void Node::Take(const model::HandIn& in, const std::string& body) {
+void Node::Take(const model::SubmitMessage& in, const std::string& body) {
   last_hand_ = around_.Now();
   journal::Message a;
   a.id = in.id;
   a.key = in.key;
   a.class_name = "outbound";
   a.destination = in.destination;
-  a.deadline = UnixNow() + in.left - LainUnread();
-  a.resubmitted = in.refused_before || in.died_before;
+  a.deadline = UnixNow() + in.time_left - LainUnread();
+  a.resubmitted = in.refused_before || in.lost_before;
   a.body = body;
-  const auto [it, made] = hands_.emplace(in.hand, std::make_unique<Hand>(*this, in.hand));
+  const auto [it, made] = hands_.emplace(in.submission, std::make_unique<Hand>(*this, in.submission));
   relay_->Submit(std::move(a), *it->second);
 }
 
@@ -254,7 +258,7 @@
   const std::uint64_t call = around_.NextCall(options_.number);
   calls_[call] = {order.attempt, order.host, address};
   by_attempt_[order.attempt] = call;
-  around_.Tell(model::Called{call, options_.number, address, order.attempt.id, order.key, fresh});
+  around_.Tell(model::CallReceived{call, options_.number, address, order.attempt.id, order.key, fresh});
   Later(std::max(Time(0), order.timeout_at - now), [this, call] { Expire(call); });
 }
 
@@ -273,7 +277,7 @@
   CloseLine(calls_.at(number).address);
   calls_.erase(number);
   by_attempt_.erase(it);
-  around_.Tell(model::Dropped{number});
+  around_.Tell(model::CallDropped{number});
   return true;
 }
 
@@ -286,9 +290,9 @@
   // Read as the endpoint side reads it.
   proto::HttpResponseHead head;
   head.status = answer.status;
-  if (answer.wait > 0us) {
+  if (answer.retry_after > 0us) {
     char text[40];
-    std::snprintf(text, sizeof text, "%.6f", static_cast<double>(answer.wait.count()) / 1e6);
+    std::snprintf(text, sizeof text, "%.6f", static_cast<double>(answer.retry_after.count()) / 1e6);
     head.headers["retry-after"] = text;
   }
   const relay::AttemptResult end = endpoint::InterpretResponse(head);
@@ -311,7 +315,7 @@
 
 // ---- discovery and notices ----
 
-relay::RoutingChange Node::ChangeOf(const model::TellList& list, bool remembered) const {
+relay::RoutingChange Node::ChangeOf(const model::SendList& list, bool remembered) const {
   relay::RoutingChange change;
   change.scope = remembered  ? wheathub::ListScope::kRemembered
                  : list.full ? wheathub::ListScope::kAll
@@ -348,7 +352,7 @@
   }
 }
 
-void Node::Adopt(const model::TellList& list) {
+void Node::Adopt(const model::SendList& list) {
   if (list.version >= version_) {
     version_ = list.version;
     relay_->RoutingChanged(ChangeOf(list, false));
@@ -356,7 +360,7 @@
   ListHeard(list.call);
 }
 
-void Node::Beat(const model::BeatWatch& beat) { ListHeard(beat.call); }
+void Node::Beat(const model::SendHeartbeat& beat) { ListHeard(beat.call); }
 
 void Node::Refuse(const model::RefuseList& refused) {
   if (refused.call <= list_calls_before_) return;
@@ -411,7 +415,7 @@
     if (call.replaced_call) around_.Tell(model::WatchEnded{options_.number, CallOf(*call.replaced_call)});
     if (list_.subscription() != 0) TellLease(wheathub::ListLease::SubscriptionBroken{});
     list_calls_begun_[call.number] = Now();
-    around_.Tell(model::ListWanted{options_.number, CallOf(call.number), version_});
+    around_.Tell(model::ListRequested{options_.number, CallOf(call.number), version_});
   }
   const std::uint64_t alarm = ++list_alarm_;
   if (list_.alarm() == Time::max()) return;
@@ -422,7 +426,8 @@
 
 void Node::Post(const std::string& id, const journal::Ending& ending) {
   Later(Time(0), [this, id, ending] {
-    around_.Tell(model::Noticed{options_.number, id, ending.deferred, Time(ending.retry_after_ms * 1000)});
+    around_.Tell(
+        model::NoticeReceived{options_.number, id, ending.deferred, Time(ending.retry_after_ms * 1000)});
     relay_->NoticeAccepted(id);
   });
 }
--- a/src/lab/node.hpp
+++ b/src/lab/node.hpp
@@ -48,17 +48,17 @@
 
   // Recovers what its journal owes. Throws what the journal throws.
   Node(const Options& options, const wheathub::Settings& settings, Around& around,
-       const model::TellList& known);
+       const model::SendList& known);
   // As a SIGKILL does: what is out is dropped, who waits hears that the connection broke.
   ~Node();
 
-  void Take(const model::HandIn& in, const std::string& body);
+  void Take(const model::SubmitMessage& in, const std::string& body);
   void Leave(std::uint64_t hand);
   void Answer(const model::AnswerCall& answer);
   void Break(std::uint64_t call);
-  void Adopt(const model::TellList& list);
+  void Adopt(const model::SendList& list);
   void Refuse(const model::RefuseList& refused);
-  void Beat(const model::BeatWatch& beat);
+  void Beat(const model::SendHeartbeat& beat);
   void BreakList(std::uint64_t call);  // the watch breaks off in the middle of a message
   void MoveDiscovery();
   void Terminate();
@@ -107,7 +107,7 @@
   void Expire(std::uint64_t call);
   void Sweep();
   void LookAtEnd();
-  relay::RoutingChange ChangeOf(const model::TellList& list, bool remembered) const;
+  relay::RoutingChange ChangeOf(const model::SendList& list, bool remembered) const;
 
   Options options_;
   Around& around_;
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -12,30 +12,30 @@
 
 double Seconds(trace::Time t) { return static_cast<double>(t.count()) / 1e6; }
 
-const char* NameOf(const model::Turn& turn) {
-  using Kind = model::Turn::Kind;
+const char* NameOf(const model::ScheduledEvent& turn) {
+  using Kind = model::ScheduledEvent::Kind;
   switch (turn.kind) {
-    case Kind::kKill:
+    case Kind::kKillRelay:
       return "relay killed";
-    case Kind::kTerminate:
+    case Kind::kTerminateRelay:
       return "relay restarted";
-    case Kind::kStart:
+    case Kind::kStartRelay:
       return "relay started";
-    case Kind::kStop:
+    case Kind::kStopRelay:
       return "relay stopped";
-    case Kind::kContinue:
+    case Kind::kContinueRelay:
       return "relay goes on";
-    case Kind::kOutage:
+    case Kind::kStartOutage:
       return turn.value >= 1 ? "host shuts" : "host fails";
-    case Kind::kBack:
+    case Kind::kEndOutage:
       return "host back";
-    case Kind::kDrain:
+    case Kind::kDrainHost:
       return "host drains";
-    case Kind::kGone:
+    case Kind::kRemoveHost:
       return "host gone";
-    case Kind::kAdd:
+    case Kind::kAddHost:
       return "host added";
-    case Kind::kLag:
+    case Kind::kSetListLag:
       return turn.value > 0 ? "list behind" : "list back";
     case Kind::kDiscoveryDown:
       return "discovery down";
@@ -43,11 +43,11 @@
       return "discovery silent";
     case Kind::kDiscoverySlow:
       return "discovery slow";
-    case Kind::kDiscoveryCrowded:
+    case Kind::kDiscoveryOverloaded:
       return "discovery crowded";
-    case Kind::kDiscoveryBack:
+    case Kind::kDiscoveryRecovered:
       return "discovery back";
-    case Kind::kBreakList:
+    case Kind::kTruncateList:
       return "change breaks off";
     case Kind::kMoveDiscovery:
       return "discovery moved";
@@ -139,7 +139,7 @@
   all["worst_news_us"] = o.worst_news.count();
   all["list_calls"] = o.list_calls;
   all["turns"] = Json::array();
-  for (const model::Turn& turn : day.turns) {
+  for (const model::ScheduledEvent& turn : day.scheduled_events) {
     all["turns"].push_back({{"at_s", Seconds(turn.at)}, {"what", NameOf(turn)}, {"index", turn.index}});
   }
   return all;
--- a/src/lab/simulation.cpp
+++ b/src/lab/simulation.cpp
@@ -21,7 +21,7 @@
         options_(options),
         witness_(RulesOf(scenario), TermsOf(scenario, day), options.trace),
         world_(scenario, day, [this](const trace::Event& event) { witness_.See(event); }),
-        body_(static_cast<std::size_t>(scenario.traffic.body), 'b'),
+        body_(static_cast<std::size_t>(scenario.traffic.body_bytes), 'b'),
         lives_(static_cast<std::size_t>(day.relays)) {
     std::filesystem::remove_all(options_.folder);
     std::filesystem::create_directories(options_.folder);
@@ -86,35 +86,36 @@
     return Of(static_cast<int>(call % static_cast<std::uint64_t>(day_.relays)));
   }
 
-  void Do(const model::HandIn& in) {
+  void Do(const model::SubmitMessage& in) {
     if (Node* node = Of(in.relay)) {
       node->Meet([this, node, in] {
         node->Take(in, body_);
         most_held_ = std::max<std::uint64_t>(most_held_, node->held());
       });
     } else {
-      Tell(model::Answered{in.hand, model::Answered::What::kBroken, Time(0)});
+      Tell(model::SubmissionAnswered{in.submission, model::SubmissionAnswered::Result::kConnectionLost,
+                                     Time(0)});
     }
   }
-  void Do(const model::LeaveHand& leave) {
-    if (Node* node = Of(leave.relay)) node->Meet([node, hand = leave.hand] { node->Leave(hand); });
+  void Do(const model::AbandonSubmission& leave) {
+    if (Node* node = Of(leave.relay)) node->Meet([node, hand = leave.submission] { node->Leave(hand); });
   }
   void Do(const model::AnswerCall& answer) {
     if (Node* node = OfCall(answer.call)) node->Meet([node, answer] { node->Answer(answer); });
   }
-  void Do(const model::BreakCall& broken) {
+  void Do(const model::CloseCallConnection& broken) {
     if (Node* node = OfCall(broken.call)) node->Meet([node, call = broken.call] { node->Break(call); });
   }
-  void Do(const model::TellList& list) {
+  void Do(const model::SendList& list) {
     if (Node* node = Of(list.relay)) node->Meet([node, list] { node->Adopt(list); });
   }
   void Do(const model::RefuseList& refused) {
     if (Node* node = Of(refused.relay)) node->Meet([node, refused] { node->Refuse(refused); });
   }
-  void Do(const model::BeatWatch& beat) {
+  void Do(const model::SendHeartbeat& beat) {
     if (Node* node = Of(beat.relay)) node->Meet([node, beat] { node->Beat(beat); });
   }
-  void Do(const model::BreakList& broken) {
+  void Do(const model::TruncateList& broken) {
     if (Node* node = Of(broken.list.relay)) {
       node->Meet([node, call = broken.list.call] { node->BreakList(call); });
     }
@@ -124,7 +125,7 @@
   }
   // Signals that end nothing and clients that say nothing are for sockets.
   void Do(const model::SignalRelay&) {}
-  void Do(const model::IdleClients&) {}
+  void Do(const model::SetIdleClients&) {}
   // Lines ask the world itself.
   void Do(const model::HostUp&) {}
   void Do(const model::HostDown&) {}
@@ -150,7 +151,7 @@
     options.most_lines = static_cast<std::size_t>(scenario_.relay.sockets) / 2;
     options.list_calls_before = static_cast<std::uint64_t>(lives_[r]) * kListCallsOfALife;
     options.seed = SeedOf(day_, relay, lives_[r]++);
-    nodes_[r] = std::make_unique<Node>(options, settings_[r], *this, world_.Known(relay));
+    nodes_[r] = std::make_unique<Node>(options, settings_[r], *this, world_.KnownList(relay));
     Tell(model::RelayUp{relay});
   }
 
@@ -181,7 +182,7 @@
   const model::Day& day_;
   const SimulationOptions& options_;
   Witness witness_;
-  model::World world_;
+  model::PlatformModel world_;
   std::string body_;
   std::vector<wheathub::Settings> settings_;
   std::vector<std::unique_ptr<Node>> nodes_;
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -42,7 +42,7 @@
         options_(options),
         witness_(RulesOf(scenario), TermsOf(scenario, day), options.trace),
         world_(scenario, day, [this](const trace::Event& event) { witness_.See(event); }),
-        body_(static_cast<std::size_t>(scenario.traffic.body), 'b'),
+        body_(static_cast<std::size_t>(scenario.traffic.body_bytes), 'b'),
         turn_(loop_, [this] { Turn(); }),
         look_(loop_, [this] { Look(); }),
         second_(loop_, [this] { CountSecond(); }) {
@@ -156,14 +156,14 @@
 
   // ---- relays ----
 
-  static Json ListJson(const model::TellList& list, const model::Scenario& scenario,
+  static Json ListJson(const model::SendList& list, const model::Scenario& scenario,
                        const std::map<std::string, int>& ports) {
     Json servers = Json::array();
     for (const model::ListEntry& e : list.entries) {
       const auto port = ports.find(e.address);
       servers.push_back({{"id", e.id},
                          {"addr", "127.0.0.1:" + std::to_string(port == ports.end() ? 1 : port->second)},
-                         {"zone", scenario.rooms[static_cast<std::size_t>(e.zone)]},
+                         {"zone", scenario.zone_names[static_cast<std::size_t>(e.zone)]},
                          {"kind", e.kind == 0 ? "large" : "small"},
                          {"cell", e.destination},
                          {"state", e.state == model::ListEntry::State::kReady         ? "Ready"
@@ -224,7 +224,7 @@
                      {{"memory_mb", scenario_.relay.memory_mb},
                       {"sockets", scenario_.relay.sockets},
                       {"disk_mb", scenario_.relay.disk_mb}}},
-                    {"known", ListJson(world_.Known(number), scenario_, ports_)},
+                    {"known", ListJson(world_.KnownList(number), scenario_, ports_)},
                     {"settings", Json::parse(SettingsOf(scenario_, day_, number))}};
     WriteConfig(number);
     supervise::Program program;
@@ -342,7 +342,7 @@
   void Do(const model::SignalRelay& order) {
     relays_[static_cast<std::size_t>(order.relay)].signals = order.count;
   }
-  void Do(const model::IdleClients& order) {
+  void Do(const model::SetIdleClients& order) {
     Relay& relay = relays_[static_cast<std::size_t>(order.relay)];
     for (auto& line : relay.idle_clients) {
       line->Close();
@@ -381,23 +381,23 @@
     line->Ask(std::move(request));
   }
 
-  void Do(const model::HandIn& in) {
+  void Do(const model::SubmitMessage& in) {
     relay_of_[in.id] = in.relay;
-    const auto left = std::max<std::int64_t>(1, in.left / 1ms);
+    const auto left = std::max<std::int64_t>(1, in.time_left / 1ms);
     const std::string values = "c=outbound,d=" + std::to_string(left) + ",k=" + in.key +
                                ",dest=" + std::to_string(in.destination) + (in.refused_before ? ",r=1" : "") +
-                               (in.died_before ? ",again=1" : "");
+                               (in.lost_before ? ",again=1" : "");
     std::string request = standin::RespCommand({"MSG.PUT", "0000000000000000", in.id, values, body_});
     for (auto& [line, seat] : lines_) {
       if (seat.relay == in.relay && seat.line->free() && !seat.request.empty()) {
         seat.again = false;
-        return AskOn(line, in.hand, std::move(request));
+        return AskOn(line, in.submission, std::move(request));
       }
     }
-    AskOn(NewLine(in.relay), in.hand, std::move(request));
+    AskOn(NewLine(in.relay), in.submission, std::move(request));
   }
-  void Do(const model::LeaveHand& leave) {
-    const auto it = at_.find(leave.hand);
+  void Do(const model::AbandonSubmission& leave) {
+    const auto it = at_.find(leave.submission);
     if (it == at_.end()) return;
     standin::ClientLine* const line = it->second;
     at_.erase(it);
@@ -422,15 +422,16 @@
       return;
     }
     at_.erase(hand);
-    using What = model::Answered::What;
-    if (answer[0] == '+' || answer[0] == '$') return Tell(model::Answered{hand, What::kTaken, Time(0)});
+    using Result = model::SubmissionAnswered::Result;
+    if (answer[0] == '+' || answer[0] == '$')
+      return Tell(model::SubmissionAnswered{hand, Result::kAccepted, Time(0)});
     if (answer.rfind("-BUSY", 0) == 0) {
       const Time wait(answer.size() > 6 ? std::atoll(answer.c_str() + 6) * 1000 : 0);
-      return Tell(model::Answered{hand, What::kTurnedAway, wait});
+      return Tell(model::SubmissionAnswered{hand, Result::kRejected, wait});
     }
     // An error is final for its client; nothing of ours is malformed, so it is told.
     if (outcome_.crash.empty()) outcome_.crash = "a relay answered " + answer;
-    Tell(model::Answered{hand, What::kTurnedAway, Time(0)});
+    Tell(model::SubmissionAnswered{hand, Result::kRejected, Time(0)});
   }
 
   void OnBreak(standin::ClientLine& line, const standin::ClientLine::Break& how) override {
@@ -448,7 +449,7 @@
       if (next != nullptr) lines_.at(next).again = true;
       return AskOn(next, hand, std::move(request));
     }
-    Tell(model::Answered{hand, model::Answered::What::kBroken, Time(0)});
+    Tell(model::SubmissionAnswered{hand, model::SubmissionAnswered::Result::kConnectionLost, Time(0)});
   }
 
   // ---- endpoints ----
@@ -489,8 +490,8 @@
     EndBefore(id);
     call_of_[id] = call;
     const auto relay = relay_of_.find(id);
-    Tell(model::Called{call, relay == relay_of_.end() ? -1 : relay->second, address, id,
-                       request.Header("idempotency-key"), fresh, crowded});
+    Tell(model::CallReceived{call, relay == relay_of_.end() ? -1 : relay->second, address, id,
+                             request.Header("idempotency-key"), fresh, crowded});
     if (crowded) host.calls.erase(connection);  // no seat is given back for it
   }
 
@@ -512,7 +513,7 @@
     const std::uint64_t call = it->second;
     host.calls.erase(it);
     world_.Disconnect(address);
-    if (calls_.erase(call) > 0) Tell(model::Dropped{call});
+    if (calls_.erase(call) > 0) Tell(model::CallDropped{call});
   }
 
   void Do(const model::AnswerCall& answer) {
@@ -523,16 +524,16 @@
     HostAt& host = hosts_.at(address);
     if (const auto seat = host.calls.find(connection); seat != host.calls.end()) seat->second = 0;
     std::string headers;
-    if (answer.wait > 0us) {
+    if (answer.retry_after > 0us) {
       char text[60];
       std::snprintf(text, sizeof text, "Retry-After: %.6f\r\n",
-                    static_cast<double>(answer.wait.count()) / 1e6);
+                    static_cast<double>(answer.retry_after.count()) / 1e6);
       headers = text;
     }
     const std::string status = std::to_string(answer.status) + " -";
     if (host.server) host.server->Write(connection, standin::Answer(status.c_str(), {}, headers));
   }
-  void Do(const model::BreakCall& broken) {
+  void Do(const model::CloseCallConnection& broken) {
     const auto it = calls_.find(broken.call);
     if (it == calls_.end()) return;
     const auto [address, connection] = it->second;
@@ -551,32 +552,33 @@
       for (std::string line; std::getline(lines, line);) {
         const Json notice = Json::parse(line, nullptr, false);
         if (!notice.is_object()) continue;
-        Tell(model::Noticed{number, notice.value("id", ""), notice.value("status", "") == "deferred",
-                            Time(notice.value("again_ms", std::int64_t{0}) * 1000)});
+        Tell(model::NoticeReceived{number, notice.value("id", ""), notice.value("status", "") == "deferred",
+                                   Time(notice.value("again_ms", std::int64_t{0}) * 1000)});
       }
       WriteTo(number, connection, standin::Answer("204 No Content"));
     } else {
       ++list_calls_;
       const std::size_t from = request.target.find("from=");
       const bool known = request.target.find("watch=1") != std::string::npos && from != std::string::npos;
-      Tell(model::ListWanted{number, connection, known ? std::atoll(request.target.c_str() + from + 5) : 0});
+      Tell(model::ListRequested{number, connection,
+                                known ? std::atoll(request.target.c_str() + from + 5) : 0});
     }
   }
 
-  void Do(const model::TellList& list) {
+  void Do(const model::SendList& list) {
     Relay& relay = relays_[static_cast<std::size_t>(list.relay)];
     if (relay.answered.insert(list.call).second) {
       WriteTo(list.relay, list.call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
     WriteTo(list.relay, list.call, ChunkOf(list));
   }
-  void Do(const model::BreakList& broken) {
-    const model::TellList& list = broken.list;
+  void Do(const model::TruncateList& broken) {
+    const model::SendList& list = broken.list;
     const std::string whole = ChunkOf(list);
     WriteTo(list.relay, list.call, whole.substr(0, whole.size() / 2));
     CloseCall(list.relay, list.call);
   }
-  std::string ChunkOf(const model::TellList& list) const {
+  std::string ChunkOf(const model::SendList& list) const {
     return standin::Chunk(ListJson(list, scenario_, ports_).dump() + "\n");
   }
   void Do(const model::RefuseList& refused) {
@@ -585,7 +587,7 @@
     if (!watch) WriteTo(refused.relay, refused.call, standin::Answer("503 Service Unavailable"));
     CloseCall(refused.relay, refused.call);
   }
-  void Do(const model::BeatWatch& beat) { WriteTo(beat.relay, beat.call, standin::Chunk("\n")); }
+  void Do(const model::SendHeartbeat& beat) { WriteTo(beat.relay, beat.call, standin::Chunk("\n")); }
 
   void CountSecond() {
     second_.After(1s);
@@ -596,7 +598,7 @@
   const model::Day& day_;
   const StageOptions& options_;
   Witness witness_;
-  model::World world_;
+  model::PlatformModel world_;
   std::string body_;
   net::Loop loop_;
   net::Timer turn_, look_, second_;
--- a/src/model/day.hpp
+++ b/src/model/day.hpp
@@ -1,5 +1,5 @@
-// One day: all that chance decides ahead, drawn from a scenario and a seed. What is drawn for one part never
-// moves what is drawn for another. No I/O.
+// A simulated day: everything that is decided at random in advance, drawn from a scenario and a seed. Each
+// part has a random stream of its own, so that drawing more for one part doesn't change another. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,84 +10,86 @@
 
 namespace oxbowspread::model {
 
-// An endpoint: a route of its own to one partner. Rates a second, spans in seconds.
+// An endpoint that serves one partner. Rates are per second.
 struct Host {
-  std::string id, address;              // address:port, never listened on in simulation
+  std::string id, address;              // address:port; nothing listens there on a virtual clock
   int partner = 0, zone = 0, kind = 0;  // kind 0: large, 1: small
-  double limit = 0;                     // calls from all relays together
-  double weight = 0;                    // what the list says of it: the limit, up to half too high or too low
-  int servers = 1;                      // calls served at once
-  double work = 0, work_spread = 0;
-  double queue = 0;  // calls that may wait
-  double errors = 0;
-  double tells = 0;  // chance that a refusal tells how long to wait
-  double wait = 0;   // told at least
-  double cold_from = 1, cold = 0;
-  bool counts_refused = false;  // a refused call uses up the limit as a served one does
-  double window = 0,
-         phase = 0;        // its limit is a count in fixed spans of so long, which begin at phase; 0: a rate
-  bool from_start = true;  // else added by a turn
+  double limit = 0;                     // calls per second, from all relays together
+  double weight = 0;  // limit as the routing table announces it: up to 50% too high or too low
+  int servers = 1;    // calls served concurrently
+  double service_time_s = 0, service_time_cv = 0;  // mean, and coefficient of variation
+  double max_queued_calls = 0;                     // calls that may wait for a server
+  double error_rate = 0;                           // share of the calls that fail
+  double retry_after_chance = 0;                   // chance that a refusal carries a Retry-After
+  double min_retry_after_s = 0;
+  double warm_up_start_share = 1, warm_up_s = 0;  // share of the capacity after an outage; time until full
+  bool refused_calls_use_limit = false;           // a refused call uses up the limit as a served one does
+  // Above 0: the limit is a count in fixed windows of this length, which begin at the offset. 0: the limit is
+  // a rate.
+  double limit_window_s = 0, limit_window_offset_s = 0;
+  bool present_at_start = true;  // false: a kAddHost event adds it
 
-  double capacity() const { return servers / work; }
+  double capacity() const { return servers / service_time_s; }  // calls per second
 };
 
+// A message that a client hands in.
 struct Arrival {
   Time due{0};
   int partner = 0;
-  int relay = -1;  // its client stands beside that one; -1: the front deals it out
+  int local_relay = -1;  // the relay that the client is fixed to; -1: the load balancer chooses one
 };
 
-// Something that happens whatever the relays do.
-struct Turn {
+// Something that happens at a fixed time, whatever the relays do.
+struct ScheduledEvent {
   enum class Kind {
-    kKill,
-    kTerminate,
-    kStart,
-    kStop,
-    kContinue,
-    kOutage,
-    kBack,
-    kDrain,
-    kGone,
-    kAdd,
-    kLag,
+    kKillRelay,
+    kTerminateRelay,
+    kStartRelay,
+    kStopRelay,
+    kContinueRelay,
+    kStartOutage,
+    kEndOutage,
+    kDrainHost,
+    kRemoveHost,
+    kAddHost,
+    kSetListLag,
     kDiscoveryDown,
     kDiscoverySilent,
     kDiscoverySlow,
-    kDiscoveryCrowded,
-    kDiscoveryBack,
-    kBreakList,
+    kDiscoveryOverloaded,
+    kDiscoveryRecovered,
+    kTruncateList,
     kMoveDiscovery,
     kSignals,
     kIdleClients
   };
   Time at{0};
-  Kind kind = Kind::kLag;
+  Kind kind = Kind::kSetListLag;
   int index = -1;  // of the relay or the host
-  // kTerminate: seconds down after its end. kOutage: chance that a call fails, 1 and above: shut. kLag:
-  // seconds by which the list is later from now on. kDiscoverySlow: seconds that a call takes.
-  // kDiscoveryDown: seconds until a call is refused. kDiscoveryCrowded: chance that one is. kSignals and
-  // kIdleClients: how many.
+  // kTerminateRelay: seconds between the exit and the restart. kStartOutage: chance that a call fails; 1 and
+  // above: the host refuses every call. kSetListLag: seconds added to the list's lag from now on.
+  // kDiscoverySlow: seconds per call. kDiscoveryDown: seconds until a call is refused. kDiscoveryOverloaded:
+  // chance that a call is refused. kSignals and kIdleClients: their number.
   double value = 0;
-  Time until{0};  // kOutage: when it ends
+  Time until{0};  // kStartOutage: when it ends
 };
 
 struct Day {
   std::uint64_t seed = 0;
   Time length{0};
   int relays = 0;
-  double load = 0;
-  double full_rate = 0;       // messages a second at full load
-  std::vector<double> share;  // of the traffic, by partner
+  double load = 0;                     // share of full load
+  double full_load_rate = 0;           // messages per second at full load
+  std::vector<double> traffic_shares;  // by partner
   std::vector<Host> hosts;
-  std::vector<Arrival> arrivals;  // by time
-  std::vector<Turn> turns;        // by time
-  int slots = 0, max_open = 0;    // of each relay
-  Time list_lag{0};
-  double honour = 0;
+  std::vector<Arrival> arrivals;                 // by time
+  std::vector<ScheduledEvent> scheduled_events;  // by time
+  int slots = 0, max_open = 0;                   // of each relay
+  Time list_lag{0};                              // from a change of a host until the list shows it
+  double retry_after_compliance = 0;             // chance that a client follows a Retry-After
 };
 
-// The same scenario and seed give the same day. Never fails on a scenario that ReadScenario gave.
-Day Draw(const Scenario& scenario, std::uint64_t seed);
+// The same scenario and seed give the same day. Does not fail on a scenario that ReadScenario returned.
+Day DrawDay(const Scenario& scenario, std::uint64_t seed);
 
 }  // namespace oxbowspread::model
--- a/src/model/dice.cpp
+++ b/src/model/dice.cpp
@@ -7,18 +7,18 @@
 
 namespace oxbowspread::model {
 
-Dice::Dice(std::uint64_t seed, std::string_view name)
+RandomStream::RandomStream(std::uint64_t seed, std::string_view name)
     : engine_(XXH3_64bits_withSeed(name.data(), name.size(), seed), XXH64(name.data(), name.size(), 1)) {}
 
-double Dice::Share() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
-double Dice::Between(double low, double high) { return low + (high - low) * Share(); }
-std::uint64_t Dice::Below(std::uint64_t bound) { return engine_(bound); }
-double Dice::Exponential(double mean) { return -mean * std::log1p(-Share()); }
+double RandomStream::Uniform() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
+double RandomStream::UniformBetween(double low, double high) { return low + (high - low) * Uniform(); }
+std::uint64_t RandomStream::UniformBelow(std::uint64_t bound) { return engine_(bound); }
+double RandomStream::Exponential(double mean) { return -mean * std::log1p(-Uniform()); }
 
-double Dice::LogNormal(double mean, double cv) {
+double RandomStream::LogNormal(double mean, double cv) {
   if (cv <= 0) return mean;
   const double variance = std::log1p(cv * cv);
-  const double normal = std::sqrt(-2 * std::log1p(-Share())) * std::cos(2 * std::numbers::pi * Share());
+  const double normal = std::sqrt(-2 * std::log1p(-Uniform())) * std::cos(2 * std::numbers::pi * Uniform());
   return mean * std::exp(std::sqrt(variance) * normal - variance / 2);
 }
 
--- a/src/model/dice.hpp
+++ b/src/model/dice.hpp
@@ -1,6 +1,7 @@
 // Random numbers in named streams: the same seed and name give the same numbers whatever else is drawn, so
-// that two variants of a relay meet the same day. By PCG (pcg-cpp), named by xxHash; the distributions are
-// written out, since the standard library's differ from one to another.
+// that two variants of a relay are compared on the same day. The generator is PCG (pcg-cpp), seeded with an
+// xxHash of the name. The distributions are implemented here, since those of the standard library differ
+// between implementations.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +14,17 @@
   double low = 0, high = 0;
 };
 
-class Dice {
+class RandomStream {
  public:
-  Dice(std::uint64_t seed, std::string_view name);
+  RandomStream(std::uint64_t seed, std::string_view name);
 
-  double Share();  // from 0 to below 1
-  double Between(double low, double high);
-  double In(const Range& range) { return Between(range.low, range.high); }
-  std::uint64_t Below(std::uint64_t bound);  // 0 to bound - 1; bound above 0
-  bool Happens(double chance) { return Share() < chance; }
+  double Uniform();  // in [0, 1)
+  double UniformBetween(double low, double high);
+  double UniformIn(const Range& range) { return UniformBetween(range.low, range.high); }
+  std::uint64_t UniformBelow(std::uint64_t bound);  // in [0, bound); `bound` must be above 0
+  bool Bernoulli(double chance) { return Uniform() < chance; }
   double Exponential(double mean);
-  double LogNormal(double mean, double cv);  // cv: standard deviation over mean
+  double LogNormal(double mean, double cv);  // cv: coefficient of variation, standard deviation over mean
 
  private:
   pcg64 engine_;
--- a/src/model/route.cpp
+++ b/src/model/route.cpp
@@ -8,112 +8,120 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kBurst = 0.5;  // seconds of its limit that a host takes at once
-constexpr Time kRefuses = 2ms, kFails = 30ms;
+constexpr double kBurstS = 0.5;  // the token bucket holds this many seconds of the limit
+constexpr Time kRefusalDelay = 2ms, kFailureDelay = 30ms;
 
-Time Seconds(double s) { return Time(static_cast<Time::rep>(std::llround(s * 1e6))); }
-double InSeconds(Time t) { return static_cast<double>(t.count()) / 1e6; }
+Time Seconds(double seconds) { return Time(static_cast<Time::rep>(std::llround(seconds * 1e6))); }
+double InSeconds(Time time) { return static_cast<double>(time.count()) / 1e6; }
 
 }  // namespace
 
-Route::Route(const Host& host, double fall_multiple, double fall)
-    : host_(host), fall_multiple_(fall_multiple), fall_(Seconds(fall)) {
-  most_tokens_ = tokens_ = std::max(2.0, host_.limit * (host_.window > 0 ? host_.window : kBurst));
-  tokens_at_ = host_.window > 0 ? Seconds(host_.phase - host_.window) : Time(0);
-  for (int i = 0; i < host_.servers; ++i) servers_.push(Time(0));
+SimulatedHost::SimulatedHost(const Host& host, double collapse_load_factor, double collapse_after_s)
+    : host_(host), collapse_load_factor_(collapse_load_factor), collapse_after_(Seconds(collapse_after_s)) {
+  max_tokens_ = tokens_ =
+      std::max(2.0, host_.limit * (host_.limit_window_s > 0 ? host_.limit_window_s : kBurstS));
+  tokens_at_ =
+      host_.limit_window_s > 0 ? Seconds(host_.limit_window_offset_s - host_.limit_window_s) : Time(0);
+  for (int i = 0; i < host_.servers; ++i) server_free_at_.push(Time(0));
 }
 
-double Route::Warmth(Time now) const {
-  if (cold_since_ < 0us || host_.cold <= 0) return 1;
-  const double since = InSeconds(now - cold_since_) / host_.cold;
-  return std::min(1.0, host_.cold_from + (1 - host_.cold_from) * since);
+double SimulatedHost::CapacityShare(Time now) const {
+  if (warm_up_started_at_ < 0us || host_.warm_up_s <= 0) return 1;
+  const double elapsed_share = InSeconds(now - warm_up_started_at_) / host_.warm_up_s;
+  return std::min(1.0, host_.warm_up_start_share + (1 - host_.warm_up_start_share) * elapsed_share);
 }
 
-void Route::Outage(Time, double chance, Time until) {
-  out_ = true;
-  chance_ = chance;
-  opens_ = until;
+void SimulatedHost::StartOutage(Time, double chance, Time until) {
+  in_outage_ = true;
+  failure_chance_ = chance;
+  outage_ends_at_ = until;
 }
 
-void Route::Back(Time now) {
-  out_ = false;
-  cold_since_ = now;
-  pushes_.clear();
+void SimulatedHost::EndOutage(Time now) {
+  in_outage_ = false;
+  warm_up_started_at_ = now;
+  recent_calls_.clear();
 }
 
-Route::Verdict Route::TurnAway(Time now, Time wait, bool over_limit, Dice& dice) const {
-  Verdict v;
-  const bool tells = wait > 0us && dice.Happens(host_.tells);
-  v.status = tells ? 429 : 503;
-  v.wait = tells ? wait : Time(0);
-  v.answer_at = now + kRefuses;
-  v.over_limit = over_limit;
-  return v;
+SimulatedHost::CallResult SimulatedHost::MakeRefusal(Time now, Time retry_after, bool over_limit,
+                                                     RandomStream& random) const {
+  CallResult result;
+  const bool sends_retry_after = retry_after > 0us && random.Bernoulli(host_.retry_after_chance);
+  result.status = sends_retry_after ? 429 : 503;
+  result.retry_after = sends_retry_after ? retry_after : Time(0);
+  result.answer_at = now + kRefusalDelay;
+  result.over_limit = over_limit;
+  return result;
 }
 
-// What arrives within that span must stay under multiple x present capacity x span, with some slack for
-// chance.
-bool Route::Pushed(Time now) {
-  if (cold_since_ < 0us || Warmth(now) >= 1) return false;
-  pushes_.push_back(now);
-  while (pushes_.front() < now - fall_) pushes_.pop_front();
-  const double may = fall_multiple_ * Warmth(now) * host_.capacity() * InSeconds(fall_);
-  return static_cast<double>(pushes_.size()) > may + 2 + std::sqrt(may);
+// A host that warms up collapses when the calls of the last `collapse_after_` exceed collapse_load_factor_ x
+// present capacity x collapse_after_, with some slack for random variation.
+bool SimulatedHost::RecordCallAndCheckCollapse(Time now) {
+  if (warm_up_started_at_ < 0us || CapacityShare(now) >= 1) return false;
+  recent_calls_.push_back(now);
+  while (recent_calls_.front() < now - collapse_after_) recent_calls_.pop_front();
+  const double allowed_calls =
+      collapse_load_factor_ * CapacityShare(now) * host_.capacity() * InSeconds(collapse_after_);
+  return static_cast<double>(recent_calls_.size()) > allowed_calls + 2 + std::sqrt(allowed_calls);
 }
 
-// A count in fixed spans begins anew with each, and what refused calls took beyond it is missing in the next
-// one, half of it at most: so the hosts of the platform's full fleet were seen to do.
-void Route::Refill(Time now) {
-  if (host_.window <= 0) {
-    tokens_ = std::min(most_tokens_, tokens_ + host_.limit * InSeconds(now - tokens_at_));
+// A count in fixed windows starts again with each window. What refused calls used beyond the limit is
+// subtracted from the next window, up to half of the limit. Hosts of the platform's full fleet were observed
+// to do so.
+void SimulatedHost::RefillTokens(Time now) {
+  if (host_.limit_window_s <= 0) {
+    tokens_ = std::min(max_tokens_, tokens_ + host_.limit * InSeconds(now - tokens_at_));
     tokens_at_ = now;
     return;
   }
-  for (const Time span = Seconds(host_.window); tokens_at_ + span <= now; tokens_at_ += span) {
-    tokens_ = most_tokens_ + std::min(tokens_, 0.0);
+  for (const Time window = Seconds(host_.limit_window_s); tokens_at_ + window <= now; tokens_at_ += window) {
+    tokens_ = max_tokens_ + std::min(tokens_, 0.0);
   }
 }
 
-Time Route::FreeAt(Time now) const {
-  if (host_.window > 0) return tokens_at_ + Seconds(host_.window);
-  return now + std::max(Seconds(host_.wait), Seconds((1 - tokens_) / host_.limit));
+Time SimulatedHost::LimitFreeAt(Time now) const {
+  if (host_.limit_window_s > 0) return tokens_at_ + Seconds(host_.limit_window_s);
+  return now + std::max(Seconds(host_.min_retry_after_s), Seconds((1 - tokens_) / host_.limit));
 }
 
-Route::Verdict Route::Refuse(Time now, Time wait, bool over_limit, Dice& dice) {
-  if (host_.counts_refused) {
-    tokens_ = std::max(tokens_ - 1, host_.window > 0 ? -most_tokens_ / 2 : 0);
+SimulatedHost::CallResult SimulatedHost::RefuseCall(Time now, Time retry_after, bool over_limit,
+                                                    RandomStream& random) {
+  if (host_.refused_calls_use_limit) {
+    tokens_ = std::max(tokens_ - 1, host_.limit_window_s > 0 ? -max_tokens_ / 2 : 0);
   }
-  return TurnAway(now, wait, over_limit, dice);
+  return MakeRefusal(now, retry_after, over_limit, random);
 }
 
-Route::Verdict Route::Arrive(Time now, Dice& dice) {
-  if (fallen_) return TurnAway(now, Time(0), false, dice);
-  if (!out_ && Pushed(now)) {
-    fallen_ = true;
-    Verdict v = TurnAway(now, Time(0), false, dice);
-    v.tips = true;
-    return v;
+SimulatedHost::CallResult SimulatedHost::HandleCall(Time now, RandomStream& random) {
+  if (collapsed_) return MakeRefusal(now, Time(0), false, random);
+  if (!in_outage_ && RecordCallAndCheckCollapse(now)) {
+    collapsed_ = true;
+    CallResult result = MakeRefusal(now, Time(0), false, random);
+    result.collapsed = true;
+    return result;
   }
-  if (out_ && chance_ >= 1) return TurnAway(now, opens_ - now, false, dice);
-  Refill(now);
-  if (tokens_ < 1) return Refuse(now, FreeAt(now) - now, true, dice);
-  while (!starts_.empty() && starts_.front() <= now) starts_.pop_front();
-  if (static_cast<double>(starts_.size()) >= host_.queue) {
-    return Refuse(now, std::max(Seconds(host_.wait), starts_.front() - now), false, dice);
+  if (in_outage_ && failure_chance_ >= 1) return MakeRefusal(now, outage_ends_at_ - now, false, random);
+  RefillTokens(now);
+  if (tokens_ < 1) return RefuseCall(now, LimitFreeAt(now) - now, true, random);
+  while (!queued_starts_.empty() && queued_starts_.front() <= now) queued_starts_.pop_front();
+  if (static_cast<double>(queued_starts_.size()) >= host_.max_queued_calls) {
+    return RefuseCall(now, std::max(Seconds(host_.min_retry_after_s), queued_starts_.front() - now), false,
+                      random);
   }
   tokens_ -= 1;
-  Verdict v;
-  if (dice.Happens(out_ ? chance_ : host_.errors)) {
-    v.status = 500;
-    v.answer_at = now + kFails;
-    return v;
+  CallResult result;
+  if (random.Bernoulli(in_outage_ ? failure_chance_ : host_.error_rate)) {
+    result.status = 500;
+    result.answer_at = now + kFailureDelay;
+    return result;
   }
-  const Time start = std::max(now, servers_.top());
-  servers_.pop();
-  if (start > now) starts_.push_back(start);
-  v.answer_at = start + Seconds(dice.LogNormal(host_.work, host_.work_spread) / Warmth(start));
-  servers_.push(v.answer_at);
-  return v;
+  const Time start = std::max(now, server_free_at_.top());
+  server_free_at_.pop();
+  if (start > now) queued_starts_.push_back(start);
+  result.answer_at =
+      start + Seconds(random.LogNormal(host_.service_time_s, host_.service_time_cv) / CapacityShare(start));
+  server_free_at_.push(result.answer_at);
+  return result;
 }
 
 }  // namespace oxbowspread::model
--- a/src/model/route.hpp
+++ b/src/model/route.hpp
@@ -1,6 +1,6 @@
-// One endpoint as the platform describes it: a limit, servers and a queue, outages, and a cold return.
-// Times in microseconds since the day began, which never go back from one call to the next. No I/O; nothing
-// fails.
+// Simulates one endpoint: a call limit, servers with a queue, outages, and reduced capacity after an outage.
+// Times are in microseconds since the start of the day and never decrease from one call to the next. No I/O;
+// nothing fails.
 #pragma once
 
 #include <deque>
@@ -11,50 +11,51 @@
 
 namespace oxbowspread::model {
 
-class Route {
+class SimulatedHost {
  public:
-  // `fall_multiple` times its present capacity for `fall` seconds tips a cold host.
-  Route(const Host& host, double fall_multiple, double fall);
+  // A host that is warming up collapses when it gets `collapse_load_factor` times its present capacity for
+  // `collapse_after_s` seconds.
+  SimulatedHost(const Host& host, double collapse_load_factor, double collapse_after_s);
 
-  struct Verdict {
-    int status = 200;  // 200, 500, or 503 (429 if a wait is told)
+  struct CallResult {
+    int status = 200;  // 200, 500, or 503 (429 with a Retry-After)
     Time answer_at{0};
-    Time wait{0};
+    Time retry_after{0};  // 0: none
     bool over_limit = false;
-    bool tips = false;  // this call pushed it over
+    bool collapsed = false;  // this call made the host collapse
   };
-  // A call's last byte comes. `now` never goes back.
-  Verdict Arrive(Time now, Dice& dice);
-
-  // From `now` on a call fails with that chance; with 1 and above it is shut, and tells to wait until
-  // `until`. It lasts until Back, after which the host is cold.
-  void Outage(Time now, double chance, Time until);
-  void Back(Time now);
-  // Pushed over: it turns everything away for good.
-  bool down() const { return fallen_; }
-  // Share of its capacity that it has now, 1 when warm.
-  double Warmth(Time now) const;
+  // Handles a call whose last byte arrives at `now`, which never decreases.
+  CallResult HandleCall(Time now, RandomStream& random);
+
+  // From `now` on a call fails with that chance; with a chance of 1 and above every call is refused with a
+  // Retry-After up to `until`. Lasts until EndOutage, after which the host warms up.
+  void StartOutage(Time now, double chance, Time until);
+  void EndOutage(Time now);
+  // True after a collapse: the host refuses every call until the end of the day.
+  bool collapsed() const { return collapsed_; }
+  // Share of its capacity that the host has now; 1 when it is warm.
+  double CapacityShare(Time now) const;
   const Host& host() const { return host_; }
 
  private:
-  Verdict TurnAway(Time now, Time wait, bool over_limit, Dice& dice) const;
-  bool Pushed(Time now);
-  void Refill(Time now);
-  Time FreeAt(Time now) const;  // once the limit is used up
-  Verdict Refuse(Time now, Time wait, bool over_limit, Dice& dice);
+  CallResult MakeRefusal(Time now, Time retry_after, bool over_limit, RandomStream& random) const;
+  bool RecordCallAndCheckCollapse(Time now);
+  void RefillTokens(Time now);
+  Time LimitFreeAt(Time now) const;  // when a used up limit admits a call again
+  CallResult RefuseCall(Time now, Time retry_after, bool over_limit, RandomStream& random);
 
   Host host_;
-  double fall_multiple_;
-  Time fall_;
-  double tokens_ = 0, most_tokens_ = 0;
-  Time tokens_at_{0};
-  std::priority_queue<Time, std::vector<Time>, std::greater<>> servers_;  // when each gets free
-  std::deque<Time> starts_;                                               // of calls that wait
-  bool out_ = false, fallen_ = false;
-  double chance_ = 0;
-  Time opens_{0};
-  Time cold_since_{-1};
-  std::deque<Time> pushes_;
+  double collapse_load_factor_;
+  Time collapse_after_;
+  double tokens_ = 0, max_tokens_ = 0;  // token bucket of the limit
+  Time tokens_at_{0};                   // last refill
+  std::priority_queue<Time, std::vector<Time>, std::greater<>> server_free_at_;
+  std::deque<Time> queued_starts_;  // when the queued calls begin
+  bool in_outage_ = false, collapsed_ = false;
+  double failure_chance_ = 0;
+  Time outage_ends_at_{0};
+  Time warm_up_started_at_{-1};  // below 0: no outage yet
+  std::deque<Time> recent_calls_;
 };
 
 }  // namespace oxbowspread::model
--- a/src/model/scenario.cpp
+++ b/src/model/scenario.cpp
@@ -17,18 +17,17 @@
  public:
   using yaml::Reader::Reader;
 
-  // A number, or a list of two: from and to.
-  void Ranged(const YAML::Node& map, const char* key, const std::string& where, double least, double most,
-              Range* to) const {
+  // A number, or a list of two: low and high.
+  void ParseRange(const YAML::Node& map, const char* key, const std::string& path_prefix, double min,
+                  double max, Range* to) const {
     const YAML::Node node = map[key];
     if (!node) return;
     const auto one = [&](const YAML::Node& n) {
       double value = NAN;
-      if (!n.IsScalar() || !YAML::convert<double>::decode(n, value) || !(value >= least && value <= most)) {
+      if (!n.IsScalar() || !YAML::convert<double>::decode(n, value) || !(value >= min && value <= max)) {
         char text[120];
-        std::snprintf(text, sizeof text, "must be a number from %g to %g, or a list of two such", least,
-                      most);
-        Fail(n.Mark(), where + key, text);
+        std::snprintf(text, sizeof text, "must be a number from %g to %g, or a list of two such", min, max);
+        Fail(n.Mark(), path_prefix + key, text);
       }
       return value;
     };
@@ -36,57 +35,60 @@
       to->low = to->high = one(node);
       return;
     }
-    if (node.size() != 2) Fail(node.Mark(), where + key, "must be one number or a list of two");
+    if (node.size() != 2) Fail(node.Mark(), path_prefix + key, "must be one number or a list of two");
     const Range read{one(node[0]), one(node[1])};
-    if (read.low > read.high) Fail(node.Mark(), where + key, "must not begin above its end");
+    if (read.low > read.high) Fail(node.Mark(), path_prefix + key, "must not begin above its end");
     *to = read;
   }
-  // The same in spans: "5ms", or [5ms, 15ms]. To seconds.
-  void Spans(const YAML::Node& map, const char* key, const std::string& where, Range* to) const {
+  // The same with durations: "5ms", or [5ms, 15ms]. The result is in seconds.
+  void ParseDurations(const YAML::Node& map, const char* key, const std::string& path_prefix,
+                      Range* to) const {
     const YAML::Node node = map[key];
     if (!node) return;
     const auto one = [&](const YAML::Node& n) {
       YAML::Node holder;
       holder[key] = n;
-      return static_cast<double>(Span(holder, key, where, Time(0)).count()) / 1e6;
+      return static_cast<double>(Span(holder, key, path_prefix, Time(0)).count()) / 1e6;
     };
     if (!node.IsSequence()) {
       to->low = to->high = one(node);
       return;
     }
-    if (node.size() != 2) Fail(node.Mark(), where + key, "must be one span or a list of two");
+    if (node.size() != 2) Fail(node.Mark(), path_prefix + key, "must be one span or a list of two");
     const Range read{one(node[0]), one(node[1])};
-    if (read.low > read.high) Fail(node.Mark(), where + key, "must not begin above its end");
+    if (read.low > read.high) Fail(node.Mark(), path_prefix + key, "must not begin above its end");
     *to = read;
   }
-  void Spanned(const YAML::Node& map, const char* key, const std::string& where, double* seconds) const {
-    Range r{*seconds, *seconds};
-    Spans(map, key, where, &r);
-    *seconds = r.low;
+  void ParseDuration(const YAML::Node& map, const char* key, const std::string& path_prefix,
+                     double* seconds) const {
+    Range range{*seconds, *seconds};
+    ParseDurations(map, key, path_prefix, &range);
+    *seconds = range.low;
   }
-  // A pair of keys: `large` and `small` under one.
-  void Kinds(const YAML::Node& map, const char* key, const std::string& where, bool spans, double least,
-             double most, Range* to) const {
+  // A map with the keys `large` and `small`, or one value for both. `to` has two elements.
+  void ParseLargeAndSmall(const YAML::Node& map, const char* key, const std::string& path_prefix,
+                          bool durations, double min, double max, Range* to) const {
     const YAML::Node node = map[key];
     if (!node) return;
-    constexpr std::array kKinds = {"large", "small"};
-    for (std::size_t k = 0; k < kKinds.size(); ++k) {
+    constexpr std::array kKindNames = {"large", "small"};
+    for (std::size_t k = 0; k < kKindNames.size(); ++k) {
       if (node.IsMap()) {
-        Only(node, where + key + ".", {"large", "small"});
-        spans ? Spans(node, kKinds[k], where + key + ".", &to[k])
-              : Ranged(node, kKinds[k], where + key + ".", least, most, &to[k]);
+        Only(node, path_prefix + key + ".", {"large", "small"});
+        durations ? ParseDurations(node, kKindNames[k], path_prefix + key + ".", &to[k])
+                  : ParseRange(node, kKindNames[k], path_prefix + key + ".", min, max, &to[k]);
       } else {
-        spans ? Spans(map, key, where, &to[k]) : Ranged(map, key, where, least, most, &to[k]);
+        durations ? ParseDurations(map, key, path_prefix, &to[k])
+                  : ParseRange(map, key, path_prefix, min, max, &to[k]);
       }
     }
   }
 
-  void Traffic(const YAML::Node& node, Scenario::Traffic* t) const {
+  void ParseTraffic(const YAML::Node& node, Scenario::Traffic* traffic) const {
     if (!node) return;
     Only(node, "traffic",
          {"load", "shape", "swing", "clumps", "clump", "body", "retries", "backoff", "honour", "again",
           "beside", "times"});
-    Ranged(node, "load", "traffic.", 0, 100, &t->load);
+    ParseRange(node, "load", "traffic.", 0, 100, &traffic->load);
     const std::string shape = Text(node, "shape", "traffic.", false);
     if (!shape.empty()) {
       const std::map<std::string, Scenario::Traffic::Shape> shapes = {
@@ -97,101 +99,103 @@
       const auto it = shapes.find(shape);
       if (it == shapes.end())
         Fail(node["shape"].Mark(), "traffic.shape", "must be steady, wave, bursty or ramp");
-      t->shape = it->second;
+      traffic->shape = it->second;
     }
-    Ranged(node, "swing", "traffic.", 0, 0.95, &t->swing);
-    Ranged(node, "clumps", "traffic.", 0, 1, &t->clumps);
-    Spans(node, "clump", "traffic.", &t->clump);
-    t->body = Whole(node, "body", "traffic.", 0, 65536, t->body);
-    Ranged(node, "retries", "traffic.", 0, 100, &t->retries);
-    Spans(node, "backoff", "traffic.", &t->backoff);
-    Ranged(node, "honour", "traffic.", 0, 1, &t->honour);
-    Spans(node, "again", "traffic.", &t->again);
-    t->beside = Number(node, "beside", "traffic.", 0, 1, t->beside);
-    Ranged(node, "times", "traffic.", 1, 1000, &t->times);
+    ParseRange(node, "swing", "traffic.", 0, 0.95, &traffic->amplitude);
+    ParseRange(node, "clumps", "traffic.", 0, 1, &traffic->burst_share);
+    ParseDurations(node, "clump", "traffic.", &traffic->burst_size);
+    traffic->body_bytes = Whole(node, "body", "traffic.", 0, 65536, traffic->body_bytes);
+    ParseRange(node, "retries", "traffic.", 0, 100, &traffic->retries);
+    ParseDurations(node, "backoff", "traffic.", &traffic->backoff);
+    ParseRange(node, "honour", "traffic.", 0, 1, &traffic->retry_after_compliance);
+    ParseDurations(node, "again", "traffic.", &traffic->resubmit_delay);
+    traffic->local_client_chance = Number(node, "beside", "traffic.", 0, 1, traffic->local_client_chance);
+    ParseRange(node, "times", "traffic.", 1, 1000, &traffic->local_client_factor);
   }
 
-  void Partners(const YAML::Node& node, Scenario::Partners* p) const {
+  void ParsePartners(const YAML::Node& node, Scenario::Partners* partners) const {
     if (!node) return;
     Only(node, "partners", {"count",         "rate",  "skew",        "hosts",         "large",     "headroom",
                             "least",         "tells", "wait",        "speed",         "spread",    "queue",
                             "spare",         "work",  "work_spread", "errors",        "cold_from", "cold",
                             "fall_multiple", "fall",  "connections", "refused_count", "window"});
-    const std::string w = "partners.";
-    p->count = Whole(node, "count", w, 1, 100'000, p->count);
-    Ranged(node, "rate", w, 0.001, 1e6, &p->rate);
-    Ranged(node, "skew", w, 0, 3, &p->skew);
-    Ranged(node, "hosts", w, 1, 100, &p->hosts);
-    p->large = Number(node, "large", w, 0, 1, p->large);
-    Kinds(node, "headroom", w, false, 0.01, 1000, p->headroom);
-    Kinds(node, "least", w, false, 0.01, 1e6, p->least);
-    Kinds(node, "tells", w, false, 0, 1, p->tells);
-    Kinds(node, "wait", w, true, 0, 0, p->wait);
-    Kinds(node, "speed", w, false, 0.01, 1000, p->speed);
-    Kinds(node, "spread", w, false, 0, 10, p->spread);
-    Kinds(node, "queue", w, true, 0, 0, p->queue);
-    Ranged(node, "spare", w, 1, 100, &p->spare);
-    Spans(node, "work", w, &p->work);
-    Ranged(node, "work_spread", w, 0, 10, &p->work_spread);
-    Ranged(node, "errors", w, 0, 1, &p->errors);
-    Ranged(node, "cold_from", w, 0.01, 1, &p->cold_from);
-    Spans(node, "cold", w, &p->cold);
-    p->fall_multiple = Number(node, "fall_multiple", w, 1, 1000, p->fall_multiple);
-    Spanned(node, "fall", w, &p->fall);
-    p->connections = Whole(node, "connections", w, 0, 1'000'000, p->connections);
+    const std::string prefix = "partners.";
+    partners->count = Whole(node, "count", prefix, 1, 100'000, partners->count);
+    ParseRange(node, "rate", prefix, 0.001, 1e6, &partners->rate_per_partner);
+    ParseRange(node, "skew", prefix, 0, 3, &partners->skew);
+    ParseRange(node, "hosts", prefix, 1, 100, &partners->hosts_per_partner);
+    partners->large_share = Number(node, "large", prefix, 0, 1, partners->large_share);
+    ParseLargeAndSmall(node, "headroom", prefix, false, 0.01, 1000, partners->headroom);
+    ParseLargeAndSmall(node, "least", prefix, false, 0.01, 1e6, partners->min_limit);
+    ParseLargeAndSmall(node, "tells", prefix, false, 0, 1, partners->retry_after_chance);
+    ParseLargeAndSmall(node, "wait", prefix, true, 0, 0, partners->min_retry_after);
+    ParseLargeAndSmall(node, "speed", prefix, false, 0.01, 1000, partners->speed);
+    ParseLargeAndSmall(node, "spread", prefix, false, 0, 10, partners->speed_spread);
+    ParseLargeAndSmall(node, "queue", prefix, true, 0, 0, partners->queue_time);
+    ParseRange(node, "spare", prefix, 1, 100, &partners->capacity_factor);
+    ParseDurations(node, "work", prefix, &partners->service_time);
+    ParseRange(node, "work_spread", prefix, 0, 10, &partners->service_time_cv);
+    ParseRange(node, "errors", prefix, 0, 1, &partners->error_rate);
+    ParseRange(node, "cold_from", prefix, 0.01, 1, &partners->warm_up_start_share);
+    ParseDurations(node, "cold", prefix, &partners->warm_up);
+    partners->collapse_load_factor =
+        Number(node, "fall_multiple", prefix, 1, 1000, partners->collapse_load_factor);
+    ParseDuration(node, "fall", prefix, &partners->collapse_after);
+    partners->max_connections = Whole(node, "connections", prefix, 0, 1'000'000, partners->max_connections);
     Range counted[2] = {};
-    Kinds(node, "refused_count", w, false, 0, 1, counted);
+    ParseLargeAndSmall(node, "refused_count", prefix, false, 0, 1, counted);
     Range window[2] = {};
-    Kinds(node, "window", w, true, 0, 0, window);
+    ParseLargeAndSmall(node, "window", prefix, true, 0, 0, window);
     for (std::size_t k = 0; k < 2; ++k) {
-      p->refused_count[k] = counted[k].high;
-      p->window[k] = window[k].high;
+      partners->refused_calls_use_limit_chance[k] = counted[k].high;
+      partners->limit_window[k] = window[k].high;
     }
   }
 
-  void RelayOf(const YAML::Node& node, Scenario::RelayPart* r) const {
+  void ParseRelay(const YAML::Node& node, Scenario::RelaySettings* relay) const {
     if (!node) return;
     Only(node, "relay",
          {"slots", "least_slots", "hold", "least_hold", "tick", "deadline", "aim", "window", "disk_mb",
           "memory_mb", "sockets", "refused_price", "senders_told"});
-    const std::string w = "relay.";
-    Ranged(node, "slots", w, 0.01, 1000, &r->slots);
-    r->least_slots = Whole(node, "least_slots", w, 1, 100'000, r->least_slots);
-    Spans(node, "hold", w, &r->hold);
-    r->least_hold = Whole(node, "least_hold", w, 1, 1'000'000, r->least_hold);
-    Spanned(node, "tick", w, &r->tick);
-    Spanned(node, "deadline", w, &r->deadline);
-    Spanned(node, "aim", w, &r->aim);
-    Spanned(node, "window", w, &r->window);
-    r->disk_mb = Number(node, "disk_mb", w, 0.1, 100'000, r->disk_mb);
-    r->memory_mb = Whole(node, "memory_mb", w, 16, 100'000, r->memory_mb);
-    r->sockets = Whole(node, "sockets", w, 64, 1'000'000, r->sockets);
-    r->refused_price = Number(node, "refused_price", w, 0, 1, r->refused_price);
-    r->senders_told = Number(node, "senders_told", w, 0.001, 1000, r->senders_told);
-    if (r->aim <= 0 || r->deadline < r->aim) {
+    const std::string prefix = "relay.";
+    ParseRange(node, "slots", prefix, 0.01, 1000, &relay->slots_factor);
+    relay->min_slots = Whole(node, "least_slots", prefix, 1, 100'000, relay->min_slots);
+    ParseDurations(node, "hold", prefix, &relay->open_messages_time);
+    relay->min_open_messages = Whole(node, "least_hold", prefix, 1, 1'000'000, relay->min_open_messages);
+    ParseDuration(node, "tick", prefix, &relay->tick);
+    ParseDuration(node, "deadline", prefix, &relay->deadline);
+    ParseDuration(node, "aim", prefix, &relay->delivery_goal);
+    ParseDuration(node, "window", prefix, &relay->repeat_window);
+    relay->disk_mb = Number(node, "disk_mb", prefix, 0.1, 100'000, relay->disk_mb);
+    relay->memory_mb = Whole(node, "memory_mb", prefix, 16, 100'000, relay->memory_mb);
+    relay->sockets = Whole(node, "sockets", prefix, 64, 1'000'000, relay->sockets);
+    relay->refused_call_cost = Number(node, "refused_price", prefix, 0, 1, relay->refused_call_cost);
+    relay->announced_sender_factor =
+        Number(node, "senders_told", prefix, 0.001, 1000, relay->announced_sender_factor);
+    if (relay->delivery_goal <= 0 || relay->deadline < relay->delivery_goal) {
       Fail(node.Mark(), "relay.deadline", "must not be shorter than relay.aim, which must be above 0s");
     }
   }
 
-  Trouble TroubleOf(const YAML::Node& node) const {
-    const std::map<std::string, std::pair<Trouble::Kind, std::set<std::string>>> kinds = {
-        {"relays_killed", {Trouble::Kind::kRelaysKilled, {"at", "for", "share"}}},
-        {"relays_stopped", {Trouble::Kind::kRelaysStopped, {"at", "for", "share"}}},
-        {"relays_rolled", {Trouble::Kind::kRelaysRolled, {"at", "for", "share", "at_once", "down"}}},
-        {"list_behind", {Trouble::Kind::kListBehind, {"at", "for", "by"}}},
-        {"partners_fail", {Trouble::Kind::kPartnersFail, {"at", "for", "share", "chance"}}},
-        {"partners_shut", {Trouble::Kind::kPartnersShut, {"at", "for", "share"}}},
-        {"partners_draw", {Trouble::Kind::kPartnersDraw, {"at", "for", "share", "count"}}},
-        {"partners_down", {Trouble::Kind::kPartnersDown, {"at", "for", "share"}}},
-        {"discovery_down", {Trouble::Kind::kDiscoveryDown, {"at", "for", "refuses_after"}}},
-        {"discovery_crowded", {Trouble::Kind::kDiscoveryCrowded, {"at", "for", "share"}}},
-        {"lists_broken", {Trouble::Kind::kListsBroken, {"at", "for", "share"}}},
-        {"discovery_moved", {Trouble::Kind::kDiscoveryMoved, {"at", "for", "share"}}},
-        {"signals", {Trouble::Kind::kSignals, {"at", "for", "share", "count"}}},
-        {"idle_clients", {Trouble::Kind::kIdleClients, {"at", "for", "share", "count"}}},
-        {"discovery_silent", {Trouble::Kind::kDiscoverySilent, {"at", "for"}}},
-        {"discovery_slow", {Trouble::Kind::kDiscoverySlow, {"at", "for", "each"}}},
-        {"hosts_replaced", {Trouble::Kind::kHostsReplaced, {"at", "for", "count", "same_address", "drain"}}}};
+  Fault ParseFault(const YAML::Node& node) const {
+    const std::map<std::string, std::pair<Fault::Kind, std::set<std::string>>> kinds = {
+        {"relays_killed", {Fault::Kind::kRelaysKilled, {"at", "for", "share"}}},
+        {"relays_stopped", {Fault::Kind::kRelaysStopped, {"at", "for", "share"}}},
+        {"relays_rolled", {Fault::Kind::kRollingRestart, {"at", "for", "share", "at_once", "down"}}},
+        {"list_behind", {Fault::Kind::kListDelayed, {"at", "for", "by"}}},
+        {"partners_fail", {Fault::Kind::kZoneFailing, {"at", "for", "share", "chance"}}},
+        {"partners_shut", {Fault::Kind::kZoneDown, {"at", "for", "share"}}},
+        {"partners_draw", {Fault::Kind::kExtraTraffic, {"at", "for", "share", "count"}}},
+        {"partners_down", {Fault::Kind::kPartnersDown, {"at", "for", "share"}}},
+        {"discovery_down", {Fault::Kind::kDiscoveryDown, {"at", "for", "refuses_after"}}},
+        {"discovery_crowded", {Fault::Kind::kDiscoveryOverloaded, {"at", "for", "share"}}},
+        {"lists_broken", {Fault::Kind::kListsTruncated, {"at", "for", "share"}}},
+        {"discovery_moved", {Fault::Kind::kDiscoveryMoved, {"at", "for", "share"}}},
+        {"signals", {Fault::Kind::kSignals, {"at", "for", "share", "count"}}},
+        {"idle_clients", {Fault::Kind::kIdleClients, {"at", "for", "share", "count"}}},
+        {"discovery_silent", {Fault::Kind::kDiscoverySilent, {"at", "for"}}},
+        {"discovery_slow", {Fault::Kind::kDiscoverySlow, {"at", "for", "each"}}},
+        {"hosts_replaced", {Fault::Kind::kHostsReplaced, {"at", "for", "count", "same_address", "drain"}}}};
     if (!node.IsMap() || node.size() != 1) {
       Fail(node.Mark(), "troubles", "each must be one name with its keys, such as relays_killed: {at: 9s}");
     }
@@ -203,99 +207,100 @@
       Fail(node.Mark(), "troubles." + name, "must be one of " + all);
     }
     const YAML::Node map = node.begin()->second;
-    const std::string where = "troubles." + name + ".";
+    const std::string path_prefix = "troubles." + name + ".";
     Only(map, "troubles." + name, kind->second.second);
-    Trouble t;
-    t.kind = kind->second.first;
-    if (!map["at"]) Fail(node.Mark(), where + "at", "is missing");
-    if (!map["for"]) Fail(node.Mark(), where + "for", "is missing");
-    Spans(map, "at", where, &t.at);
-    Spans(map, "for", where, &t.length);
-    Ranged(map, "share", where, 0, 1, &t.share);
-    Ranged(map, "chance", where, 0, 1, &t.chance);
-    Spans(map, "by", where, &t.by);
-    Spans(map, "each", where, &t.each);
-    Spans(map, "down", where, &t.down);
-    Spans(map, "refuses_after", where, &t.refuses_after);
-    Spans(map, "drain", where, &t.drain);
-    t.count = Whole(map, "count", where, 1, 100'000, t.count);
-    t.at_once = Whole(map, "at_once", where, 1, 100'000, t.at_once);
+    Fault fault;
+    fault.kind = kind->second.first;
+    if (!map["at"]) Fail(node.Mark(), path_prefix + "at", "is missing");
+    if (!map["for"]) Fail(node.Mark(), path_prefix + "for", "is missing");
+    ParseDurations(map, "at", path_prefix, &fault.at);
+    ParseDurations(map, "for", path_prefix, &fault.duration);
+    ParseRange(map, "share", path_prefix, 0, 1, &fault.share);
+    ParseRange(map, "chance", path_prefix, 0, 1, &fault.failure_chance);
+    ParseDurations(map, "by", path_prefix, &fault.extra_lag);
+    ParseDurations(map, "each", path_prefix, &fault.time_per_call);
+    ParseDurations(map, "down", path_prefix, &fault.downtime);
+    ParseDurations(map, "refuses_after", path_prefix, &fault.refusal_delay);
+    ParseDurations(map, "drain", path_prefix, &fault.drain_time);
+    fault.count = Whole(map, "count", path_prefix, 1, 100'000, fault.count);
+    fault.batch_size = Whole(map, "at_once", path_prefix, 1, 100'000, fault.batch_size);
     if (const YAML::Node same = map["same_address"]) {
-      if (!same.IsScalar() || !YAML::convert<bool>::decode(same, t.same)) {
-        Fail(same.Mark(), where + "same_address", "must be true or false");
+      if (!same.IsScalar() || !YAML::convert<bool>::decode(same, fault.same_address)) {
+        Fail(same.Mark(), path_prefix + "same_address", "must be true or false");
       }
     }
-    return t;
+    return fault;
   }
 };
 
-void LayOver(const std::string& set, YAML::Node* root) {
-  const std::size_t equals = set.find('=');
-  if (equals == std::string::npos || equals == 0) throw Error("--set " + set + ": must be KEY=VALUE");
-  YAML::Node at;
-  at.reset(*root);
-  std::istringstream keys(set.substr(0, equals));
+void ApplyOverride(const std::string& override_text, YAML::Node* root) {
+  const std::size_t equals = override_text.find('=');
+  if (equals == std::string::npos || equals == 0)
+    throw Error("--set " + override_text + ": must be KEY=VALUE");
+  YAML::Node node;
+  node.reset(*root);
+  std::istringstream keys(override_text.substr(0, equals));
   std::vector<std::string> path;
   for (std::string key; std::getline(keys, key, '.');) path.push_back(key);
   try {
-    const YAML::Node value = YAML::Load(set.substr(equals + 1));
+    const YAML::Node value = YAML::Load(override_text.substr(equals + 1));
     for (std::size_t i = 0; i < path.size(); ++i) {
       YAML::Node next;
-      if (at.IsSequence()) {
+      if (node.IsSequence()) {
         std::size_t index = 0;
         const auto [end, error] = std::from_chars(path[i].data(), path[i].data() + path[i].size(), index);
-        if (error != std::errc() || *end != '\0' || index >= at.size()) {
-          throw Error("--set " + set + ": " + path[i] + ": is no place in that list");
+        if (error != std::errc() || *end != '\0' || index >= node.size()) {
+          throw Error("--set " + override_text + ": " + path[i] + ": is not an index of that list");
         }
-        next.reset(at[index]);
-      } else if (!at.IsDefined() || at.IsNull() || at.IsMap()) {
-        next.reset(at[path[i]]);
+        next.reset(node[index]);
+      } else if (!node.IsDefined() || node.IsNull() || node.IsMap()) {
+        next.reset(node[path[i]]);
       } else {
-        throw Error("--set " + set + ": " + path[i] + ": stands under what holds no keys");
+        throw Error("--set " + override_text + ": " + path[i] + ": its parent is not a map");
       }
       if (i + 1 == path.size()) next = value;
-      at.reset(next);
+      node.reset(next);
     }
   } catch (const YAML::Exception& e) {
-    throw Error("--set " + set + ": is no YAML: " + e.msg);
+    throw Error("--set " + override_text + ": is not valid YAML: " + e.msg);
   }
 }
 
 }  // namespace
 
-Scenario ReadScenario(const std::string& path, const std::vector<std::string>& sets) {
-  const Reader r(path);
-  YAML::Node root = r.Load();
-  for (const std::string& set : sets) LayOver(set, &root);
-  Scenario s;
+Scenario ReadScenario(const std::string& path, const std::vector<std::string>& overrides) {
+  const Reader reader(path);
+  YAML::Node root = reader.Load();
+  for (const std::string& override_text : overrides) ApplyOverride(override_text, &root);
+  Scenario scenario;
   std::ifstream file(path);
   std::ostringstream text;
   text << file.rdbuf();
   char version[20];
   std::snprintf(version, sizeof version, "%016llx",
                 static_cast<unsigned long long>(XXH3_64bits(text.str().data(), text.str().size())));
-  s.version = version;
-  s.name = std::filesystem::path(path).stem().string();
-  r.Only(root, "", {"about", "length", "relays", "traffic", "partners", "network", "relay", "troubles"});
-  s.about = r.Text(root, "about", "", false);
-  r.Spans(root, "length", "", &s.length);
-  if (s.length.low < 1) r.Fail(root.Mark(), "length", "must be at least 1s");
-  s.relays = r.Whole(root, "relays", "", 1, 10'000, s.relays);
-  r.Traffic(root["traffic"], &s.traffic);
-  r.Partners(root["partners"], &s.partners);
+  scenario.version = version;
+  scenario.name = std::filesystem::path(path).stem().string();
+  reader.Only(root, "", {"about", "length", "relays", "traffic", "partners", "network", "relay", "troubles"});
+  scenario.description = reader.Text(root, "about", "", false);
+  reader.ParseDurations(root, "length", "", &scenario.length);
+  if (scenario.length.low < 1) reader.Fail(root.Mark(), "length", "must be at least 1s");
+  scenario.relays = reader.Whole(root, "relays", "", 1, 10'000, scenario.relays);
+  reader.ParseTraffic(root["traffic"], &scenario.traffic);
+  reader.ParsePartners(root["partners"], &scenario.partners);
   if (const YAML::Node n = root["network"]) {
-    r.Only(n, "network", {"one_way", "handshake", "front_notices", "list_lag"});
-    r.Spans(n, "one_way", "network.", &s.network.one_way);
-    r.Ranged(n, "handshake", "network.", 0, 100, &s.network.handshake);
-    r.Spans(n, "front_notices", "network.", &s.network.front_notices);
-    r.Spans(n, "list_lag", "network.", &s.network.list_lag);
+    reader.Only(n, "network", {"one_way", "handshake", "front_notices", "list_lag"});
+    reader.ParseDurations(n, "one_way", "network.", &scenario.network.one_way);
+    reader.ParseRange(n, "handshake", "network.", 0, 100, &scenario.network.handshake_round_trips);
+    reader.ParseDurations(n, "front_notices", "network.", &scenario.network.failure_detection_delay);
+    reader.ParseDurations(n, "list_lag", "network.", &scenario.network.list_lag);
   }
-  r.RelayOf(root["relay"], &s.relay);
+  reader.ParseRelay(root["relay"], &scenario.relay);
   if (const YAML::Node troubles = root["troubles"]) {
-    if (!troubles.IsSequence()) r.Fail(troubles.Mark(), "troubles", "must be a list");
-    for (const auto& node : troubles) s.troubles.push_back(r.TroubleOf(node));
+    if (!troubles.IsSequence()) reader.Fail(troubles.Mark(), "troubles", "must be a list");
+    for (const auto& node : troubles) scenario.faults.push_back(reader.ParseFault(node));
   }
-  return s;
+  return scenario;
 }
 
 }  // namespace oxbowspread::model
--- a/src/model/soak.cpp
+++ b/src/model/soak.cpp
@@ -10,116 +10,117 @@
 namespace oxbowspread::model {
 namespace {
 
-using Kind = Trouble::Kind;
+using Kind = Fault::Kind;
 
-constexpr double kLengthS = 13;
-constexpr int kLeastTroubles = 4, kMostTroubles = 8;  // beside those of each day
-constexpr double kCrowdChance = 0.3;                  // of clients that say nothing
-constexpr double kUnheardChance = 0.4;                // of relays that can't hear of drains for long
-constexpr double kSameAddressChance = 0.7;            // that hosts are replaced at their addresses
-constexpr double kTakenOverChance = 0.6;              // of waits told by hosts that are not listed yet
+constexpr double kDayLengthS = 13;
+constexpr int kMinFaults = 4, kMaxFaults = 8;  // in addition to the faults of each day
+constexpr double kIdleClientsChance = 0.3;     // of clients that send nothing
+constexpr double kMissedDrainChance = 0.4;     // of relays that can't learn of drains for a long time
+constexpr double kSameAddressChance = 0.7;     // that replacements take over the old hosts' addresses
+constexpr double kStaleAddressChance = 0.6;    // of a Retry-After from hosts that the list doesn't show yet
 
-// Each ends before the day does, so that what it leaves behind is seen.
-constexpr std::array kDrawn = {
-    Kind::kRelaysKilled,     Kind::kRelaysStopped,   Kind::kRelaysRolled,   Kind::kListBehind,
-    Kind::kPartnersFail,     Kind::kPartnersShut,    Kind::kPartnersDown,   Kind::kHostsReplaced,
-    Kind::kDiscoveryDown,    Kind::kDiscoverySilent, Kind::kDiscoverySlow,  Kind::kDiscoveryCrowded,
-    Kind::kDiscoveryCrowded, Kind::kListsBroken,     Kind::kDiscoveryMoved, Kind::kSignals,
+// Each fault ends before the day does, so that its after-effects are seen.
+constexpr std::array kRandomKinds = {
+    Kind::kRelaysKilled,        Kind::kRelaysStopped,   Kind::kRollingRestart, Kind::kListDelayed,
+    Kind::kZoneFailing,         Kind::kZoneDown,        Kind::kPartnersDown,   Kind::kHostsReplaced,
+    Kind::kDiscoveryDown,       Kind::kDiscoverySilent, Kind::kDiscoverySlow,  Kind::kDiscoveryOverloaded,
+    Kind::kDiscoveryOverloaded, Kind::kListsTruncated,  Kind::kDiscoveryMoved, Kind::kSignals,
 };
 
-Range Just(double value) { return {value, value}; }
+Range Exactly(double value) { return {value, value}; }
 
-Trouble DrawTrouble(Kind kind, Dice& dice) {
-  Trouble trouble;
-  trouble.kind = kind;
-  trouble.at = Just(dice.Between(0.5, 8));
-  trouble.length = Just(dice.Between(0.5, 5));
-  trouble.share = Just(dice.Between(0.2, 1));
-  trouble.chance = Just(dice.Between(0.4, 1));
-  trouble.by = Just(dice.Between(0.5, 4));
-  trouble.each = Just(dice.Between(0.05, 0.8));
-  trouble.down = Just(dice.Between(0.3, 1));
-  trouble.refuses_after = Just(dice.Happens(0.5) ? 0 : 2);
-  trouble.drain = {2, 8};
-  trouble.count = 1 + static_cast<int>(dice.Below(6));
-  trouble.at_once = 1 + static_cast<int>(dice.Below(3));
-  trouble.same = dice.Happens(kSameAddressChance);
-  return trouble;
+Fault DrawFault(Kind kind, RandomStream& random) {
+  Fault fault;
+  fault.kind = kind;
+  fault.at = Exactly(random.UniformBetween(0.5, 8));
+  fault.duration = Exactly(random.UniformBetween(0.5, 5));
+  fault.share = Exactly(random.UniformBetween(0.2, 1));
+  fault.failure_chance = Exactly(random.UniformBetween(0.4, 1));
+  fault.extra_lag = Exactly(random.UniformBetween(0.5, 4));
+  fault.time_per_call = Exactly(random.UniformBetween(0.05, 0.8));
+  fault.downtime = Exactly(random.UniformBetween(0.3, 1));
+  fault.refusal_delay = Exactly(random.Bernoulli(0.5) ? 0 : 2);
+  fault.drain_time = {2, 8};
+  fault.count = 1 + static_cast<int>(random.UniformBelow(6));
+  fault.batch_size = 1 + static_cast<int>(random.UniformBelow(3));
+  fault.same_address = random.Bernoulli(kSameAddressChance);
+  return fault;
 }
 
-Trouble DrawCrowd(Dice& dice) {
-  Trouble crowd = DrawTrouble(Kind::kIdleClients, dice);
-  crowd.count = 50 + static_cast<int>(dice.Below(200));
-  return crowd;
+Fault DrawIdleClients(RandomStream& random) {
+  Fault idle_clients = DrawFault(Kind::kIdleClients, random);
+  idle_clients.count = 50 + static_cast<int>(random.UniformBelow(200));
+  return idle_clients;
 }
 
-Trouble At(double at, double length, Trouble trouble) {
-  trouble.at = Just(at);
-  trouble.length = Just(length);
-  return trouble;
+Fault WithTimes(double at, double length, Fault fault) {
+  fault.at = Exactly(at);
+  fault.duration = Exactly(length);
+  return fault;
 }
 
-// Changes break off, and discovery refuses most calls for longer than a change may stay unknown; some relays
-// are told meanwhile that it has moved.
-std::vector<Trouble> DrawUnheard(Dice& dice) {
-  const double at = dice.Between(1, 4);
-  Trouble crowded = DrawTrouble(Kind::kDiscoveryCrowded, dice);
-  crowded.share = Just(dice.Between(0.9, 1));
-  std::vector<Trouble> all;
-  all.push_back(At(at, 0.01, DrawTrouble(Kind::kListsBroken, dice)));
-  all.push_back(At(at, dice.Between(7, 9), crowded));
-  all.push_back(At(at + 0.1, 1.5, DrawTrouble(Kind::kHostsReplaced, dice)));
-  all.push_back(At(at + 1, 4, DrawTrouble(Kind::kDiscoveryMoved, dice)));
-  all.push_back(At(at + 3, 3, DrawTrouble(Kind::kRelaysRolled, dice)));
-  return all;
+// Messages with list changes are cut off, and discovery refuses most calls for longer than a change may stay
+// unknown. Meanwhile some relays get another address of discovery.
+std::vector<Fault> DrawMissedDrains(RandomStream& random) {
+  const double at = random.UniformBetween(1, 4);
+  Fault overloaded = DrawFault(Kind::kDiscoveryOverloaded, random);
+  overloaded.share = Exactly(random.UniformBetween(0.9, 1));
+  std::vector<Fault> faults;
+  faults.push_back(WithTimes(at, 0.01, DrawFault(Kind::kListsTruncated, random)));
+  faults.push_back(WithTimes(at, random.UniformBetween(7, 9), overloaded));
+  faults.push_back(WithTimes(at + 0.1, 1.5, DrawFault(Kind::kHostsReplaced, random)));
+  faults.push_back(WithTimes(at + 1, 4, DrawFault(Kind::kDiscoveryMoved, random)));
+  faults.push_back(WithTimes(at + 3, 3, DrawFault(Kind::kRollingRestart, random)));
+  return faults;
 }
 
-// Hosts are replaced at their addresses while lists are late, and the new ones shut before the relays can
-// know of them: they tell waits to calls that were meant for the ones before.
-std::vector<Trouble> DrawTakenOver(Dice& dice) {
-  const double at = dice.Between(0.5, 4);
-  Trouble replaced = DrawTrouble(Kind::kHostsReplaced, dice);
-  replaced.same = true;
-  replaced.drain = {0.05, 0.3};
-  replaced.count = 4 + static_cast<int>(dice.Below(7));
-  Trouble late = DrawTrouble(Kind::kListBehind, dice);
-  late.by = Just(dice.Between(0.5, 2));
-  std::vector<Trouble> all;
-  all.push_back(At(at, 1.5, replaced));
-  all.push_back(At(at, 3, late));
-  all.push_back(At(at + dice.Between(1, 2), dice.Between(1, 3), DrawTrouble(Kind::kPartnersDown, dice)));
-  return all;
+// Hosts are replaced at the same addresses while lists are late, and the new hosts refuse calls before the
+// relays can know of them: their Retry-After answers calls that were meant for the previous hosts.
+std::vector<Fault> DrawStaleAddresses(RandomStream& random) {
+  const double at = random.UniformBetween(0.5, 4);
+  Fault replaced = DrawFault(Kind::kHostsReplaced, random);
+  replaced.same_address = true;
+  replaced.drain_time = {0.05, 0.3};
+  replaced.count = 4 + static_cast<int>(random.UniformBelow(7));
+  Fault list_delayed = DrawFault(Kind::kListDelayed, random);
+  list_delayed.extra_lag = Exactly(random.UniformBetween(0.5, 2));
+  std::vector<Fault> faults;
+  faults.push_back(WithTimes(at, 1.5, replaced));
+  faults.push_back(WithTimes(at, 3, list_delayed));
+  faults.push_back(WithTimes(at + random.UniformBetween(1, 2), random.UniformBetween(1, 3),
+                             DrawFault(Kind::kPartnersDown, random)));
+  return faults;
 }
 
 }  // namespace
 
 Scenario DrawSoak(std::uint64_t seed) {
-  Dice dice(seed, "soak");
+  RandomStream random(seed, "soak");
   Scenario scenario;
   scenario.name = "soak-" + std::to_string(seed);
   scenario.version = scenario.name;
-  scenario.length = Just(kLengthS);
-  scenario.relays = 3 + static_cast<int>(dice.Below(4));
-  scenario.traffic.load = Just(dice.Between(0.3, 0.9));
-  scenario.partners.count = 6 + static_cast<int>(dice.Below(7));
-  scenario.partners.hosts = {2, 3};
+  scenario.length = Exactly(kDayLengthS);
+  scenario.relays = 3 + static_cast<int>(random.UniformBelow(4));
+  scenario.traffic.load = Exactly(random.UniformBetween(0.3, 0.9));
+  scenario.partners.count = 6 + static_cast<int>(random.UniformBelow(7));
+  scenario.partners.hosts_per_partner = {2, 3};
   scenario.network.list_lag = {0.2, 1};
-  scenario.relay.deadline = dice.Between(4, 8);
-  scenario.relay.window = dice.Between(2, 8);
-  scenario.relay.senders_told = dice.Happens(0.5) ? 1 : 50;  // as in a large fleet
-  scenario.troubles.push_back(DrawTrouble(Kind::kHostsReplaced, dice));
-  scenario.troubles.push_back(DrawTrouble(Kind::kRelaysRolled, dice));
-  const int more = kLeastTroubles + static_cast<int>(dice.Below(kMostTroubles - kLeastTroubles + 1));
-  for (int i = 0; i < more; ++i) {
-    scenario.troubles.push_back(DrawTrouble(kDrawn[dice.Below(kDrawn.size())], dice));
+  scenario.relay.deadline = random.UniformBetween(4, 8);
+  scenario.relay.repeat_window = random.UniformBetween(2, 8);
+  scenario.relay.announced_sender_factor = random.Bernoulli(0.5) ? 1 : 50;  // as in a large fleet
+  scenario.faults.push_back(DrawFault(Kind::kHostsReplaced, random));
+  scenario.faults.push_back(DrawFault(Kind::kRollingRestart, random));
+  const int extra_faults = kMinFaults + static_cast<int>(random.UniformBelow(kMaxFaults - kMinFaults + 1));
+  for (int i = 0; i < extra_faults; ++i) {
+    scenario.faults.push_back(DrawFault(kRandomKinds[random.UniformBelow(kRandomKinds.size())], random));
   }
-  if (dice.Happens(kUnheardChance)) {
-    for (Trouble& trouble : DrawUnheard(dice)) scenario.troubles.push_back(std::move(trouble));
+  if (random.Bernoulli(kMissedDrainChance)) {
+    for (Fault& fault : DrawMissedDrains(random)) scenario.faults.push_back(std::move(fault));
   }
-  if (dice.Happens(kTakenOverChance)) {
-    for (Trouble& trouble : DrawTakenOver(dice)) scenario.troubles.push_back(std::move(trouble));
+  if (random.Bernoulli(kStaleAddressChance)) {
+    for (Fault& fault : DrawStaleAddresses(random)) scenario.faults.push_back(std::move(fault));
   }
-  if (dice.Happens(kCrowdChance)) scenario.troubles.push_back(DrawCrowd(dice));
+  if (random.Bernoulli(kIdleClientsChance)) scenario.faults.push_back(DrawIdleClients(random));
   return scenario;
 }
 
--- a/src/model/soak.hpp
+++ b/src/model/soak.hpp
@@ -1,6 +1,6 @@
-// A short day with faults drawn at random from a seed, for soak tests on real processes: relays that are
-// killed, restarted, stopped and signalled, hosts that drain and fail, and a discovery that is ill in every
-// way that the model has. The same seed gives the same day. No I/O.
+// A short day with random faults for soak tests on real processes: relays are killed, restarted, stopped and
+// signalled, hosts drain and fail, and discovery fails in every way that the model knows. The same seed gives
+// the same day. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,8 @@
 
 namespace oxbowspread::model {
 
-// Named after the seed; about 20 s with its end. Hosts drain on each such day, and relays are restarted.
+// The scenario is named after the seed and takes about 20 s with the time after its end. On each such day
+// hosts drain and relays are restarted.
 Scenario DrawSoak(std::uint64_t seed);
 
 }  // namespace oxbowspread::model
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -10,61 +10,62 @@
 using Kind = trace::Event::Kind;
 using namespace std::chrono_literals;
 
-constexpr Time kAnswerWithin = 400ms;  // a client waits so long for the answer to a hand-in
-constexpr Time kAfterTheEnd = 3s;
-constexpr Time kBeatEach = 2s;         // of a watch while nothing changes
-constexpr Time kListWaitsMost = 2s;    // of a call for the list, until it is refused
-constexpr Time kRepeatAnswered = 5ms;  // a host that knows the key
-constexpr Time kMostComeAgain = 2s;    // the longest told wait that a client follows
+constexpr Time kClientTimeout = 400ms;  // for the answer to a submission
+constexpr Time kWaitAfterLastDeadline = 3s;
+constexpr Time kHeartbeatInterval = 2s;   // of a watch while nothing changes
+constexpr Time kListQueueTimeout = 2s;    // of a call for the list; then it is refused
+constexpr Time kRepeatAnswerDelay = 5ms;  // of a host that has served the key before
+constexpr Time kMaxRetryAfter = 2s;       // a client waits no longer, whatever the relay asks for
 
-Time Seconds(double s) { return Time(static_cast<Time::rep>(std::llround(s * 1e6))); }
+Time Seconds(double seconds) { return Time(static_cast<Time::rep>(std::llround(seconds * 1e6))); }
 
-std::string Hex(std::uint64_t seed, std::string_view name) {
-  Dice dice(seed, name);
+std::string RandomHex(std::uint64_t seed, std::string_view name) {
+  RandomStream random(seed, name);
   char text[20];
-  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(dice.Below(~0ull)));
+  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(random.UniformBelow(~0ull)));
   return text;
 }
 
 }  // namespace
 
-World::World(const Scenario& scenario, const Day& day, Sink sink)
+PlatformModel::PlatformModel(const Scenario& scenario, const Day& day, TraceSink sink)
     : scenario_(scenario),
       day_(day),
       sink_(std::move(sink)),
-      lag_(day.list_lag),
-      clients_(day.seed, "clients"),
-      network_(day.seed, "network"),
-      hosts_(day.seed, "hosts") {
-  const Scenario::Partners& p = scenario_.partners;
+      list_lag_(day.list_lag),
+      client_random_(day.seed, "clients"),
+      network_random_(day.seed, "network"),
+      host_random_(day.seed, "hosts") {
+  const Scenario::Partners& partners = scenario_.partners;
   for (std::size_t h = 0; h < day_.hosts.size(); ++h) {
     const Host& host = day_.hosts[h];
-    routes_.emplace_back(host, p.fall_multiple, p.fall);
-    standing_.push_back(host.from_start);
+    simulated_hosts_.emplace_back(host, partners.collapse_load_factor, partners.collapse_after);
+    listening_.push_back(host.present_at_start);
     connections_.push_back(0);
-    if (!host.from_start) continue;
-    at_address_[host.address] = h;
-    changes_.push_back(EntryOf(h, ListEntry::State::kReady));
+    if (!host.present_at_start) continue;
+    host_by_address_[host.address] = h;
+    list_changes_.push_back(MakeEntry(h, ListEntry::State::kReady));
   }
-  published_ = changes_.size();
+  published_ = list_changes_.size();
   relays_.resize(static_cast<std::size_t>(day_.relays));
-  for (RelayState& relay : relays_) relay.told = published_;
+  for (RelayState& relay : relays_) relay.sent_version = published_;
   messages_.reserve(day_.arrivals.size());
-  last_until_ = day_.length;
-  if (!day_.arrivals.empty()) Add(day_.arrivals.front().due, Todo::kArrival, 0);
-  for (std::size_t t = 0; t < day_.turns.size(); ++t) Add(day_.turns[t].at, Todo::kTurn, t);
-  Add(kBeatEach, Todo::kBeat, 0);
+  last_deadline_ = day_.length;
+  if (!day_.arrivals.empty()) Schedule(day_.arrivals.front().due, TaskKind::kArrival, 0);
+  for (std::size_t t = 0; t < day_.scheduled_events.size(); ++t)
+    Schedule(day_.scheduled_events[t].at, TaskKind::kScheduledEvent, t);
+  Schedule(kHeartbeatInterval, TaskKind::kHeartbeat, 0);
 }
 
-trace::Event World::EventOf(Kind kind) const {
+trace::Event PlatformModel::MakeEvent(Kind kind) const {
   trace::Event event;
   event.at = now_;
   event.kind = kind;
   return event;
 }
 
-trace::Event World::EventOf(Kind kind, const Call& call) const {
-  trace::Event event = EventOf(kind);
+trace::Event PlatformModel::MakeEvent(Kind kind, const Call& call) const {
+  trace::Event event = MakeEvent(kind);
   const Host& host = day_.hosts[call.host];
   event.id = call.id;
   event.relay = call.relay;
@@ -74,477 +75,487 @@
   return event;
 }
 
-void World::Add(Time at, Todo what, std::uint64_t subject) {
-  due_.push({std::max(at, now_), order_++, what, subject});
+void PlatformModel::Schedule(Time at, TaskKind kind, std::uint64_t subject) {
+  tasks_.push({std::max(at, now_), next_order_++, kind, subject});
 }
 
-Time World::wake_at() const {
+Time PlatformModel::wake_at() const {
   if (done_) return Time::max();
-  const Time end = last_until_ + kAfterTheEnd;
-  return due_.empty() ? end : std::min(due_.top().at, end);
+  const Time end = last_deadline_ + kWaitAfterLastDeadline;
+  return tasks_.empty() ? end : std::min(tasks_.top().at, end);
 }
 
-std::vector<Effect> World::Step(Time now, const std::vector<Input>& inputs) {
+std::vector<Effect> PlatformModel::Step(Time now, const std::vector<Input>& inputs) {
   now_ = std::max(now_, now);
   if (!done_) {
-    for (const Input& input : inputs) Take(input);
-    while (!due_.empty() && due_.top().at <= now_) {
-      const Due due = due_.top();
-      due_.pop();
-      Do(due);
+    for (const Input& input : inputs) Handle(input);
+    while (!tasks_.empty() && tasks_.top().at <= now_) {
+      const Task task = tasks_.top();
+      tasks_.pop();
+      Execute(task);
     }
-    const bool all_asked = messages_.size() == day_.arrivals.size() && now_ >= day_.length;
-    if ((all_asked && pending_ == 0) || now_ >= last_until_ + kAfterTheEnd) {
+    const bool all_started = messages_.size() == day_.arrivals.size() && now_ >= day_.length;
+    if ((all_started && pending_ == 0) || now_ >= last_deadline_ + kWaitAfterLastDeadline) {
       done_ = true;
-      sink_(EventOf(Kind::kEnd));
+      sink_(MakeEvent(Kind::kEnd));
     }
   }
   return std::exchange(effects_, {});
 }
 
-void World::Do(const Due& due) {
-  switch (due.what) {
-    case Todo::kArrival:
-      return Ask(due.subject);
-    case Todo::kTurn:
-      return Do(day_.turns[due.subject]);
-    case Todo::kHandAgain:
-      return HandTo(due.subject);
-    case Todo::kHandDue: {
-      const auto it = hands_.find(due.subject);
-      if (it == hands_.end()) return;
-      effects_.push_back(LeaveHand{due.subject, it->second.relay});
-      return Take(Answered{due.subject, Answered::What::kBroken, Time(0)});
+void PlatformModel::Execute(const Task& task) {
+  switch (task.kind) {
+    case TaskKind::kArrival:
+      return StartMessage(task.subject);
+    case TaskKind::kScheduledEvent:
+      return Execute(day_.scheduled_events[task.subject]);
+    case TaskKind::kResubmit:
+      return Submit(task.subject);
+    case TaskKind::kSubmissionTimeout: {
+      const auto it = submissions_.find(task.subject);
+      if (it == submissions_.end()) return;
+      effects_.push_back(AbandonSubmission{task.subject, it->second.relay});
+      return Handle(SubmissionAnswered{task.subject, SubmissionAnswered::Result::kConnectionLost, Time(0)});
     }
-    case Todo::kCallComes:
-      return Comes(due.subject);
-    case Todo::kCallAnswered:
-      return Finish(due.subject);
-    case Todo::kPublish:
-      for (std::size_t v = published_; v < due.subject; ++v) {
-        trace::Event event = EventOf(Kind::kChanged);
-        event.host = changes_[v].id;
-        event.up = changes_[v].state == ListEntry::State::kReady;
+    case TaskKind::kCallArrives:
+      return DeliverCallToHost(task.subject);
+    case TaskKind::kCallAnswered:
+      return FinishCall(task.subject);
+    case TaskKind::kPublish:
+      for (std::size_t v = published_; v < task.subject; ++v) {
+        trace::Event event = MakeEvent(Kind::kChanged);
+        event.host = list_changes_[v].id;
+        event.up = list_changes_[v].state == ListEntry::State::kReady;
         sink_(event);
       }
-      published_ = std::max<std::size_t>(published_, due.subject);
+      published_ = std::max<std::size_t>(published_, task.subject);
       for (int r = 0; r < day_.relays; ++r) {
         const RelayState& relay = relays_[static_cast<std::size_t>(r)];
-        if (relay.watch != 0 && !relay.watch_silent) Tell(r);
+        if (relay.watch_call != 0 && !relay.watch_silent) SendListChanges(r);
       }
       return;
-    case Todo::kBeat:
-      return Beat();
-    case Todo::kListTurn:
+    case TaskKind::kHeartbeat:
+      return SendHeartbeats();
+    case TaskKind::kServeListQueue:
       return ServeListQueue();
-    case Todo::kListRefused: {
-      const ListWanted wanted = refused_later_.extract(due.subject).mapped();
-      effects_.push_back(RefuseList{wanted.relay, wanted.call});
+    case TaskKind::kRefuseList: {
+      const ListRequested request = delayed_refusals_.extract(task.subject).mapped();
+      effects_.push_back(RefuseList{request.relay, request.call});
       return;
     }
-    case Todo::kStart:
-      effects_.push_back(StartRelay{static_cast<int>(due.subject)});
+    case TaskKind::kStartRelay:
+      effects_.push_back(StartRelay{static_cast<int>(task.subject)});
       return;
   }
 }
 
-void World::Take(const Input& input) {
+void PlatformModel::Handle(const Input& input) {
   if (const auto* up = std::get_if<RelayUp>(&input)) {
     RelayState& relay = relays_[static_cast<std::size_t>(up->relay)];
-    relay.up = relay.believed = true;
-    trace::Event event = EventOf(Kind::kReady);
+    relay.up = relay.believed_up = true;
+    trace::Event event = MakeEvent(Kind::kReady);
     event.relay = up->relay;
     sink_(event);
   } else if (const auto* down = std::get_if<RelayDown>(&input)) {
     RelayState& relay = relays_[static_cast<std::size_t>(down->relay)];
     relay.up = relay.stopped = false;
-    relay.watch = 0;
-    relay.notice_at = now_ + Seconds(network_.In(scenario_.network.front_notices));
-    trace::Event event = EventOf(Kind::kDead);
+    relay.watch_call = 0;
+    relay.detected_down_at =
+        now_ + Seconds(network_random_.UniformIn(scenario_.network.failure_detection_delay));
+    trace::Event event = MakeEvent(Kind::kDead);
     event.relay = down->relay;
     sink_(event);
-    if (relay.down >= 0)
-      Add(now_ + Seconds(relay.down), Todo::kStart, static_cast<std::uint64_t>(down->relay));
-  } else if (const auto* answered = std::get_if<Answered>(&input)) {
-    Take(*answered);
-  } else if (const auto* called = std::get_if<Called>(&input)) {
-    Take(*called);
-  } else if (const auto* dropped = std::get_if<Dropped>(&input)) {
-    // Its host works on: it may run yet, only nobody hears of it.
+    if (relay.downtime_s >= 0)
+      Schedule(now_ + Seconds(relay.downtime_s), TaskKind::kStartRelay,
+               static_cast<std::uint64_t>(down->relay));
+  } else if (const auto* answered = std::get_if<SubmissionAnswered>(&input)) {
+    Handle(*answered);
+  } else if (const auto* received = std::get_if<CallReceived>(&input)) {
+    Handle(*received);
+  } else if (const auto* dropped = std::get_if<CallDropped>(&input)) {
+    // The host goes on: the call may still take effect, but no one sees its answer.
     const auto it = calls_.find(dropped->call);
     if (it == calls_.end()) return;
-    sink_(EventOf(Kind::kDropped, it->second));
-    Comes(dropped->call);  // also one that is still on its way gets there
+    sink_(MakeEvent(Kind::kDropped, it->second));
+    DeliverCallToHost(dropped->call);  // a call that is still in transit arrives as well
     calls_.erase(dropped->call);
-  } else if (const auto* noticed = std::get_if<Noticed>(&input)) {
-    Take(*noticed);
+  } else if (const auto* notice = std::get_if<NoticeReceived>(&input)) {
+    Handle(*notice);
   } else if (const auto* ended = std::get_if<WatchEnded>(&input)) {
     RelayState& relay = relays_[static_cast<std::size_t>(ended->relay)];
-    if (relay.watch == ended->call) relay.watch = 0;
-  } else if (const auto* wanted = std::get_if<ListWanted>(&input)) {
-    Take(*wanted);
+    if (relay.watch_call == ended->call) relay.watch_call = 0;
+  } else if (const auto* request = std::get_if<ListRequested>(&input)) {
+    Handle(*request);
   }
 }
 
 // ---- clients ----
 
-void World::Ask(std::uint64_t arrival) {
-  const Arrival& a = day_.arrivals[arrival];
-  lateness_ = std::max(lateness_, now_ - a.due);
-  Message m;
-  m.due = a.due;
-  m.until = a.due + Seconds(scenario_.relay.deadline);
-  m.destination = a.partner;
-  m.beside = a.relay;
-  m.key = Hex(day_.seed, "key-" + std::to_string(arrival));
-  Dice dice(day_.seed, "client-" + std::to_string(arrival));
-  const double retries = dice.In(scenario_.traffic.retries);
-  m.retries = static_cast<int>(retries);
-  last_until_ = std::max(last_until_, m.until);
-  messages_.push_back(std::move(m));
+void PlatformModel::StartMessage(std::uint64_t arrival) {
+  const Arrival& arrival_data = day_.arrivals[arrival];
+  lateness_ = std::max(lateness_, now_ - arrival_data.due);
+  Message message;
+  message.due = arrival_data.due;
+  message.deadline = arrival_data.due + Seconds(scenario_.relay.deadline);
+  message.destination = arrival_data.partner;
+  message.local_relay = arrival_data.local_relay;
+  message.key = RandomHex(day_.seed, "key-" + std::to_string(arrival));
+  RandomStream random(day_.seed, "client-" + std::to_string(arrival));
+  const double retries = random.UniformIn(scenario_.traffic.retries);
+  message.retries = static_cast<int>(retries);
+  last_deadline_ = std::max(last_deadline_, message.deadline);
+  messages_.push_back(std::move(message));
   ++pending_;
-  trace::Event event = EventOf(Kind::kAsked);
+  trace::Event event = MakeEvent(Kind::kAsked);
   event.message = arrival;
-  event.destination = a.partner;
-  event.until = messages_.back().until;
+  event.destination = arrival_data.partner;
+  event.until = messages_.back().deadline;
   sink_(event);
-  HandTo(arrival);
-  if (arrival + 1 < day_.arrivals.size()) Add(day_.arrivals[arrival + 1].due, Todo::kArrival, arrival + 1);
+  Submit(arrival);
+  if (arrival + 1 < day_.arrivals.size())
+    Schedule(day_.arrivals[arrival + 1].due, TaskKind::kArrival, arrival + 1);
 }
 
-// In turn over those that the front believes up; all, where it believes none.
-int World::PickRelay() {
+// Round robin over the relays that the load balancer believes up; over all, if it believes none up.
+int PlatformModel::PickRelay() {
   for (std::size_t i = 0; i < relays_.size(); ++i) {
     const std::size_t r = (next_relay_ + i) % relays_.size();
     RelayState& relay = relays_[r];
     const bool answers = relay.up && !relay.stopped;
-    if (!answers && relay.believed && now_ >= relay.notice_at) relay.believed = false;
-    if (!relay.believed) continue;
+    if (!answers && relay.believed_up && now_ >= relay.detected_down_at) relay.believed_up = false;
+    if (!relay.believed_up) continue;
     next_relay_ = r + 1;
     return static_cast<int>(r);
   }
   return static_cast<int>(next_relay_++ % relays_.size());
 }
 
-void World::HandTo(std::uint64_t number) {
-  Message& m = messages_[number];
-  if (m.over) return;
-  if (now_ >= m.until) return Over(number);
-  const std::uint64_t hand = ++hands_made_;
-  HandIn in;
-  in.hand = hand;
-  in.relay = m.beside >= 0 ? m.beside : PickRelay();
-  in.id = Hex(day_.seed, "id-" + std::to_string(hand));
-  in.key = m.key;
-  in.left = m.until - now_;
-  in.destination = m.destination;
-  in.refused_before = m.refused_before;
-  in.died_before = m.died_before;
-  hands_[hand] = {number, in.relay, in.id};
-  ids_[in.id].message = number;
-  trace::Event event = EventOf(Kind::kHanded);
+void PlatformModel::Submit(std::uint64_t number) {
+  Message& message = messages_[number];
+  if (message.ended) return;
+  if (now_ >= message.deadline) return EndMessage(number);
+  const std::uint64_t submission = ++submission_count_;
+  SubmitMessage submit;
+  submit.submission = submission;
+  submit.relay = message.local_relay >= 0 ? message.local_relay : PickRelay();
+  submit.id = RandomHex(day_.seed, "id-" + std::to_string(submission));
+  submit.key = message.key;
+  submit.time_left = message.deadline - now_;
+  submit.destination = message.destination;
+  submit.refused_before = message.refused_before;
+  submit.lost_before = message.lost_before;
+  submissions_[submission] = {number, submit.relay, submit.id};
+  submission_states_[submit.id].message = number;
+  trace::Event event = MakeEvent(Kind::kHanded);
   event.message = number;
-  event.id = in.id;
-  event.relay = in.relay;
-  event.destination = m.destination;
-  event.until = m.until;
+  event.id = submit.id;
+  event.relay = submit.relay;
+  event.destination = message.destination;
+  event.until = message.deadline;
   sink_(event);
-  effects_.push_back(std::move(in));
-  Add(now_ + kAnswerWithin, Todo::kHandDue, hand);
-}
-
-void World::Take(const Answered& answered) {
-  const auto it = hands_.find(answered.hand);
-  if (it == hands_.end()) return;
-  const Hand hand = it->second;
-  hands_.erase(it);
-  Id& id = ids_[hand.id];
-  trace::Event event = EventOf(Kind::kTaken);
-  event.id = hand.id;
-  event.relay = hand.relay;
-  event.message = hand.message;
-  switch (answered.what) {
-    case Answered::What::kTaken:
+  effects_.push_back(std::move(submit));
+  Schedule(now_ + kClientTimeout, TaskKind::kSubmissionTimeout, submission);
+}
+
+void PlatformModel::Handle(const SubmissionAnswered& answered) {
+  const auto it = submissions_.find(answered.submission);
+  if (it == submissions_.end()) return;
+  const Submission submission = it->second;
+  submissions_.erase(it);
+  SubmissionState& id = submission_states_[submission.id];
+  trace::Event event = MakeEvent(Kind::kTaken);
+  event.id = submission.id;
+  event.relay = submission.relay;
+  event.message = submission.message;
+  switch (answered.result) {
+    case SubmissionAnswered::Result::kAccepted:
       sink_(event);
-      id.taken = true;
-      if (id.delivered || id.noticed) Over(hand.message);
+      id.accepted = true;
+      if (id.delivered || id.noticed) EndMessage(submission.message);
       return;
-    case Answered::What::kTurnedAway:
+    case SubmissionAnswered::Result::kRejected:
       event.kind = Kind::kTurnedAway;
-      event.wait = answered.come_again;
+      event.wait = answered.retry_after;
       sink_(event);
-      ids_.erase(hand.id);
-      return Refused(hand.message, answered.come_again);
-    case Answered::What::kBroken:
+      submission_states_.erase(submission.id);
+      return HandleRejection(submission.message, answered.retry_after);
+    case SubmissionAnswered::Result::kConnectionLost:
       event.kind = Kind::kLeft;
       sink_(event);
-      id.left = true;
-      messages_[hand.message].died_before = true;
-      return Again(hand.message, Seconds(clients_.In(scenario_.traffic.again)));
+      id.abandoned = true;
+      messages_[submission.message].lost_before = true;
+      return ResubmitAfter(submission.message,
+                           Seconds(client_random_.UniformIn(scenario_.traffic.resubmit_delay)));
   }
 }
 
-void World::Refused(std::uint64_t number, Time come_again) {
-  Message& m = messages_[number];
-  if (m.retries <= 0) return Over(number);
-  --m.retries;
-  m.refused_before = true;
-  Time wait = Seconds(clients_.In(scenario_.traffic.backoff) * std::pow(2.0, m.refusals++));
-  if (come_again > 0us && clients_.Happens(day_.honour)) wait = std::min(come_again, Time(kMostComeAgain));
-  Again(number, wait);
+void PlatformModel::HandleRejection(std::uint64_t number, Time retry_after) {
+  Message& message = messages_[number];
+  if (message.retries <= 0) return EndMessage(number);
+  --message.retries;
+  message.refused_before = true;
+  Time wait =
+      Seconds(client_random_.UniformIn(scenario_.traffic.backoff) * std::pow(2.0, message.refusals++));
+  if (retry_after > 0us && client_random_.Bernoulli(day_.retry_after_compliance))
+    wait = std::min(retry_after, Time(kMaxRetryAfter));
+  ResubmitAfter(number, wait);
 }
 
-void World::Again(std::uint64_t number, Time after) {
-  if (now_ + after >= messages_[number].until) return Over(number);
-  Add(now_ + after, Todo::kHandAgain, number);
+void PlatformModel::ResubmitAfter(std::uint64_t number, Time delay) {
+  if (now_ + delay >= messages_[number].deadline) return EndMessage(number);
+  Schedule(now_ + delay, TaskKind::kResubmit, number);
 }
 
-void World::Over(std::uint64_t number) {
-  Message& m = messages_[number];
-  if (std::exchange(m.over, true)) return;
+void PlatformModel::EndMessage(std::uint64_t number) {
+  Message& message = messages_[number];
+  if (std::exchange(message.ended, true)) return;
   --pending_;
-  trace::Event event = EventOf(Kind::kGivenUp);
+  trace::Event event = MakeEvent(Kind::kGivenUp);
   event.message = number;
   sink_(event);
 }
 
-void World::Take(const Noticed& noticed) {
-  trace::Event event = EventOf(Kind::kNoticed);
-  event.id = noticed.id;
-  event.relay = noticed.relay;
-  event.deferred = noticed.deferred;
-  event.wait = noticed.again;
+void PlatformModel::Handle(const NoticeReceived& notice) {
+  trace::Event event = MakeEvent(Kind::kNoticed);
+  event.id = notice.id;
+  event.relay = notice.relay;
+  event.deferred = notice.deferred;
+  event.wait = notice.retry_after;
   sink_(event);
-  const auto it = ids_.find(noticed.id);
-  if (it == ids_.end()) return;
-  Id& id = it->second;
-  if (std::exchange(id.noticed, true) || id.left || !id.taken || id.delivered) return;
-  noticed.deferred ? Refused(id.message, noticed.again) : Over(id.message);
+  const auto it = submission_states_.find(notice.id);
+  if (it == submission_states_.end()) return;
+  SubmissionState& id = it->second;
+  if (std::exchange(id.noticed, true) || id.abandoned || !id.accepted || id.delivered) return;
+  notice.deferred ? HandleRejection(id.message, notice.retry_after) : EndMessage(id.message);
 }
 
 // ---- endpoints ----
 
-std::vector<std::string> World::Addresses() const {
+std::vector<std::string> PlatformModel::Addresses() const {
   std::vector<std::string> all;
-  for (const auto& [address, host] : at_address_) all.push_back(address);
+  for (const auto& [address, host] : host_by_address_) all.push_back(address);
   return all;
 }
 
-bool World::Connect(const std::string& address) {
-  const auto it = at_address_.find(address);
-  if (it == at_address_.end() || !standing_[it->second]) return false;
-  const int most = scenario_.partners.connections;
-  if (most > 0 && connections_[it->second] >= most) return false;
+bool PlatformModel::Connect(const std::string& address) {
+  const auto it = host_by_address_.find(address);
+  if (it == host_by_address_.end() || !listening_[it->second]) return false;
+  const int max_connections = scenario_.partners.max_connections;
+  if (max_connections > 0 && connections_[it->second] >= max_connections) return false;
   connections_[it->second] += 1;
   return true;
 }
 
-void World::Disconnect(const std::string& address) {
-  const auto it = at_address_.find(address);
-  if (it != at_address_.end() && connections_[it->second] > 0) connections_[it->second] -= 1;
+void PlatformModel::Disconnect(const std::string& address) {
+  const auto it = host_by_address_.find(address);
+  if (it != host_by_address_.end() && connections_[it->second] > 0) connections_[it->second] -= 1;
 }
 
-void World::Take(const Called& called) {
-  const auto at = at_address_.find(called.address);
-  if (at == at_address_.end()) {
-    effects_.push_back(BreakCall{called.call});
+void PlatformModel::Handle(const CallReceived& received) {
+  const auto at = host_by_address_.find(received.address);
+  if (at == host_by_address_.end()) {
+    effects_.push_back(CloseCallConnection{received.call});
     return;
   }
   Call call;
-  call.relay = called.relay;
+  call.relay = received.relay;
   call.host = at->second;
-  call.id = called.id;
-  call.key = called.key;
-  call.fresh = called.fresh;
-  call.crowded = called.crowded;
-  trace::Event event = EventOf(Kind::kCalled, call);
-  event.fresh = called.fresh;
+  call.id = received.id;
+  call.key = received.key;
+  call.first_on_connection = received.first_on_connection;
+  call.over_connection_limit = received.over_connection_limit;
+  trace::Event event = MakeEvent(Kind::kCalled, call);
+  event.fresh = received.first_on_connection;
   sink_(event);
-  Time way = Seconds(network_.In(scenario_.network.one_way));
-  if (called.fresh) {
-    way += Seconds(2 * network_.In(scenario_.network.handshake) * network_.In(scenario_.network.one_way));
+  Time delay_to_host = Seconds(network_random_.UniformIn(scenario_.network.one_way));
+  if (received.first_on_connection) {
+    delay_to_host += Seconds(2 * network_random_.UniformIn(scenario_.network.handshake_round_trips) *
+                             network_random_.UniformIn(scenario_.network.one_way));
   }
-  calls_.emplace(called.call, std::move(call));
-  Add(now_ + way, Todo::kCallComes, called.call);
+  calls_.emplace(received.call, std::move(call));
+  Schedule(now_ + delay_to_host, TaskKind::kCallArrives, received.call);
 }
 
-// A host begins on it, or turns it away.
-void World::Comes(std::uint64_t number) {
+// The host starts the call or refuses it.
+void PlatformModel::DeliverCallToHost(std::uint64_t number) {
   const auto it = calls_.find(number);
   if (it == calls_.end() || it->second.answering) return;
   Call& call = it->second;
   call.answering = true;
   const std::string effect = call.key + "@" + std::to_string(day_.hosts[call.host].partner) + "/" +
                              std::to_string(day_.hosts[call.host].zone);
-  const Time window = Seconds(scenario_.relay.window);
-  while (!effects_old_.empty() && effects_old_.front().first + window < now_) {
-    effects_had_.erase(effects_old_.front().second);
-    effects_old_.pop();
+  const Time window = Seconds(scenario_.relay.repeat_window);
+  while (!effects_by_age_.empty() && effects_by_age_.front().first + window < now_) {
+    effect_times_.erase(effects_by_age_.front().second);
+    effects_by_age_.pop();
   }
-  const Time back = Seconds(network_.In(scenario_.network.one_way));
-  const auto id = ids_.find(call.id);
-  if (id != ids_.end() && messages_[id->second.message].destination != day_.hosts[call.host].partner) {
+  const Time delay_back = Seconds(network_random_.UniformIn(scenario_.network.one_way));
+  const auto id = submission_states_.find(call.id);
+  if (id != submission_states_.end() &&
+      messages_[id->second.message].destination != day_.hosts[call.host].partner) {
     call.status = 400;
-    return Add(now_ + back, Todo::kCallAnswered, number);
+    return Schedule(now_ + delay_back, TaskKind::kCallAnswered, number);
   }
-  if (call.crowded) {
+  if (call.over_connection_limit) {
     call.status = 503;
-    return Add(now_ + back, Todo::kCallAnswered, number);
+    return Schedule(now_ + delay_back, TaskKind::kCallAnswered, number);
   }
-  if (effects_had_.count(effect) > 0) {
+  if (effect_times_.count(effect) > 0) {
     call.status = 200;
-    return Add(now_ + kRepeatAnswered + back, Todo::kCallAnswered, number);
+    return Schedule(now_ + kRepeatAnswerDelay + delay_back, TaskKind::kCallAnswered, number);
   }
-  const Route::Verdict verdict = routes_[call.host].Arrive(now_, hosts_);
-  call.status = verdict.status;
-  call.wait = verdict.wait;
-  call.over_limit = verdict.over_limit;
-  if (verdict.tips) {
-    trace::Event event = EventOf(Kind::kFell);
+  const SimulatedHost::CallResult result = simulated_hosts_[call.host].HandleCall(now_, host_random_);
+  call.status = result.status;
+  call.retry_after = result.retry_after;
+  call.over_limit = result.over_limit;
+  if (result.collapsed) {
+    trace::Event event = MakeEvent(Kind::kFell);
     event.host = day_.hosts[call.host].id;
     sink_(event);
   }
-  if (verdict.status == 200 && !call.key.empty()) {
-    effects_had_[effect] = now_;
-    effects_old_.emplace(now_, effect);
+  if (result.status == 200 && !call.key.empty()) {
+    effect_times_[effect] = now_;
+    effects_by_age_.emplace(now_, effect);
   }
-  Add(verdict.answer_at + back, Todo::kCallAnswered, number);
+  Schedule(result.answer_at + delay_back, TaskKind::kCallAnswered, number);
 }
 
-void World::Finish(std::uint64_t number) {
+void PlatformModel::FinishCall(std::uint64_t number) {
   const auto it = calls_.find(number);
   if (it == calls_.end()) return;
   const Call call = std::move(it->second);
   calls_.erase(it);
-  trace::Event event = EventOf(Kind::kAnswered, call);
+  trace::Event event = MakeEvent(Kind::kAnswered, call);
   event.status = call.status;
-  event.wait = call.wait;
+  event.wait = call.retry_after;
   event.over_limit = call.over_limit;
   sink_(event);
-  effects_.push_back(AnswerCall{number, call.status, call.wait});
+  effects_.push_back(AnswerCall{number, call.status, call.retry_after});
   if (call.status != 200) return;
-  const auto id = ids_.find(call.id);
-  if (id == ids_.end() || std::exchange(id->second.delivered, true)) return;
-  if (id->second.taken && !id->second.left) Over(id->second.message);
+  const auto id = submission_states_.find(call.id);
+  if (id == submission_states_.end() || std::exchange(id->second.delivered, true)) return;
+  if (id->second.accepted && !id->second.abandoned) EndMessage(id->second.message);
 }
 
-// ---- what goes wrong ----
+// ---- faults ----
 
-void World::Do(const Turn& turn) {
-  const auto index = static_cast<std::size_t>(std::max(0, turn.index));
+void PlatformModel::Execute(const ScheduledEvent& scheduled) {
+  const auto index = static_cast<std::size_t>(std::max(0, scheduled.index));
   trace::Event event;
-  switch (turn.kind) {
-    case Turn::Kind::kKill:
-      relays_[index].down = -1;
-      if (relays_[index].up) effects_.push_back(KillRelay{turn.index});
+  switch (scheduled.kind) {
+    case ScheduledEvent::Kind::kKillRelay:
+      relays_[index].downtime_s = -1;
+      if (relays_[index].up) effects_.push_back(KillRelay{scheduled.index});
       return;
-    case Turn::Kind::kStart:
-      effects_.push_back(StartRelay{turn.index});
+    case ScheduledEvent::Kind::kStartRelay:
+      effects_.push_back(StartRelay{scheduled.index});
       return;
-    case Turn::Kind::kTerminate:
+    case ScheduledEvent::Kind::kTerminateRelay:
       if (!relays_[index].up) return;
-      relays_[index].down = turn.value;
-      event = EventOf(Kind::kTerminated);
-      event.relay = turn.index;
+      relays_[index].downtime_s = scheduled.value;
+      event = MakeEvent(Kind::kTerminated);
+      event.relay = scheduled.index;
       sink_(event);
-      effects_.push_back(TerminateRelay{turn.index});
+      effects_.push_back(TerminateRelay{scheduled.index});
       return;
-    case Turn::Kind::kStop:
+    case ScheduledEvent::Kind::kStopRelay:
       if (!relays_[index].up) return;
       relays_[index].stopped = true;
-      relays_[index].notice_at = now_ + Seconds(network_.In(scenario_.network.front_notices));
-      effects_.push_back(StopRelay{turn.index});
-      event = EventOf(Kind::kStopped);
-      event.relay = turn.index;
+      relays_[index].detected_down_at =
+          now_ + Seconds(network_random_.UniformIn(scenario_.network.failure_detection_delay));
+      effects_.push_back(StopRelay{scheduled.index});
+      event = MakeEvent(Kind::kStopped);
+      event.relay = scheduled.index;
       return sink_(event);
-    case Turn::Kind::kContinue:
+    case ScheduledEvent::Kind::kContinueRelay:
       if (!std::exchange(relays_[index].stopped, false)) return;
-      relays_[index].believed = relays_[index].up;
-      effects_.push_back(ContinueRelay{turn.index});
-      event = EventOf(Kind::kReady);
-      event.relay = turn.index;
+      relays_[index].believed_up = relays_[index].up;
+      effects_.push_back(ContinueRelay{scheduled.index});
+      event = MakeEvent(Kind::kReady);
+      event.relay = scheduled.index;
       return sink_(event);
-    case Turn::Kind::kOutage:
-      if (!standing_[index]) return;
-      routes_[index].Outage(now_, turn.value, turn.until);
-      event = EventOf(Kind::kOutage);
+    case ScheduledEvent::Kind::kStartOutage:
+      if (!listening_[index]) return;
+      simulated_hosts_[index].StartOutage(now_, scheduled.value, scheduled.until);
+      event = MakeEvent(Kind::kOutage);
       event.host = day_.hosts[index].id;
       return sink_(event);
-    case Turn::Kind::kBack:
-      if (!standing_[index]) return;
-      routes_[index].Back(now_);
-      event = EventOf(Kind::kBack);
+    case ScheduledEvent::Kind::kEndOutage:
+      if (!listening_[index]) return;
+      simulated_hosts_[index].EndOutage(now_);
+      event = MakeEvent(Kind::kBack);
       event.host = day_.hosts[index].id;
       return sink_(event);
-    case Turn::Kind::kDrain:
-      return ListChanged(index, ListEntry::State::kTerminating);
-    case Turn::Kind::kGone: {
-      standing_[index] = false;
-      at_address_.erase(day_.hosts[index].address);
+    case ScheduledEvent::Kind::kDrainHost:
+      return AddListChange(index, ListEntry::State::kTerminating);
+    case ScheduledEvent::Kind::kRemoveHost: {
+      listening_[index] = false;
+      host_by_address_.erase(day_.hosts[index].address);
       effects_.push_back(HostDown{day_.hosts[index].address});
-      std::vector<std::uint64_t> broken;
+      std::vector<std::uint64_t> broken_calls;
       for (const auto& [number, call] : calls_) {
-        if (call.host == index) broken.push_back(number);
+        if (call.host == index) broken_calls.push_back(number);
       }
-      std::sort(broken.begin(), broken.end());
-      for (const std::uint64_t number : broken) {
-        sink_(EventOf(Kind::kDropped, calls_.at(number)));
-        effects_.push_back(BreakCall{number});
+      std::sort(broken_calls.begin(), broken_calls.end());
+      for (const std::uint64_t number : broken_calls) {
+        sink_(MakeEvent(Kind::kDropped, calls_.at(number)));
+        effects_.push_back(CloseCallConnection{number});
         calls_.erase(number);
       }
-      return ListChanged(index, ListEntry::State::kGone);
+      return AddListChange(index, ListEntry::State::kGone);
     }
-    case Turn::Kind::kAdd:
-      standing_[index] = true;
-      at_address_[day_.hosts[index].address] = index;
+    case ScheduledEvent::Kind::kAddHost:
+      listening_[index] = true;
+      host_by_address_[day_.hosts[index].address] = index;
       effects_.push_back(HostUp{day_.hosts[index].address});
-      return ListChanged(index, ListEntry::State::kReady);
-    case Turn::Kind::kLag:
-      lag_ = day_.list_lag + Seconds(turn.value);
+      return AddListChange(index, ListEntry::State::kReady);
+    case ScheduledEvent::Kind::kSetListLag:
+      list_lag_ = day_.list_lag + Seconds(scheduled.value);
       return;
-    case Turn::Kind::kDiscoveryDown:
-    case Turn::Kind::kDiscoverySilent:
-    case Turn::Kind::kDiscoverySlow:
-    case Turn::Kind::kDiscoveryCrowded:
-    case Turn::Kind::kDiscoveryBack:
-      return Discovery(turn);
-    case Turn::Kind::kBreakList:
-      relays_[index].break_next = true;
+    case ScheduledEvent::Kind::kDiscoveryDown:
+    case ScheduledEvent::Kind::kDiscoverySilent:
+    case ScheduledEvent::Kind::kDiscoverySlow:
+    case ScheduledEvent::Kind::kDiscoveryOverloaded:
+    case ScheduledEvent::Kind::kDiscoveryRecovered:
+      return SetDiscoveryState(scheduled);
+    case ScheduledEvent::Kind::kTruncateList:
+      relays_[index].truncate_next = true;
       return;
-    case Turn::Kind::kMoveDiscovery:
-      if (relays_[index].up) effects_.push_back(MoveDiscovery{turn.index});
+    case ScheduledEvent::Kind::kMoveDiscovery:
+      if (relays_[index].up) effects_.push_back(MoveDiscovery{scheduled.index});
       return;
-    case Turn::Kind::kSignals:
-      if (relays_[index].up) effects_.push_back(SignalRelay{turn.index, static_cast<int>(turn.value)});
+    case ScheduledEvent::Kind::kSignals:
+      if (relays_[index].up)
+        effects_.push_back(SignalRelay{scheduled.index, static_cast<int>(scheduled.value)});
       return;
-    case Turn::Kind::kIdleClients:
-      effects_.push_back(IdleClients{turn.index, static_cast<int>(turn.value)});
+    case ScheduledEvent::Kind::kIdleClients:
+      effects_.push_back(SetIdleClients{scheduled.index, static_cast<int>(scheduled.value)});
       return;
   }
 }
 
 // ---- discovery ----
 
-ListEntry World::EntryOf(std::size_t number, ListEntry::State state) const {
+ListEntry PlatformModel::MakeEntry(std::size_t number, ListEntry::State state) const {
   const Host& host = day_.hosts[number];
   return {host.id, host.address, host.zone, host.kind, host.partner, state, host.weight};
 }
 
-void World::ListChanged(std::size_t host, ListEntry::State state) {
-  changes_.push_back(EntryOf(host, state));
-  last_publish_ = std::max(last_publish_, now_ + lag_);
-  Add(last_publish_, Todo::kPublish, changes_.size());
+void PlatformModel::AddListChange(std::size_t host, ListEntry::State state) {
+  list_changes_.push_back(MakeEntry(host, state));
+  last_publish_ = std::max(last_publish_, now_ + list_lag_);
+  Schedule(last_publish_, TaskKind::kPublish, list_changes_.size());
 }
 
-TellList World::Known(int relay) const {
-  TellList list;
+SendList PlatformModel::KnownList(int relay) const {
+  SendList list;
   list.relay = relay;
   list.full = true;
-  const std::size_t version = relays_[static_cast<std::size_t>(relay)].told;
+  const std::size_t version = relays_[static_cast<std::size_t>(relay)].sent_version;
   list.version = static_cast<std::int64_t>(version);
   std::map<std::string, ListEntry> all;
   for (std::size_t v = 0; v < version; ++v) {
-    const ListEntry& entry = changes_[v];
+    const ListEntry& entry = list_changes_[v];
     if (entry.state == ListEntry::State::kGone) {
       all.erase(entry.id);
     } else {
@@ -555,80 +566,81 @@
   return list;
 }
 
-void World::Tell(int number) {
+void PlatformModel::SendListChanges(int number) {
   RelayState& relay = relays_[static_cast<std::size_t>(number)];
-  TellList list;
+  SendList list;
   list.relay = number;
-  list.call = relay.watch;
+  list.call = relay.watch_call;
   list.version = static_cast<std::int64_t>(published_);
-  if (relay.told < published_ && std::exchange(relay.break_next, false)) {
-    list.entries.assign(changes_.begin() + static_cast<std::ptrdiff_t>(relay.told),
-                        changes_.begin() + static_cast<std::ptrdiff_t>(published_));
-    relay.watch = 0;
-    effects_.push_back(BreakList{std::move(list)});
+  if (relay.sent_version < published_ && std::exchange(relay.truncate_next, false)) {
+    list.entries.assign(list_changes_.begin() + static_cast<std::ptrdiff_t>(relay.sent_version),
+                        list_changes_.begin() + static_cast<std::ptrdiff_t>(published_));
+    relay.watch_call = 0;
+    effects_.push_back(TruncateList{std::move(list)});
     return;
   }
-  for (std::size_t v = relay.told; v < published_; ++v) {
-    list.entries.push_back(changes_[v]);
-    trace::Event event = EventOf(Kind::kTold);
+  for (std::size_t v = relay.sent_version; v < published_; ++v) {
+    list.entries.push_back(list_changes_[v]);
+    trace::Event event = MakeEvent(Kind::kTold);
     event.relay = number;
-    event.host = changes_[v].id;
-    event.up = changes_[v].state == ListEntry::State::kReady;
+    event.host = list_changes_[v].id;
+    event.up = list_changes_[v].state == ListEntry::State::kReady;
     sink_(event);
   }
-  relay.told = published_;
+  relay.sent_version = published_;
   effects_.push_back(std::move(list));
 }
 
-void World::Take(const ListWanted& wanted) {
+void PlatformModel::Handle(const ListRequested& request) {
   switch (discovery_) {
-    case Service::kWorks:
-      return AnswerList(wanted);
-    case Service::kDown:
-      refused_later_[++refused_later_count_] = wanted;
-      return Add(now_ + refuses_after_, Todo::kListRefused, refused_later_count_);
-    case Service::kCrowded:
-      if (!network_.Happens(refused_share_)) return AnswerList(wanted);
-      effects_.push_back(RefuseList{wanted.relay, wanted.call});
+    case DiscoveryState::kUp:
+      return AnswerList(request);
+    case DiscoveryState::kDown:
+      delayed_refusals_[++delayed_refusal_count_] = request;
+      return Schedule(now_ + refusal_delay_, TaskKind::kRefuseList, delayed_refusal_count_);
+    case DiscoveryState::kOverloaded:
+      if (!network_random_.Bernoulli(refused_share_)) return AnswerList(request);
+      effects_.push_back(RefuseList{request.relay, request.call});
       return;
-    case Service::kSilent:
+    case DiscoveryState::kSilent:
       return;
-    case Service::kSlow:
-      list_queue_.emplace_back(now_, wanted);
+    case DiscoveryState::kSlow:
+      list_queue_.emplace_back(now_, request);
       list_free_at_ = std::max(list_free_at_, now_);
-      if (list_queue_.size() == 1) Add(list_free_at_ + Seconds(list_call_), Todo::kListTurn, 0);
+      if (list_queue_.size() == 1)
+        Schedule(list_free_at_ + Seconds(list_call_time_s_), TaskKind::kServeListQueue, 0);
       return;
   }
 }
 
-// One call after the other; one that has waited for too long is refused at no cost.
-void World::ServeListQueue() {
-  while (!list_queue_.empty() && now_ - list_queue_.front().first >= kListWaitsMost) {
+// Serves one call after the other. Refusing one that has waited for too long takes no time.
+void PlatformModel::ServeListQueue() {
+  while (!list_queue_.empty() && now_ - list_queue_.front().first >= kListQueueTimeout) {
     effects_.push_back(RefuseList{list_queue_.front().second.relay, list_queue_.front().second.call});
     list_queue_.pop_front();
   }
   if (list_queue_.empty()) return;
-  const ListWanted wanted = list_queue_.front().second;
+  const ListRequested request = list_queue_.front().second;
   list_queue_.pop_front();
   list_free_at_ = now_;
-  AnswerList(wanted);
-  if (!list_queue_.empty()) Add(now_ + Seconds(list_call_), Todo::kListTurn, 0);
+  AnswerList(request);
+  if (!list_queue_.empty()) Schedule(now_ + Seconds(list_call_time_s_), TaskKind::kServeListQueue, 0);
 }
 
-void World::AnswerList(const ListWanted& wanted) {
-  RelayState& relay = relays_[static_cast<std::size_t>(wanted.relay)];
-  relay.watch = wanted.call;
+void PlatformModel::AnswerList(const ListRequested& request) {
+  RelayState& relay = relays_[static_cast<std::size_t>(request.relay)];
+  relay.watch_call = request.call;
   relay.watch_silent = false;
-  if (wanted.from > 0) {
-    relay.told = std::min<std::size_t>(static_cast<std::size_t>(wanted.from), published_);
-    return Tell(wanted.relay);
+  if (request.known_version > 0) {
+    relay.sent_version = std::min<std::size_t>(static_cast<std::size_t>(request.known_version), published_);
+    return SendListChanges(request.relay);
   }
-  relay.told = published_;
-  TellList list = Known(wanted.relay);
-  list.call = wanted.call;
+  relay.sent_version = published_;
+  SendList list = KnownList(request.relay);
+  list.call = request.call;
   for (const ListEntry& entry : list.entries) {
-    trace::Event event = EventOf(Kind::kTold);
-    event.relay = wanted.relay;
+    trace::Event event = MakeEvent(Kind::kTold);
+    event.relay = request.relay;
     event.host = entry.id;
     event.up = entry.state == ListEntry::State::kReady;
     sink_(event);
@@ -636,39 +648,39 @@
   effects_.push_back(std::move(list));
 }
 
-void World::Beat() {
-  Add(now_ + kBeatEach, Todo::kBeat, 0);
+void PlatformModel::SendHeartbeats() {
+  Schedule(now_ + kHeartbeatInterval, TaskKind::kHeartbeat, 0);
   for (int r = 0; r < day_.relays; ++r) {
     const RelayState& relay = relays_[static_cast<std::size_t>(r)];
-    if (relay.watch != 0 && !relay.watch_silent) effects_.push_back(BeatWatch{r, relay.watch});
+    if (relay.watch_call != 0 && !relay.watch_silent) effects_.push_back(SendHeartbeat{r, relay.watch_call});
   }
 }
 
-// While it is down or silent it can't be reached; watches that it has left silent stay so for good.
-void World::Discovery(const Turn& turn) {
-  using TurnKind = Turn::Kind;
-  discovery_ = turn.kind == TurnKind::kDiscoveryDown      ? Service::kDown
-               : turn.kind == TurnKind::kDiscoverySilent  ? Service::kSilent
-               : turn.kind == TurnKind::kDiscoverySlow    ? Service::kSlow
-               : turn.kind == TurnKind::kDiscoveryCrowded ? Service::kCrowded
-                                                          : Service::kWorks;
-  list_call_ = refused_share_ = turn.value;
-  refuses_after_ = Seconds(turn.value);
-  if (discovery_ != Service::kSlow) {
-    for (const auto& [since, wanted] : std::exchange(list_queue_, {})) {
-      effects_.push_back(RefuseList{wanted.relay, wanted.call});
+// Discovery that is down or silent counts as unreachable. Watches that became silent never recover.
+void PlatformModel::SetDiscoveryState(const ScheduledEvent& scheduled) {
+  using EventKind = ScheduledEvent::Kind;
+  discovery_ = scheduled.kind == EventKind::kDiscoveryDown         ? DiscoveryState::kDown
+               : scheduled.kind == EventKind::kDiscoverySilent     ? DiscoveryState::kSilent
+               : scheduled.kind == EventKind::kDiscoverySlow       ? DiscoveryState::kSlow
+               : scheduled.kind == EventKind::kDiscoveryOverloaded ? DiscoveryState::kOverloaded
+                                                                   : DiscoveryState::kUp;
+  list_call_time_s_ = refused_share_ = scheduled.value;
+  refusal_delay_ = Seconds(scheduled.value);
+  if (discovery_ != DiscoveryState::kSlow) {
+    for (const auto& [since, request] : std::exchange(list_queue_, {})) {
+      effects_.push_back(RefuseList{request.relay, request.call});
     }
   }
   for (int r = 0; r < day_.relays; ++r) {
     RelayState& relay = relays_[static_cast<std::size_t>(r)];
-    if (relay.watch == 0) continue;
-    if (discovery_ == Service::kSilent) relay.watch_silent = true;
-    if (discovery_ != Service::kDown) continue;
-    effects_.push_back(RefuseList{r, relay.watch});
-    relay.watch = 0;
+    if (relay.watch_call == 0) continue;
+    if (discovery_ == DiscoveryState::kSilent) relay.watch_silent = true;
+    if (discovery_ != DiscoveryState::kDown) continue;
+    effects_.push_back(RefuseList{r, relay.watch_call});
+    relay.watch_call = 0;
   }
-  trace::Event event = EventOf(Kind::kDiscovery);
-  event.up = discovery_ != Service::kDown && discovery_ != Service::kSilent;
+  trace::Event event = MakeEvent(Kind::kDiscovery);
+  event.up = discovery_ != DiscoveryState::kDown && discovery_ != DiscoveryState::kSilent;
   sink_(event);
 }
 
--- a/src/model/world.hpp
+++ b/src/model/world.hpp
@@ -1,10 +1,10 @@
-// The platform around the relays: clients and their front, endpoints, discovery, and what goes wrong. It
-// is told what the relays do and says what they meet; whoever drives it carries that out, on sockets or on a
-// virtual clock. No I/O, no clock: time is what it is told, in microseconds since the day began.
+// The platform around the relays: clients and their load balancer, endpoints, discovery, and injected faults.
+// It gets what the relays do as inputs and returns as effects what they experience; the driver carries the
+// effects out, on sockets or on a virtual clock. No I/O and no clock: the driver passes the time, in
+// microseconds since the start of the day.
 //
-// Left out, so that nobody takes the model for the platform: connections that stay open and silent, machines
-// that vanish with their disk, partners whose endpoints share one limit, wrong or
-// spoilt answers, and the CPU of a relay.
+// Not modelled: connections that stay open and silent, machines that vanish with their disk, partners whose
+// endpoints share one limit, wrong or corrupted answers, and the CPU time of a relay.
 #pragma once
 
 #include <cstdint>
@@ -23,68 +23,69 @@
 
 namespace oxbowspread::model {
 
-// ---- what the driver tells ----
+// ---- inputs, from the driver ----
 
-struct RelayUp {  // it answers now
+struct RelayUp {  // the relay answers now
   int relay = 0;
 };
-struct RelayDown {  // its process has ended; its calls and hand-ins were told before
+struct RelayDown {  // its process has ended; the ends of its calls and submissions were reported before
   int relay = 0;
 };
-struct Answered {  // a hand-in
-  enum class What { kTaken, kTurnedAway, kBroken };
-  std::uint64_t hand = 0;
-  What what = What::kTaken;
-  Time come_again{0};  // kTurnedAway: 0: no advice
+struct SubmissionAnswered {
+  enum class Result { kAccepted, kRejected, kConnectionLost };
+  std::uint64_t submission = 0;
+  Result result = Result::kAccepted;
+  Time retry_after{0};  // kRejected: wait that the relay asked for; 0: none
 };
-struct Called {            // the last byte of a call has come
-  std::uint64_t call = 0;  // the driver's number for it, used once
+struct CallReceived {      // the last byte of a call has arrived
+  std::uint64_t call = 0;  // the driver's number for it, never reused
   int relay = 0;
   std::string address;
   std::string id, key;
-  bool fresh = false;    // the first on its connection
-  bool crowded = false;  // on one that the host has no room for: Connect said so
+  bool first_on_connection = false;
+  bool over_connection_limit = false;  // Connect returned false for its connection
 };
-struct Dropped {  // the relay, or its death, ended the call's connection before an answer
+struct CallDropped {  // the relay, or its death, ended the call's connection before an answer
   std::uint64_t call = 0;
 };
-struct Noticed {
+struct NoticeReceived {
   int relay = 0;
   std::string id;
   bool deferred = false;
-  Time again{0};
+  Time retry_after{0};
 };
-struct ListWanted {
+struct ListRequested {
   int relay = 0;
-  std::uint64_t call = 0;  // the driver's number for it, used once
-  std::int64_t from = 0;
+  std::uint64_t call = 0;  // the driver's number for it, never reused
+  std::int64_t known_version = 0;
 };
-struct WatchEnded {  // or a call for the list that was given up
+struct WatchEnded {  // the relay ended its watch or gave up a call for the list
   int relay = 0;
   std::uint64_t call = 0;
 };
-using Input = std::variant<RelayUp, RelayDown, Answered, Called, Dropped, Noticed, ListWanted, WatchEnded>;
+using Input = std::variant<RelayUp, RelayDown, SubmissionAnswered, CallReceived, CallDropped, NoticeReceived,
+                           ListRequested, WatchEnded>;
 
-// ---- what the driver does ----
+// ---- effects, for the driver to carry out ----
 
-struct HandIn {
-  std::uint64_t hand = 0;
+struct SubmitMessage {
+  std::uint64_t submission = 0;
   int relay = 0;
   std::string id, key;
-  Time left{0};  // of the message's time
+  Time time_left{0};  // until the message's deadline
   int destination = 0;
-  bool refused_before = false, died_before = false;
+  bool refused_before = false, lost_before = false;
 };
-struct LeaveHand {  // its client waits no longer: the connection ends
-  std::uint64_t hand = 0;
+struct AbandonSubmission {  // its client stops waiting: the connection ends
+  std::uint64_t submission = 0;
   int relay = 0;
 };
 struct AnswerCall {
   std::uint64_t call = 0;
   int status = 200;
-  Time wait{0};
+  Time retry_after{0};
 };
-struct BreakCall {
+struct CloseCallConnection {  // the call's connection breaks
   std::uint64_t call = 0;
 };
 struct ListEntry {
@@ -93,37 +94,37 @@
   enum class State { kReady, kTerminating, kGone } state = State::kReady;
   double weight = 0;
 };
-struct TellList {
+struct SendList {
   int relay = 0;
   std::uint64_t call = 0;
   std::int64_t version = 0;
   bool full = false;
   std::vector<ListEntry> entries;
 };
-struct RefuseList {  // that call for the list is refused, or that watch ends
+struct RefuseList {  // the call for the list is refused, or the watch ends
   int relay = 0;
   std::uint64_t call = 0;
 };
-struct BreakList {  // what it tells breaks off in its middle, and the watch with it
-  TellList list;
+struct TruncateList {  // the message is cut off in the middle, and the watch ends with it
+  SendList list;
 };
-struct MoveDiscovery {  // the relay is told of another address for it
+struct MoveDiscovery {  // the relay gets another address of discovery
   int relay = 0;
 };
-struct SignalRelay {  // `count` signals that end nothing, one after another
+struct SignalRelay {  // `count` signals that don't end the relay, one after another
   int relay = 0, count = 0;
 };
-struct IdleClients {  // so many stay connected and say nothing
+struct SetIdleClients {  // from now on `count` clients stay connected and send nothing
   int relay = 0, count = 0;
 };
-struct BeatWatch {  // says that nothing has changed
+struct SendHeartbeat {  // on a watch, while nothing changes
   int relay = 0;
   std::uint64_t call = 0;
 };
-struct HostUp {  // stands at its address from now on, and at a day's beginning those of Addresses()
+struct HostUp {  // a host listens there from now on; at the start of the day those of Addresses() do
   std::string address;
 };
-struct HostDown {  // is gone: its connections break and new ones are refused
+struct HostDown {  // the host is gone: its connections break and new ones are refused
   std::string address;
 };
 struct KillRelay {
@@ -135,164 +136,168 @@
 struct StartRelay {
   int relay = 0;
 };
-struct StopRelay {  // SIGSTOP: it does nothing, not even end, until ContinueRelay or KillRelay
+struct StopRelay {  // SIGSTOP: the relay does nothing, not even exit, until ContinueRelay or KillRelay
   int relay = 0;
 };
 struct ContinueRelay {
   int relay = 0;
 };
-using Effect = std::variant<HandIn, LeaveHand, AnswerCall, BreakCall, TellList, RefuseList, BeatWatch, HostUp,
-                            HostDown, KillRelay, TerminateRelay, StartRelay, StopRelay, ContinueRelay,
-                            BreakList, MoveDiscovery, SignalRelay, IdleClients>;
+using Effect =
+    std::variant<SubmitMessage, AbandonSubmission, AnswerCall, CloseCallConnection, SendList, RefuseList,
+                 SendHeartbeat, HostUp, HostDown, KillRelay, TerminateRelay, StartRelay, StopRelay,
+                 ContinueRelay, TruncateList, MoveDiscovery, SignalRelay, SetIdleClients>;
 
-class World {
+class PlatformModel {
  public:
-  using Sink = std::function<void(const trace::Event&)>;
+  using TraceSink = std::function<void(const trace::Event&)>;
 
-  // `day` is of `scenario`; both are copied. `sink` is told all that crosses, in the order of time.
-  World(const Scenario& scenario, const Day& day, Sink sink);
+  // `day` must be drawn from `scenario`; both are copied. `sink` gets every trace event, in the order of
+  // time.
+  PlatformModel(const Scenario& scenario, const Day& day, TraceSink sink);
 
-  // All inputs of one moment, then what is due by then. `now` never goes back. Unknown hands, calls and ids
-  // are told to the sink or passed over.
+  // Applies all inputs of one moment, then runs what is due by then. `now` never decreases. Unknown
+  // submissions, calls and ids are passed to the sink or ignored.
   std::vector<Effect> Step(Time now, const std::vector<Input>& inputs);
-  // To be called again then at the latest; Time::max() once the day is over.
+  // Step must be called again by then; Time::max() once the day is over.
   Time wake_at() const;
-  // Every message has its end, or its time and 3 s more are over; kEnd has been told.
+  // Every message has ended, or 3 s have passed since the last deadline; kEnd has been traced.
   bool done() const { return done_; }
 
-  // The list as the relay last had it, to start it with.
-  TellList Known(int relay) const;
-  // Where hosts stand now, in no order.
+  // The full list as the relay last got it, to start the relay with.
+  SendList KnownList(int relay) const;
+  // Where hosts listen now, in no order.
   std::vector<std::string> Addresses() const;
-  // Whether a host stands there and takes one more connection. Each taken one is to be given back.
+  // Returns whether a host listens there and accepts one more connection. Each accepted one must be released
+  // by Disconnect.
   bool Connect(const std::string& address);
   void Disconnect(const std::string& address);
-  // How much later than due a message was handed in, at most: the load's own share of every time measured.
+  // Longest delay between a message's due time and its submission: the load generator's own share of every
+  // measured time.
   Time lateness() const { return lateness_; }
   const Day& day() const { return day_; }
 
  private:
-  enum class Todo {
+  enum class TaskKind {
     kArrival,
-    kTurn,
-    kHandAgain,
-    kHandDue,
-    kCallComes,
+    kScheduledEvent,
+    kResubmit,
+    kSubmissionTimeout,
+    kCallArrives,
     kCallAnswered,
     kPublish,
-    kStart,
-    kBeat,
-    kListTurn,
-    kListRefused
+    kStartRelay,
+    kHeartbeat,
+    kServeListQueue,
+    kRefuseList
   };
-  struct Due {
+  struct Task {
     Time at;
-    std::uint64_t order;
-    Todo what;
+    std::uint64_t order;  // of insertion, which decides between tasks of one time
+    TaskKind kind;
     std::uint64_t subject;
-    bool operator>(const Due& other) const { return at != other.at ? at > other.at : order > other.order; }
+    bool operator>(const Task& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   struct Message {
-    Time due{0}, until{0};
+    Time due{0}, deadline{0};
     int destination = 0;
-    int beside = -1;  // the relay that its client stands beside
-    int retries = 0;  // left, after a refusal
+    int local_relay = -1;  // the relay that its client is fixed to; -1: none
+    int retries = 0;       // left, after a refusal
     int refusals = 0;
-    bool over = false, refused_before = false, died_before = false;
+    bool ended = false, refused_before = false, lost_before = false;
     std::string key;
   };
-  struct Hand {
+  struct Submission {
     std::uint64_t message = 0;
     int relay = 0;
     std::string id;
   };
-  struct Id {
+  struct SubmissionState {
     std::uint64_t message = 0;
-    bool left = false, taken = false, delivered = false, noticed = false;
+    bool abandoned = false, accepted = false, delivered = false, noticed = false;
   };
   struct Call {
     int relay = 0;
     std::size_t host = 0;
     std::string id, key;
-    bool fresh = false, crowded = false;
+    bool first_on_connection = false, over_connection_limit = false;
     bool answering = false;
     int status = 0;
-    Time wait{0};
+    Time retry_after{0};
     bool over_limit = false;
   };
   struct RelayState {
-    bool believed = true, up = false, stopped = false;
-    std::uint64_t watch = 0;  // the call that stands; 0: none
+    bool believed_up = true, up = false, stopped = false;  // believed_up: by the load balancer
+    std::uint64_t watch_call = 0;                          // the open watch; 0: none
     bool watch_silent = false;
-    bool break_next = false;  // message of the watch
-    Time notice_at{0};        // when the front passes it over, if it is still down
-    double down = 0;          // s after its end that it stays away; below 0: a turn starts it
-    std::size_t told = 0;     // version
+    bool truncate_next = false;    // message of the watch
+    Time detected_down_at{0};      // when the load balancer skips it, if it is still down
+    double downtime_s = 0;         // between exit and restart; below 0: a scheduled event restarts it
+    std::size_t sent_version = 0;  // of the list
   };
 
-  void Add(Time at, Todo what, std::uint64_t subject);
-  void Do(const Due& due);
-  void Take(const Input& input);
-  void Take(const Answered& answered);
-  void Take(const Called& called);
-  void Take(const Noticed& noticed);
-  void Take(const ListWanted& wanted);
-  void Do(const Turn& turn);
-  void Ask(std::uint64_t arrival);
-  void HandTo(std::uint64_t message);
-  void Again(std::uint64_t message, Time after);
-  void Refused(std::uint64_t message, Time come_again);
-  void Over(std::uint64_t message);
+  void Schedule(Time at, TaskKind kind, std::uint64_t subject);
+  void Execute(const Task& task);
+  void Handle(const Input& input);
+  void Handle(const SubmissionAnswered& answered);
+  void Handle(const CallReceived& received);
+  void Handle(const NoticeReceived& notice);
+  void Handle(const ListRequested& request);
+  void Execute(const ScheduledEvent& scheduled);
+  void StartMessage(std::uint64_t arrival);
+  void Submit(std::uint64_t message);
+  void ResubmitAfter(std::uint64_t message, Time delay);
+  void HandleRejection(std::uint64_t message, Time retry_after);
+  void EndMessage(std::uint64_t message);
   int PickRelay();
-  void Comes(std::uint64_t call);
-  void Finish(std::uint64_t call);
+  void DeliverCallToHost(std::uint64_t call);
+  void FinishCall(std::uint64_t call);
   void Answer(std::uint64_t number, Call& call);
-  void ListChanged(std::size_t host, ListEntry::State state);
-  void Tell(int relay);
-  void Discovery(const Turn& turn);
-  void AnswerList(const ListWanted& wanted);
+  void AddListChange(std::size_t host, ListEntry::State state);
+  void SendListChanges(int relay);
+  void SetDiscoveryState(const ScheduledEvent& scheduled);
+  void AnswerList(const ListRequested& request);
   void ServeListQueue();
-  void Beat();
-  ListEntry EntryOf(std::size_t host, ListEntry::State state) const;
-  trace::Event EventOf(trace::Event::Kind kind) const;
-  trace::Event EventOf(trace::Event::Kind kind, const Call& call) const;
+  void SendHeartbeats();
+  ListEntry MakeEntry(std::size_t host, ListEntry::State state) const;
+  trace::Event MakeEvent(trace::Event::Kind kind) const;
+  trace::Event MakeEvent(trace::Event::Kind kind, const Call& call) const;
 
   Scenario scenario_;
   Day day_;
-  Sink sink_;
-  Time now_{0}, lateness_{0}, last_until_{0};
+  TraceSink sink_;
+  Time now_{0}, lateness_{0}, last_deadline_{0};
   bool done_ = false;
-  std::uint64_t order_ = 0;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::uint64_t next_order_ = 0;
+  std::priority_queue<Task, std::vector<Task>, std::greater<>> tasks_;
   std::vector<Effect> effects_;
   std::vector<Message> messages_;
-  std::size_t pending_ = 0;  // messages that are not over
-  std::uint64_t hands_made_ = 0;
-  std::unordered_map<std::uint64_t, Hand> hands_;
-  std::unordered_map<std::string, Id> ids_;
-  std::vector<Route> routes_;
-  std::vector<bool> standing_;
+  std::size_t pending_ = 0;  // messages that have not ended
+  std::uint64_t submission_count_ = 0;
+  std::unordered_map<std::uint64_t, Submission> submissions_;           // unanswered
+  std::unordered_map<std::string, SubmissionState> submission_states_;  // by id
+  std::vector<SimulatedHost> simulated_hosts_;
+  std::vector<bool> listening_;  // by host
   std::vector<int> connections_;
-  std::unordered_map<std::string, std::size_t> at_address_;
+  std::unordered_map<std::string, std::size_t> host_by_address_;
   std::unordered_map<std::uint64_t, Call> calls_;
-  // When a key had its effect, by partner and zone: repeats are dropped for a while.
-  std::unordered_map<std::string, Time> effects_had_;
-  std::queue<std::pair<Time, std::string>> effects_old_;
-  std::vector<ListEntry> changes_;  // version n is the n-th
+  // When each key took effect, by key, partner and zone: repeats within the repeat window are dropped.
+  std::unordered_map<std::string, Time> effect_times_;
+  std::queue<std::pair<Time, std::string>> effects_by_age_;
+  std::vector<ListEntry> list_changes_;  // version n is the n-th
   std::size_t published_ = 0;
-  Time lag_{0}, last_publish_{0};
-  // How discovery does, and the calls that wait for their turn while it is slow.
-  enum class Service { kWorks, kDown, kSilent, kSlow, kCrowded } discovery_ = Service::kWorks;
-  double list_call_ = 0;      // s that a call takes while it is slow
-  Time refuses_after_{0};     // a call, while it is down
-  double refused_share_ = 1;  // of the calls, while it is crowded
-  std::map<std::uint64_t, ListWanted> refused_later_;
-  std::uint64_t refused_later_count_ = 0;
-  std::deque<std::pair<Time, ListWanted>> list_queue_;
+  Time list_lag_{0}, last_publish_{0};
+  // State of discovery, and the calls that wait in its queue while it is slow.
+  enum class DiscoveryState { kUp, kDown, kSilent, kSlow, kOverloaded } discovery_ = DiscoveryState::kUp;
+  double list_call_time_s_ = 0;  // of each call while discovery is slow
+  Time refusal_delay_{0};        // of each call while discovery is down
+  double refused_share_ = 1;     // of the calls while discovery is overloaded
+  std::map<std::uint64_t, ListRequested> delayed_refusals_;
+  std::uint64_t delayed_refusal_count_ = 0;
+  std::deque<std::pair<Time, ListRequested>> list_queue_;
   Time list_free_at_{0};
   std::vector<RelayState> relays_;
   std::size_t next_relay_ = 0;
-  Dice clients_, network_, hosts_;
+  RandomStream client_random_, network_random_, host_random_;
 };
 
 }  // namespace oxbowspread::model
--- a/src/results/compare.cpp
+++ b/src/results/compare.cpp
@@ -57,12 +57,12 @@
 
 std::pair<double, double> Bootstrap(const std::vector<double>& values, std::uint64_t seed, int draws) {
   if (values.size() < 2) return {Mean(values), Mean(values)};
-  model::Dice dice(seed, "bootstrap");
+  model::RandomStream random(seed, "bootstrap");
   std::vector<double> means;
   means.reserve(static_cast<std::size_t>(draws));
   for (int d = 0; d < draws; ++d) {
     double sum = 0;
-    for (std::size_t i = 0; i < values.size(); ++i) sum += values[dice.Below(values.size())];
+    for (std::size_t i = 0; i < values.size(); ++i) sum += values[random.UniformBelow(values.size())];
     means.push_back(sum / static_cast<double>(values.size()));
   }
   std::sort(means.begin(), means.end());
--- a/tests/lab/model_test.cpp
+++ b/tests/lab/model_test.cpp
@@ -18,9 +18,9 @@
 
 using namespace oxbowspread;
 using namespace std::chrono_literals;
-using model::Dice;
 using model::Host;
-using model::Route;
+using model::RandomStream;
+using model::SimulatedHost;
 using model::Time;
 
 Host Small() {
@@ -28,12 +28,12 @@
   host.id = "h";
   host.limit = 4;
   host.servers = 2;
-  host.work = 0.4;
-  host.queue = 3;
-  host.tells = 1;
-  host.wait = 0.5;
-  host.cold_from = 0.25;
-  host.cold = 10;
+  host.service_time_s = 0.4;
+  host.max_queued_calls = 3;
+  host.retry_after_chance = 1;
+  host.min_retry_after_s = 0.5;
+  host.warm_up_start_share = 0.25;
+  host.warm_up_s = 10;
   return host;
 }
 
@@ -68,7 +68,7 @@
 Played Play(const std::string& yaml, std::uint64_t seed) {
   Folder folder;
   const model::Scenario scenario = model::ReadScenario(folder.Write("day.yaml", yaml));
-  const model::Day day = model::Draw(scenario, seed);
+  const model::Day day = model::DrawDay(scenario, seed);
   Played played;
   lab::SimulationOptions options;
   options.folder = folder.path() + "/relays";
@@ -92,11 +92,11 @@
 }  // namespace
 
 TEST_CASE("dice: a stream depends on its seed and its name alone", "[model]") {
-  Dice a(7, "x"), b(7, "x"), other(7, "y"), later(8, "x");
-  const double first = a.Share();
-  CHECK(first == b.Share());
-  CHECK(first != other.Share());
-  CHECK(first != later.Share());
+  RandomStream a(7, "x"), b(7, "x"), other(7, "y"), later(8, "x");
+  const double first = a.Uniform();
+  CHECK(first == b.Uniform());
+  CHECK(first != other.Uniform());
+  CHECK(first != later.Uniform());
   double sum = 0, square = 0, exponential = 0;
   constexpr int kDraws = 20'000;
   for (int i = 0; i < kDraws; ++i) {
@@ -112,20 +112,20 @@
 }
 
 TEST_CASE("route: takes its limit and no more, and has room at the end of a told wait", "[model]") {
-  Route route(Small(), 2, 3);
-  Dice dice(1, "t");
+  SimulatedHost route(Small(), 2, 3);
+  RandomStream dice(1, "t");
   int taken = 0;
-  Route::Verdict turned;
+  SimulatedHost::CallResult turned;
   for (int i = 0; i < 10; ++i) {
-    const Route::Verdict v = route.Arrive(1s, dice);
+    const SimulatedHost::CallResult v = route.HandleCall(1s, dice);
     taken += v.status == 200;
     if (v.status != 200) turned = v;
   }
   CHECK(taken == 2);  // half a second of its limit at once
   CHECK(turned.status == 429);
   CHECK(turned.over_limit);
-  CHECK(turned.wait == 500ms);
-  CHECK(route.Arrive(1s + turned.wait, dice).status == 200);
+  CHECK(turned.retry_after == 500ms);
+  CHECK(route.HandleCall(1s + turned.retry_after, dice).status == 200);
 }
 
 TEST_CASE("route: where refused calls count, a storm gets nothing while it lasts", "[model]") {
@@ -133,11 +133,11 @@
     Host host = Small();
     host.limit = 40;
     host.servers = 100;
-    host.counts_refused = counts;
-    Route route(host, 2, 3);
-    Dice dice(1, "t");
+    host.refused_calls_use_limit = counts;
+    SimulatedHost route(host, 2, 3);
+    RandomStream dice(1, "t");
     int taken = 0;
-    for (Time at = 1s; at < 11s; at += 10ms) taken += route.Arrive(at, dice).status == 200;
+    for (Time at = 1s; at < 11s; at += 10ms) taken += route.HandleCall(at, dice).status == 200;
     return taken;
   };
   CHECK(served(false) == Approx(40 * 10.5).epsilon(0.02));
@@ -150,17 +150,17 @@
   Host host = Small();
   host.limit = 40;
   host.servers = 1000;
-  host.window = 2;
-  host.phase = 0.5;
+  host.limit_window_s = 2;
+  host.limit_window_offset_s = 0.5;
   const auto served = [&](bool counts, int storm) {
-    host.counts_refused = counts;
-    Route route(host, 2, 3);
-    Dice dice(1, "t");
+    host.refused_calls_use_limit = counts;
+    SimulatedHost route(host, 2, 3);
+    RandomStream dice(1, "t");
     std::vector<int> spans;
     for (const Time span : {4500ms, 6500ms}) {
       spans.push_back(0);
-      for (int i = 0; i < storm; ++i) spans.back() += route.Arrive(span + 1ms * i, dice).status == 200;
-      CHECK(route.Arrive(span + 1900ms, dice).wait == 100ms);
+      for (int i = 0; i < storm; ++i) spans.back() += route.HandleCall(span + 1ms * i, dice).status == 200;
+      CHECK(route.HandleCall(span + 1900ms, dice).retry_after == 100ms);
     }
     return spans;
   };
@@ -170,35 +170,35 @@
 }
 
 TEST_CASE("route: shut it tells when it opens, failing it fails most, and both leave it cold", "[model]") {
-  Route route(Small(), 2, 3);
-  Dice dice(1, "t");
-  route.Outage(10s, 1, 15s);
-  const Route::Verdict shut = route.Arrive(12s, dice);
+  SimulatedHost route(Small(), 2, 3);
+  RandomStream dice(1, "t");
+  route.StartOutage(10s, 1, 15s);
+  const SimulatedHost::CallResult shut = route.HandleCall(12s, dice);
   CHECK(shut.status == 429);
-  CHECK(shut.wait == 3s);
+  CHECK(shut.retry_after == 3s);
   CHECK_FALSE(shut.over_limit);
-  route.Back(15s);
-  CHECK(route.Warmth(15s) == Approx(0.25));
-  CHECK(route.Warmth(20s) == Approx(0.625));
-  CHECK(route.Warmth(26s) == Approx(1));
-  Route failing(Small(), 2, 3);
-  failing.Outage(10s, 0.9, 60s);
+  route.EndOutage(15s);
+  CHECK(route.CapacityShare(15s) == Approx(0.25));
+  CHECK(route.CapacityShare(20s) == Approx(0.625));
+  CHECK(route.CapacityShare(26s) == Approx(1));
+  SimulatedHost failing(Small(), 2, 3);
+  failing.StartOutage(10s, 0.9, 60s);
   int failed = 0;
-  for (int i = 0; i < 40; ++i) failed += failing.Arrive(10s + 1s * i, dice).status == 500;
+  for (int i = 0; i < 40; ++i) failed += failing.HandleCall(10s + 1s * i, dice).status == 500;
   CHECK(failed > 30);
   CHECK(failed < 40);
 }
 
 TEST_CASE("route: a cold one is tipped by more than it can do, a warm one is not", "[model]") {
-  Dice dice(1, "t");
+  RandomStream dice(1, "t");
   const auto tipped_by = [&](Time from, Time each) {
-    Route route(Small(), 2, 3);
-    route.Outage(1s, 1, 5s);
-    route.Back(5s);
+    SimulatedHost route(Small(), 2, 3);
+    route.StartOutage(1s, 1, 5s);
+    route.EndOutage(5s);
     for (Time at = from; at < from + 4s; at += each) {
-      if (route.Arrive(at, dice).tips) {
-        CHECK(route.down());
-        CHECK(route.Arrive(at + 60s, dice).status == 503);  // and stays down
+      if (route.HandleCall(at, dice).collapsed) {
+        CHECK(route.collapsed());
+        CHECK(route.HandleCall(at + 60s, dice).status == 503);  // and stays down
         return true;
       }
     }
@@ -240,7 +240,7 @@
 TEST_CASE("day: one part's draw never moves another's", "[model]") {
   Folder folder;
   const auto draw = [&](const std::string& text) {
-    return model::Draw(model::ReadScenario(folder.Write("d.yaml", text)), 5);
+    return model::DrawDay(model::ReadScenario(folder.Write("d.yaml", text)), 5);
   };
   const model::Day plain = draw("length: 20s\n");
   const model::Day killed =
@@ -249,27 +249,27 @@
   CHECK(plain.arrivals.size() > 100);
   for (std::size_t i = 0; i < plain.arrivals.size(); ++i)
     CHECK(plain.arrivals[i].due == killed.arrivals[i].due);
-  REQUIRE(killed.turns.size() == 2);
-  CHECK(killed.turns[0].kind == model::Turn::Kind::kKill);
-  CHECK(killed.turns[1].kind == model::Turn::Kind::kStart);
+  REQUIRE(killed.scheduled_events.size() == 2);
+  CHECK(killed.scheduled_events[0].kind == model::ScheduledEvent::Kind::kKillRelay);
+  CHECK(killed.scheduled_events[1].kind == model::ScheduledEvent::Kind::kStartRelay);
   // About as many as the load asks for.
-  const double expected = plain.load * plain.full_rate * 20;
+  const double expected = plain.load * plain.full_load_rate * 20;
   CHECK(static_cast<double>(plain.arrivals.size()) == Approx(expected).epsilon(0.25));
 }
 
 TEST_CASE("day: relays with clients of their own get several times what the others get", "[model]") {
   Folder folder;
   const auto draw = [&](const std::string& more) {
-    return model::Draw(model::ReadScenario(folder.Write("b.yaml", "length: 40s\nrelays: 20\n" + more)), 3);
+    return model::DrawDay(model::ReadScenario(folder.Write("b.yaml", "length: 40s\nrelays: 20\n" + more)), 3);
   };
   const model::Day even = draw("traffic: {load: 1}\n");
   const model::Day uneven = draw("traffic: {load: 1, beside: 0.5, times: 5}\n");
   REQUIRE(even.arrivals.size() == uneven.arrivals.size());
   std::map<int, double> own;
   for (std::size_t i = 0; i < even.arrivals.size(); ++i) {
-    CHECK(even.arrivals[i].relay == -1);
+    CHECK(even.arrivals[i].local_relay == -1);
     CHECK(even.arrivals[i].due == uneven.arrivals[i].due);
-    own[uneven.arrivals[i].relay] += 1;
+    own[uneven.arrivals[i].local_relay] += 1;
   }
   const double dealt = own[-1] / 20;  // each relay's part of what the front deals out
   own.erase(-1);
@@ -282,18 +282,18 @@
 // address it was to stand.
 TEST_CASE("day: on days with random faults no host drains that is not there from the start", "[model]") {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    const model::Day day = model::Draw(model::DrawSoak(seed), seed);
-    for (const model::Turn& turn : day.turns) {
-      if (turn.kind != model::Turn::Kind::kDrain) continue;
+    const model::Day day = model::DrawDay(model::DrawSoak(seed), seed);
+    for (const model::ScheduledEvent& turn : day.scheduled_events) {
+      if (turn.kind != model::ScheduledEvent::Kind::kDrainHost) continue;
       INFO("seed " << seed << ", host " << turn.index);
-      CHECK(day.hosts[static_cast<std::size_t>(turn.index)].from_start);
+      CHECK(day.hosts[static_cast<std::size_t>(turn.index)].present_at_start);
     }
   }
 }
 
 TEST_CASE("day: a ramp begins low and ends high", "[model]") {
   Folder folder;
-  const model::Day day = model::Draw(
+  const model::Day day = model::DrawDay(
       model::ReadScenario(folder.Write(
           "r.yaml",
           "length: 40s\ntraffic: {load: 1, shape: ramp, swing: 0.8, clumps: 0}\npartners: {count: 30}\n")),
