--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -34,7 +34,7 @@
 // Connections to one place of discovery are counted from here on, so that no two places share a number.
 constexpr std::uint64_t kCallsOfPlace = 1'000'000;
 
-class Stage final : public standin::ClientLine::Owner {
+class Stage final : public standin::ClientConnection::Owner {
  public:
   Stage(const model::Scenario& scenario, const model::Day& day, const StageOptions& options)
       : scenario_(scenario),
@@ -93,7 +93,7 @@
     std::vector<Place> places;  // the last one counts
     Json config;                // of this life
     int signals = 0;            // still to be sent
-    std::vector<std::unique_ptr<standin::ClientLine>> idle_clients;
+    std::vector<std::unique_ptr<standin::ClientConnection>> idle_clients;
     std::set<std::uint64_t> answered;  // connections with a watch that has begun
     pid_t pid = 0;
     int lives = 0;
@@ -107,7 +107,7 @@
     std::map<std::uint64_t, std::uint64_t> calls;  // connection to the call that is out on it, 0: none
   };
   struct Seat {
-    std::unique_ptr<standin::ClientLine> line;
+    std::unique_ptr<standin::ClientConnection> line;
     int relay = 0;
     std::uint64_t hand = 0;  // 0: a PING
     bool again = false;      // sent once more, as the first connection was closed unread
@@ -351,34 +351,34 @@
     relay.idle_clients.clear();
     for (int i = 0; i < order.count; ++i) {
       relay.idle_clients.push_back(
-          std::make_unique<standin::ClientLine>(loop_, idle_owner_, relay.address, Time(0)));
+          std::make_unique<standin::ClientConnection>(loop_, idle_owner_, relay.address, Time(0)));
     }
   }
 
   // ---- clients ----
 
   // Whatever becomes of clients that say nothing is their relay's affair.
-  class IdleOwner final : public standin::ClientLine::Owner {
-    void OnAnswer(standin::ClientLine&, const std::string&) override {}
-    void OnBreak(standin::ClientLine&, const standin::ClientLine::Break&) override {}
+  class IdleOwner final : public standin::ClientConnection::Owner {
+    void OnAnswer(standin::ClientConnection&, const std::string&) override {}
+    void OnLost(standin::ClientConnection&, const standin::ClientConnection::Loss&) override {}
   };
 
-  standin::ClientLine* NewLine(int relay) {
-    auto line = std::make_unique<standin::ClientLine>(
+  standin::ClientConnection* NewLine(int relay) {
+    auto line = std::make_unique<standin::ClientConnection>(
         loop_, *this, relays_[static_cast<std::size_t>(relay)].address, Time(0));
     if (!line->opened()) return nullptr;
-    standin::ClientLine* const opened = line.get();
+    standin::ClientConnection* const opened = line.get();
     lines_[opened] = {std::move(line), relay, 0, false, {}};
     return opened;
   }
 
-  void AskOn(standin::ClientLine* line, std::uint64_t hand, std::string request) {
+  void AskOn(standin::ClientConnection* line, std::uint64_t hand, std::string request) {
     if (line == nullptr) return Spoil("no socket for a client");
     Seat& seat = lines_.at(line);
     seat.hand = hand;
     seat.request = request;
     if (hand > 0) at_[hand] = line;
-    line->Ask(std::move(request));
+    line->Send(std::move(request));
   }
 
   void Do(const model::SubmitMessage& in) {
@@ -389,7 +389,7 @@
                                (in.lost_before ? ",again=1" : "");
     std::string request = standin::RespCommand({"MSG.PUT", "0000000000000000", in.id, values, body_});
     for (auto& [line, seat] : lines_) {
-      if (seat.relay == in.relay && seat.line->free() && !seat.request.empty()) {
+      if (seat.relay == in.relay && seat.line->idle() && !seat.request.empty()) {
         seat.again = false;
         return AskOn(line, in.submission, std::move(request));
       }
@@ -399,12 +399,12 @@
   void Do(const model::AbandonSubmission& leave) {
     const auto it = at_.find(leave.submission);
     if (it == at_.end()) return;
-    standin::ClientLine* const line = it->second;
+    standin::ClientConnection* const line = it->second;
     at_.erase(it);
     Drop(*line);
   }
 
-  void Drop(standin::ClientLine& line) {
+  void Drop(standin::ClientConnection& line) {
     const auto it = lines_.find(&line);
     if (it == lines_.end()) return;
     line.Close();
@@ -412,7 +412,7 @@
     lines_.erase(it);
   }
 
-  void OnAnswer(standin::ClientLine& line, const std::string& answer) override {
+  void OnAnswer(standin::ClientConnection& line, const std::string& answer) override {
     Seat& seat = lines_.at(&line);
     const std::uint64_t hand = std::exchange(seat.hand, 0);
     if (hand == 0) {
@@ -434,18 +434,19 @@
     Tell(model::SubmissionAnswered{hand, Result::kRejected, Time(0)});
   }
 
-  void OnBreak(standin::ClientLine& line, const standin::ClientLine::Break& how) override {
+  void OnLost(standin::ClientConnection& line, const standin::ClientConnection::Loss& loss) override {
     const Seat& seat = lines_.at(&line);
     const int relay = seat.relay;
     const std::uint64_t hand = seat.hand;
-    const bool once_more = how.asking && hand > 0 && how.unread && !seat.again;
+    const bool once_more = loss.request_pending && hand > 0 && loss.request_unread && !seat.again;
     std::string request = seat.request;
     at_.erase(hand);
     Drop(line);
-    if (hand == 0 && how.asking) relays_[static_cast<std::size_t>(relay)].pinging = false;  // not up yet
-    if (ended_ || hand == 0 || !how.asking) return;
+    if (hand == 0 && loss.request_pending)
+      relays_[static_cast<std::size_t>(relay)].pinging = false;  // not up yet
+    if (ended_ || hand == 0 || !loss.request_pending) return;
     if (once_more) {
-      standin::ClientLine* const next = NewLine(relay);
+      standin::ClientConnection* const next = NewLine(relay);
       if (next != nullptr) lines_.at(next).again = true;
       return AskOn(next, hand, std::move(request));
     }
@@ -478,7 +479,7 @@
     HostAt& host = hosts_.at(address);
     if (request.method != "POST" || request.target != "/inbox") {
       if (outcome_.crash.empty()) outcome_.crash = "a relay called " + request.method + " " + request.target;
-      host.server->Write(connection, standin::Answer("400 Bad Request"));
+      host.server->Write(connection, standin::FormatResponse("400 Bad Request"));
       return;
     }
     const auto [seat, fresh] = host.calls.emplace(connection, 0);
@@ -503,7 +504,7 @@
     if (it == calls_.end()) return;
     const auto [address, connection] = it->second;
     const HostAt& host = hosts_.at(address);
-    if (host.server && host.server->Ended(connection)) OnLineGone(address, connection);
+    if (host.server && host.server->IsClosed(connection)) OnLineGone(address, connection);
   }
 
   void OnLineGone(const std::string& address, std::uint64_t connection) {
@@ -531,7 +532,7 @@
       headers = text;
     }
     const std::string status = std::to_string(answer.status) + " -";
-    if (host.server) host.server->Write(connection, standin::Answer(status.c_str(), {}, headers));
+    if (host.server) host.server->Write(connection, standin::FormatResponse(status.c_str(), {}, headers));
   }
   void Do(const model::CloseCallConnection& broken) {
     const auto it = calls_.find(broken.call);
@@ -555,7 +556,7 @@
         Tell(model::NoticeReceived{number, notice.value("id", ""), notice.value("status", "") == "deferred",
                                    Time(notice.value("again_ms", std::int64_t{0}) * 1000)});
       }
-      WriteTo(number, connection, standin::Answer("204 No Content"));
+      WriteTo(number, connection, standin::FormatResponse("204 No Content"));
     } else {
       ++list_calls_;
       const std::size_t from = request.target.find("from=");
@@ -579,15 +580,15 @@
     CloseCall(list.relay, list.call);
   }
   std::string ChunkOf(const model::SendList& list) const {
-    return standin::Chunk(ListJson(list, scenario_, ports_).dump() + "\n");
+    return standin::FormatChunk(ListJson(list, scenario_, ports_).dump() + "\n");
   }
   void Do(const model::RefuseList& refused) {
     Relay& relay = relays_[static_cast<std::size_t>(refused.relay)];
     const bool watch = relay.answered.count(refused.call) > 0;
-    if (!watch) WriteTo(refused.relay, refused.call, standin::Answer("503 Service Unavailable"));
+    if (!watch) WriteTo(refused.relay, refused.call, standin::FormatResponse("503 Service Unavailable"));
     CloseCall(refused.relay, refused.call);
   }
-  void Do(const model::SendHeartbeat& beat) { WriteTo(beat.relay, beat.call, standin::Chunk("\n")); }
+  void Do(const model::SendHeartbeat& beat) { WriteTo(beat.relay, beat.call, standin::FormatChunk("\n")); }
 
   void CountSecond() {
     second_.After(1s);
@@ -616,8 +617,8 @@
   std::uint64_t calls_made_ = 0;
   std::map<std::string, std::uint64_t> call_of_;  // the last one, by the message's id
   std::map<std::string, int> relay_of_;           // an id was handed to
-  std::map<standin::ClientLine*, Seat> lines_;
-  std::map<std::uint64_t, standin::ClientLine*> at_;  // hands that wait for their answer
+  std::map<standin::ClientConnection*, Seat> lines_;
+  std::map<std::uint64_t, standin::ClientConnection*> at_;  // hands that wait for their answer
 };
 
 }  // namespace
--- a/src/standin/client_line.cpp
+++ b/src/standin/client_line.cpp
@@ -12,61 +12,61 @@
   return command;
 }
 
-ClientLine::ClientLine(net::Loop& loop, Owner& owner, const net::Address& to, net::Time within)
+ClientConnection::ClientConnection(net::Loop& loop, Owner& owner, const net::Address& to, net::Time timeout)
     : owner_(owner),
-      within_(within),
+      timeout_(timeout),
       connection_(net::Connection::Open(loop, to, *this)),
-      late_(loop, [this] { Broken(false); }) {
-  Watch();
+      timeout_timer_(loop, [this] { ReportLoss(false); }) {
+  StartTimeout();
 }
 
-void ClientLine::Watch() {
-  if (within_ > net::Time(0)) late_.After(within_);
+void ClientConnection::StartTimeout() {
+  if (timeout_ > net::Time(0)) timeout_timer_.After(timeout_);
 }
 
-void ClientLine::Ask(std::string request) {
+void ClientConnection::Send(std::string request) {
   request_ = std::move(request);
-  Watch();
+  StartTimeout();
   if (connection_->connected()) connection_->Send(request_);
 }
 
-void ClientLine::Close() {
-  gone_ = true;
-  late_.Stop();
+void ClientConnection::Close() {
+  closed_ = true;
+  timeout_timer_.Stop();
   if (connection_) connection_->Close();
 }
 
-void ClientLine::OnConnected() {
+void ClientConnection::OnConnected() {
   was_connected_ = true;
-  late_.Stop();
+  timeout_timer_.Stop();
   if (request_.empty()) return;
-  Watch();
+  StartTimeout();
   connection_->Send(request_);
 }
 
-void ClientLine::OnBytes(proto::RingBuffer& in) {
+void ClientConnection::OnBytes(proto::RingBuffer& in) {
   while (!in.empty()) {
     const std::string_view front = in.Front();
-    text_ += front;
+    received_ += front;
     in.Consume(front.size());
   }
-  const std::size_t end = text_.find("\r\n");
-  if (end == text_.npos || request_.empty()) return;
-  const std::string answer = text_.substr(0, end);
-  text_.clear();
-  late_.Stop();
+  const std::size_t end = received_.find("\r\n");
+  if (end == received_.npos || request_.empty()) return;
+  const std::string answer = received_.substr(0, end);
+  received_.clear();
+  timeout_timer_.Stop();
   answered_before_ = true;
   request_.clear();
   owner_.OnAnswer(*this, answer);
 }
 
-void ClientLine::Broken(bool closed) {
-  if (gone_) return;
-  Break how;
-  how.asking = !std::exchange(request_, {}).empty();
-  how.connected = was_connected_;
-  how.unread = closed && answered_before_ && how.asking;
-  owner_.OnBreak(*this, how);
+void ClientConnection::ReportLoss(bool closed_by_peer) {
+  if (closed_) return;
+  Loss loss;
+  loss.request_pending = !std::exchange(request_, {}).empty();
+  loss.was_connected = was_connected_;
+  loss.request_unread = closed_by_peer && answered_before_ && loss.request_pending;
+  owner_.OnLost(*this, loss);
 }
 
 }  // namespace oxbowspread::standin
--- a/src/standin/client_line.hpp
+++ b/src/standin/client_line.hpp
@@ -1,4 +1,5 @@
-// A client's connection to one relay: carries one request at a time, and tells what came of it.
+// A client's connection to one relay. It carries one request at a time and reports the answer or the loss of
+// the connection.
 #pragma once
 
 #include <memory>
@@ -9,47 +10,48 @@
 
 namespace oxbowspread::standin {
 
-// An array of bulk strings, as RESP2 wants a command.
+// Formats a command as RESP2 wants it: an array of bulk strings.
 std::string RespCommand(const std::vector<std::string>& words);
 
-class ClientLine final : private net::Connection::Handler {
+class ClientConnection final : private net::Connection::Handler {
  public:
-  struct Break {
-    bool asking = false;     // a request waited for its answer
-    bool connected = false;  // else the relay refused, or did not answer, the connection itself
-    bool unread = false;     // closed between two requests, which may have crossed one that was never read
+  // How the connection was lost.
+  struct Loss {
+    bool request_pending = false;  // a request waited for its answer
+    bool was_connected = false;    // false: the relay refused the connection or did not accept it in time
+    bool request_unread = false;   // closed between two requests; the relay may not have read the pending one
   };
-  // May dispose of the line from within: by Loop::Dispose, after Close.
+  // May destroy the connection from within a callback: by Loop::DestroyLater, after Close.
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void OnAnswer(ClientLine& line,
-                          const std::string& answer) = 0;  // its first line, without the end
-    virtual void OnBreak(ClientLine& line, const Break& how) = 0;
+    // `answer` is the first line of the answer, without the line end.
+    virtual void OnAnswer(ClientConnection& connection, const std::string& answer) = 0;
+    virtual void OnLost(ClientConnection& connection, const Loss& loss) = 0;
   };
 
-  // Waits for a connection, and for each answer, no longer than `within`; 0: for good. Loop and owner outlive
-  // it.
-  ClientLine(net::Loop& loop, Owner& owner, const net::Address& to, net::Time within);
-  bool opened() const { return connection_ != nullptr; }  // false: no socket was to be had
-  bool free() const { return request_.empty() && !gone_; }
-  // On a free line; sent once it is connected. Not empty.
-  void Ask(std::string request);
-  void Close();  // nothing is told any more
+  // Waits for the connection, and for each answer, no longer than `timeout`; 0: without limit. Loop and owner
+  // must outlive it.
+  ClientConnection(net::Loop& loop, Owner& owner, const net::Address& to, net::Time timeout);
+  bool opened() const { return connection_ != nullptr; }  // false: no socket was available
+  bool idle() const { return request_.empty() && !closed_; }
+  // The connection must be idle. `request` must not be empty and is sent once the connection is established.
+  void Send(std::string request);
+  void Close();  // the owner is not called any more
 
  private:
   void OnConnected() override;
   void OnBytes(proto::RingBuffer& in) override;
-  void OnClosed() override { Broken(true); }
-  void Broken(bool closed);
-  void Watch();
+  void OnClosed() override { ReportLoss(true); }
+  void ReportLoss(bool closed_by_peer);
+  void StartTimeout();
 
   Owner& owner_;
-  net::Time within_;
+  net::Time timeout_;
   std::unique_ptr<net::Connection> connection_;
-  net::Timer late_;
-  std::string request_, text_;
-  bool was_connected_ = false, answered_before_ = false, gone_ = false;
+  net::Timer timeout_timer_;
+  std::string request_, received_;
+  bool was_connected_ = false, answered_before_ = false, closed_ = false;
 };
 
 }  // namespace oxbowspread::standin
--- a/src/standin/ledger.cpp
+++ b/src/standin/ledger.cpp
@@ -13,92 +13,92 @@
   return values[static_cast<std::size_t>(at)];
 }
 
-std::string Ledger::KeyOf(std::uint64_t message) {
+std::string MessageTracker::KeyOf(std::uint64_t message) {
   char text[32];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(message));
   return text;
 }
 
-void Ledger::Due(std::uint64_t message, Time now) { messages_[message].due = now; }
+void MessageTracker::RecordDue(std::uint64_t message, Time now) { messages_[message].due = now; }
 
-void Ledger::HandIn(std::uint64_t message, const std::string& id) {
+void MessageTracker::RecordSubmission(std::uint64_t message, const std::string& id) {
   messages_[message].ids.insert(id);
-  ids_[id].message = message;
+  submissions_[id].message = message;
 }
 
-void Ledger::Taken(const std::string& id, Time now) {
-  const auto it = ids_.find(id);
-  if (it == ids_.end()) return;
-  it->second.taken = true;
-  Message& m = messages_[it->second.message];
-  if (!m.taken) m.taken_at = now;
-  m.taken = true;
+void MessageTracker::RecordAccepted(const std::string& id, Time now) {
+  const auto it = submissions_.find(id);
+  if (it == submissions_.end()) return;
+  it->second.accepted = true;
+  Message& entry = messages_[it->second.message];
+  if (!entry.accepted) entry.accepted_at = now;
+  entry.accepted = true;
 }
 
-void Ledger::GivenUp(std::uint64_t message, End end) {
-  Message& m = messages_[message];
-  (end == End::kRefused ? m.refused : m.unanswered) = true;
+void MessageTracker::RecordGivenUp(std::uint64_t message, GiveUpReason reason) {
+  Message& entry = messages_[message];
+  (reason == GiveUpReason::kRejected ? entry.rejected : entry.unanswered) = true;
 }
 
-bool Ledger::Called(const std::string& id, const std::string& key, Time now) {
+bool MessageTracker::RecordDelivery(const std::string& id, const std::string& key, Time now) {
   const std::uint64_t message = std::strtoull(key.c_str(), nullptr, 16);
-  Message& m = messages_[message];
-  ids_[id].message = message;
-  ids_[id].delivered = true;
-  if (m.effects > 0) {
-    ++repeats_;
+  Message& entry = messages_[message];
+  submissions_[id].message = message;
+  submissions_[id].delivered = true;
+  if (entry.effects > 0) {
+    ++duplicate_calls_;
     return false;
   }
-  m.effects = 1;
-  m.delivered_at = now;
+  entry.effects = 1;
+  entry.delivered_at = now;
   return true;
 }
 
-void Ledger::Noticed(const std::string& id, const std::string& status) {
-  Id& known = ids_[id];
-  known.noticed_after = known.noticed_after || known.delivered;
-  known.notices.insert(status);
+void MessageTracker::RecordNotice(const std::string& id, const std::string& status) {
+  Submission& submission = submissions_[id];
+  submission.noticed_after_delivery = submission.noticed_after_delivery || submission.delivered;
+  submission.notices.insert(status);
 }
 
-std::vector<std::string> Ledger::Owed() const {
-  std::vector<std::string> owed;
-  for (const auto& [id, known] : ids_) {
-    if (known.taken && !known.delivered && known.notices.empty()) owed.push_back(id);
+std::vector<std::string> MessageTracker::PendingIds() const {
+  std::vector<std::string> pending;
+  for (const auto& [id, submission] : submissions_) {
+    if (submission.accepted && !submission.delivered && submission.notices.empty()) pending.push_back(id);
   }
-  return owed;
+  return pending;
 }
 
-Totals Ledger::Sum(Time since) const {
-  Totals t;
-  t.repeats = repeats_;
-  for (const auto& [number, m] : messages_) {
-    if (m.due < since) continue;
-    ++t.asked;
-    t.handed_in_again += m.ids.size() > 1 ? static_cast<std::int64_t>(m.ids.size()) - 1 : 0;
-    t.answered_twice += m.effects > 1;
-    if (!m.taken) {
-      t.refused += m.refused;
-      t.unanswered += m.unanswered;
+Totals MessageTracker::ComputeTotals(Time since) const {
+  Totals totals;
+  totals.duplicate_calls = duplicate_calls_;
+  for (const auto& [number, entry] : messages_) {
+    if (entry.due < since) continue;
+    ++totals.due;
+    totals.resubmitted += entry.ids.size() > 1 ? static_cast<std::int64_t>(entry.ids.size()) - 1 : 0;
+    totals.ended_twice += entry.effects > 1;
+    if (!entry.accepted) {
+      totals.rejected += entry.rejected;
+      totals.unanswered += entry.unanswered;
       continue;
     }
-    ++t.taken;
-    t.accept_ms.push_back(static_cast<double>((m.taken_at - m.due).count()) * 1e-3);
-    if (m.effects > 0) {
-      ++t.delivered;
-      t.deliver_ms.push_back(static_cast<double>((m.delivered_at - m.due).count()) * 1e-3);
+    ++totals.accepted;
+    totals.accept_ms.push_back(static_cast<double>((entry.accepted_at - entry.due).count()) * 1e-3);
+    if (entry.effects > 0) {
+      ++totals.delivered;
+      totals.deliver_ms.push_back(static_cast<double>((entry.delivered_at - entry.due).count()) * 1e-3);
     } else {
-      ++t.failed;
+      ++totals.failed;
     }
   }
-  for (const auto& [id, known] : ids_) {
-    const auto message = messages_.find(known.message);
+  for (const auto& [id, submission] : submissions_) {
+    const auto message = messages_.find(submission.message);
     if (message != messages_.end() && message->second.due < since) continue;
-    t.answered_twice += known.notices.size() > 1;
-    t.noticed_after += known.noticed_after;
+    totals.ended_twice += submission.notices.size() > 1;
+    totals.noticed_after_delivery += submission.noticed_after_delivery;
   }
-  t.lost = static_cast<std::int64_t>(Owed().size());
-  t.failed = std::max<std::int64_t>(0, t.failed - t.lost);
-  return t;
+  totals.lost = static_cast<std::int64_t>(PendingIds().size());
+  totals.failed = std::max<std::int64_t>(0, totals.failed - totals.lost);
+  return totals;
 }
 
 }  // namespace oxbowspread::standin
--- a/src/standin/ledger.hpp
+++ b/src/standin/ledger.hpp
@@ -1,4 +1,5 @@
-// What became of every message of a run, as its clients, its endpoints and the platform saw it. No I/O.
+// Tracks what became of every message of a run, as its clients, its endpoints and the platform saw it. No
+// I/O.
 #pragma once
 
 #include <chrono>
@@ -13,40 +14,40 @@
 using Time = std::chrono::microseconds;
 
 struct Totals {
-  std::int64_t asked = 0;       // messages that became due
-  std::int64_t taken = 0;       // of these, taken on (+OK) at least once
-  std::int64_t delivered = 0;   // of the taken ones, 200 was written for them
-  std::int64_t failed = 0;      // of the taken ones, ended by a notice and not delivered
-  std::int64_t refused = 0;     // answered -BUSY and given up by their client
-  std::int64_t unanswered = 0;  // no answer in time, or no relay to be had, and given up by their client
-  std::int64_t handed_in_again = 0;
-  std::int64_t lost = 0;                      // an id was taken on and has no end
-  std::int64_t answered_twice = 0;            // more than one effect, or two different notices of one id
-  std::int64_t noticed_after = 0;             // a notice for one that was delivered, which does no harm
-  std::int64_t repeats = 0;                   // calls that a host recognised by key: no second effect
-  std::vector<double> accept_ms, deliver_ms;  // of taken and delivered, from when the message was due
+  std::int64_t due = 0;         // messages that became due
+  std::int64_t accepted = 0;    // of these, accepted (+OK) at least once
+  std::int64_t delivered = 0;   // of the accepted ones, an endpoint answered 200
+  std::int64_t failed = 0;      // of the accepted ones, ended by a notice and not delivered
+  std::int64_t rejected = 0;    // answered -BUSY and given up by their client
+  std::int64_t unanswered = 0;  // no answer in time, or no relay reachable, and given up by their client
+  std::int64_t resubmitted = 0;
+  std::int64_t lost = 0;                      // ids that were accepted and have no end
+  std::int64_t ended_twice = 0;               // more than one effect, or two different notices for one id
+  std::int64_t noticed_after_delivery = 0;    // notices for delivered messages, which do no harm
+  std::int64_t duplicate_calls = 0;           // calls that a host recognised by key: no second effect
+  std::vector<double> accept_ms, deliver_ms;  // of accepted and delivered messages, since they became due
 };
 
-// The value below which that share (0 to 1) lies; 0 of none. Milliseconds in, milliseconds out.
+// Returns the value below which `share` (0 to 1) of the values lie; 0 if there are none.
 double Percentile(std::vector<double> values, double share);
 
-class Ledger {
+class MessageTracker {
  public:
   // `message` numbers the messages of the run; its idempotency key is KeyOf(message).
-  void Due(std::uint64_t message, Time now);
-  void HandIn(std::uint64_t message, const std::string& id);
-  void Taken(const std::string& id, Time now);
-  enum class End { kRefused, kUnanswered };
-  void GivenUp(std::uint64_t message, End end);
+  void RecordDue(std::uint64_t message, Time now);
+  void RecordSubmission(std::uint64_t message, const std::string& id);
+  void RecordAccepted(const std::string& id, Time now);
+  enum class GiveUpReason { kRejected, kUnanswered };
+  void RecordGivenUp(std::uint64_t message, GiveUpReason reason);
 
-  // At an endpoint, when 200 is written. False if the key has had its effect already.
-  bool Called(const std::string& id, const std::string& key, Time now);
-  void Noticed(const std::string& id, const std::string& status);
+  // Called by an endpoint when it writes 200. Returns false if the key has taken effect already.
+  bool RecordDelivery(const std::string& id, const std::string& key, Time now);
+  void RecordNotice(const std::string& id, const std::string& status);
 
-  // Taken on and neither delivered nor noticed so far.
-  std::vector<std::string> Owed() const;
-  // Of the messages that became due then or later; what is owed counts in any case.
-  Totals Sum(Time since = Time(0)) const;
+  // Ids that were accepted and are neither delivered nor ended by a notice so far.
+  std::vector<std::string> PendingIds() const;
+  // Totals of the messages that became due at `since` or later; pending ids are counted in any case.
+  Totals ComputeTotals(Time since = Time(0)) const;
 
   static std::string KeyOf(std::uint64_t message);
 
@@ -54,19 +55,19 @@
   struct Message {
     Time due{0};
     std::set<std::string> ids;
-    bool taken = false, refused = false, unanswered = false;
+    bool accepted = false, rejected = false, unanswered = false;
     int effects = 0;
-    Time taken_at{0}, delivered_at{0};
+    Time accepted_at{0}, delivered_at{0};
   };
-  struct Id {
+  struct Submission {
     std::uint64_t message = 0;
-    bool taken = false, delivered = false, noticed_after = false;
+    bool accepted = false, delivered = false, noticed_after_delivery = false;
     std::set<std::string> notices;
   };
 
   std::map<std::uint64_t, Message> messages_;
-  std::map<std::string, Id> ids_;
-  std::int64_t repeats_ = 0;
+  std::map<std::string, Submission> submissions_;  // by id
+  std::int64_t duplicate_calls_ = 0;
 };
 
 }  // namespace oxbowspread::standin
--- a/src/standin/load.cpp
+++ b/src/standin/load.cpp
@@ -9,120 +9,126 @@
 namespace oxbowspread::standin {
 namespace {
 using namespace std::chrono_literals;
-constexpr net::Time kTick = 2ms;
+constexpr net::Time kTickInterval = 2ms;
 }  // namespace
 
-Load::Load(net::Loop& loop, Ledger& ledger, const LoadOptions& options)
+LoadGenerator::LoadGenerator(net::Loop& loop, MessageTracker& tracker, const LoadOptions& options)
     : loop_(loop),
-      ledger_(ledger),
+      tracker_(tracker),
       options_(options),
-      passed_over_until_(options.relays.size()),
-      run_(std::to_string(getpid()) + "-" + std::to_string(net::Loop::UnixNow().count() % 1'000'000'000)),
+      skipped_until_(options.relays.size()),
+      run_id_(std::to_string(getpid()) + "-" + std::to_string(net::Loop::UnixNow().count() % 1'000'000'000)),
       timer_(loop, [this] { OnTick(); }),
-      later_timer_(loop, [this] {
-        while (!later_.empty() && later_.begin()->first <= net::Loop::Now()) {
-          const Try t = later_.begin()->second;
-          later_.erase(later_.begin());
-          HandIn(t);
+      resubmission_timer_(loop, [this] {
+        while (!resubmissions_.empty() && resubmissions_.begin()->first <= net::Loop::Now()) {
+          const Submission submission = resubmissions_.begin()->second;
+          resubmissions_.erase(resubmissions_.begin());
+          Submit(submission);
         }
-        if (!later_.empty()) later_timer_.At(later_.begin()->first);
+        if (!resubmissions_.empty()) resubmission_timer_.At(resubmissions_.begin()->first);
       }) {
   for (const std::string& relay : options_.relays) addresses_.push_back(net::ParseAddress(relay).value());
 }
 
-Load::~Load() = default;
+LoadGenerator::~LoadGenerator() = default;
 
-void Load::Begin() {
-  begun_ = net::Loop::Now();
-  timer_.After(kTick);
+void LoadGenerator::Start() {
+  started_at_ = net::Loop::Now();
+  timer_.After(kTickInterval);
 }
 
-void Load::OnTick() {
+void LoadGenerator::OnTick() {
   const net::Time now = net::Loop::Now();
-  const double each = 1e6 / options_.rate;
+  const double interval_us = 1e6 / options_.rate;
   while (true) {
     const net::Time due =
-        begun_ + net::Time(static_cast<net::Time::rep>(static_cast<double>(messages_) * each));
+        started_at_ +
+        net::Time(static_cast<net::Time::rep>(static_cast<double>(message_count_) * interval_us));
     if (due > now) break;
-    lateness_ = std::max(lateness_, now - due - kTick);
-    const std::uint64_t message = ++messages_;
-    ledger_.Due(message, due);
-    ++waiting_;
-    HandIn({message, 1, {}, false});
+    lateness_ = std::max(lateness_, now - due - kTickInterval);
+    const std::uint64_t message = ++message_count_;
+    tracker_.RecordDue(message, due);
+    ++pending_;
+    Submit({message, 1, {}, false});
   }
-  timer_.After(kTick);
+  timer_.After(kTickInterval);
 }
 
-// The front deals connections out in turn, to relays that it believes up; with none it tries them all the
-// same.
-void Load::HandIn(Try t) {
-  if (!t.repeated) {
-    t.id = run_ + "-" + std::to_string(++ids_);
-    ledger_.HandIn(t.message, t.id);
+// Round robin over the relays that the load balancer believes up; if it believes none up, it tries one all
+// the same.
+void LoadGenerator::Submit(Submission submission) {
+  if (!submission.repeated) {
+    submission.id = run_id_ + "-" + std::to_string(++id_count_);
+    tracker_.RecordSubmission(submission.message, submission.id);
   }
   const net::Time now = net::Loop::Now();
   std::size_t relay = next_relay_;
   for (std::size_t i = 0; i < addresses_.size(); ++i) {
     relay = next_relay_++ % addresses_.size();
-    if (passed_over_until_[relay] <= now) break;
+    if (skipped_until_[relay] <= now) break;
   }
-  for (auto& [line, seat] : lines_) {
-    if (seat.relay != relay || !line->free()) continue;
-    seat.asking = t;
-    return line->Ask(Command(t));
+  for (auto& [connection, state] : connections_) {
+    if (state.relay != relay || !connection->idle()) continue;
+    state.submission = submission;
+    return connection->Send(FormatCommand(submission));
   }
-  auto line = std::make_unique<ClientLine>(loop_, *this, addresses_[relay], options_.answer_within);
-  if (!line->opened()) return Again(t, 50ms, Ledger::End::kUnanswered);
-  ClientLine* const opened = line.get();
-  lines_[opened] = {std::move(line), relay, t};
-  opened->Ask(Command(t));
+  auto connection =
+      std::make_unique<ClientConnection>(loop_, *this, addresses_[relay], options_.answer_timeout);
+  if (!connection->opened())
+    return ResubmitAfter(submission, 50ms, MessageTracker::GiveUpReason::kUnanswered);
+  ClientConnection* const opened = connection.get();
+  connections_[opened] = {std::move(connection), relay, submission};
+  opened->Send(FormatCommand(submission));
 }
 
-std::string Load::Command(const Try& t) const {
+std::string LoadGenerator::FormatCommand(const Submission& submission) const {
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(options_.deadline).count();
-  const std::string values = "c=outbound,d=" + std::to_string(ms) + ",k=" + Ledger::KeyOf(t.message) +
-                             ",dest=7" + (t.number > 1 ? ",again=1" : "");
-  const std::string body(options_.body, 'x');
-  return RespCommand({"MSG.PUT", "0000000000000000", t.id, values, body});
+  const std::string values = "c=outbound,d=" + std::to_string(ms) +
+                             ",k=" + MessageTracker::KeyOf(submission.message) + ",dest=7" +
+                             (submission.number > 1 ? ",again=1" : "");
+  const std::string body(options_.body_bytes, 'x');
+  return RespCommand({"MSG.PUT", "0000000000000000", submission.id, values, body});
 }
 
-void Load::OnAnswer(ClientLine& line, const std::string& answer) {
-  const Try t = lines_.at(&line).asking;
+void LoadGenerator::OnAnswer(ClientConnection& connection, const std::string& answer) {
+  const Submission submission = connections_.at(&connection).submission;
   if (answer.rfind("+OK", 0) == 0) {
-    ledger_.Taken(t.id, net::Loop::Now());
-    --waiting_;
+    tracker_.RecordAccepted(submission.id, net::Loop::Now());
+    --pending_;
     return;
   }
-  net::Time after = 100ms;
-  if (answer.rfind("-BUSY ", 0) == 0) after = std::chrono::milliseconds(std::atol(answer.c_str() + 6));
-  Again(t, after, Ledger::End::kRefused);
+  net::Time delay = 100ms;
+  if (answer.rfind("-BUSY ", 0) == 0) delay = std::chrono::milliseconds(std::atol(answer.c_str() + 6));
+  ResubmitAfter(submission, delay, MessageTracker::GiveUpReason::kRejected);
 }
 
-void Load::OnBreak(ClientLine& line, const ClientLine::Break& how) {
-  const auto it = lines_.find(&line);
+void LoadGenerator::OnLost(ClientConnection& connection, const ClientConnection::Loss& loss) {
+  const auto it = connections_.find(&connection);
   const std::size_t relay = it->second.relay;
-  Try t = it->second.asking;
-  line.Close();
-  loop_.DestroyLater(std::move(it->second.line));
-  lines_.erase(it);
-  if (!how.connected) passed_over_until_[relay] = net::Loop::Now() + options_.front_notices_after;
-  if (!how.asking) return;
-  // Never read by a relay: the same request once more.
-  if ((!how.connected || how.unread) && !t.repeated) {
-    t.repeated = true;
-    return HandIn(t);
+  Submission submission = it->second.submission;
+  connection.Close();
+  loop_.DestroyLater(std::move(it->second.connection));
+  connections_.erase(it);
+  if (!loss.was_connected) skipped_until_[relay] = net::Loop::Now() + options_.relay_skip_time;
+  if (!loss.request_pending) return;
+  // No relay has read the request: sends the same one once more.
+  if ((!loss.was_connected || loss.request_unread) && !submission.repeated) {
+    submission.repeated = true;
+    return Submit(submission);
   }
-  Again(t, 0ms, Ledger::End::kUnanswered);
+  ResubmitAfter(submission, 0ms, MessageTracker::GiveUpReason::kUnanswered);
 }
 
-void Load::Again(const Try& t, net::Time after, Ledger::End end) {
-  if (t.number >= options_.tries || ending_) {
-    ledger_.GivenUp(t.message, end);
-    --waiting_;
+void LoadGenerator::ResubmitAfter(const Submission& submission, net::Time delay,
+                                  MessageTracker::GiveUpReason reason) {
+  if (submission.number >= options_.max_submissions || stopping_) {
+    tracker_.RecordGivenUp(submission.message, reason);
+    --pending_;
     return;
   }
-  later_.emplace(net::Loop::Now() + after, Try{t.message, t.number + 1, {}, false});
-  later_timer_.At(later_.begin()->first);
+  resubmissions_.emplace(net::Loop::Now() + delay,
+                         Submission{submission.message, submission.number + 1, {}, false});
+  resubmission_timer_.At(resubmissions_.begin()->first);
 }
 
 }  // namespace oxbowspread::standin
--- a/src/standin/load.hpp
+++ b/src/standin/load.hpp
@@ -1,6 +1,6 @@
-// Stand-ins for the clients and the front before the relays: messages at a fixed rate whatever becomes of
-// them (open loop), each handed to a relay that the front believes up, and handed in again as the platform's
-// clients do.
+// Stands in for the clients and the load balancer before the relays. Messages come at a fixed rate whatever
+// becomes of them (open loop). Each is submitted to a relay that the load balancer believes up, and
+// resubmitted as the platform's clients do.
 #pragma once
 
 #include <cstdint>
@@ -14,68 +14,70 @@
 
 namespace oxbowspread::standin {
 
-// Spans in microseconds, sizes in bytes.
+// Times are in microseconds.
 struct LoadOptions {
   std::vector<std::string> relays;  // address:port
-  double rate = 200;                // messages a second
+  double rate = 200;                // messages per second
   net::Time deadline{8'000'000};
-  net::Time answer_within{400'000};
-  int tries = 3;                             // of a client, refusals and lost connections together
-  net::Time front_notices_after{1'000'000};  // a relay that refuses connections is passed over for so long
-  std::size_t body = 200;
+  net::Time answer_timeout{400'000};
+  int max_submissions = 3;               // per message, whether rejected or lost with the connection
+  net::Time relay_skip_time{1'000'000};  // the load balancer skips a relay that refuses connections so long
+  std::size_t body_bytes = 200;
 };
 
-class Load final : public ClientLine::Owner {
+class LoadGenerator final : public ClientConnection::Owner {
  public:
-  // Loop and ledger must outlive it. Throws std::bad_optional_access where a relay's address is none.
-  Load(net::Loop& loop, Ledger& ledger, const LoadOptions& options);
-  ~Load() override;
-  Load(const Load&) = delete;
-  Load& operator=(const Load&) = delete;
+  // Loop and tracker must outlive it. Throws std::bad_optional_access if the address of a relay is invalid.
+  LoadGenerator(net::Loop& loop, MessageTracker& tracker, const LoadOptions& options);
+  ~LoadGenerator() override;
+  LoadGenerator(const LoadGenerator&) = delete;
+  LoadGenerator& operator=(const LoadGenerator&) = delete;
 
-  void Begin();
-  void End() {
+  void Start();
+  // Submits no new messages; those that wait for an answer still get it.
+  void Stop() {
     timer_.Stop();
-    ending_ = true;
-  }  // nothing new; what waits for its answer still gets it
-  bool idle() const { return waiting_ == 0; }
-  // How late, at most, a message was handed in after it was due: the load's own share of every time measured.
+    stopping_ = true;
+  }
+  bool idle() const { return pending_ == 0; }
+  // Longest delay between a message's due time and its submission: the generator's own share of every
+  // measured time.
   net::Time lateness() const { return lateness_; }
 
  private:
-  struct Try {
+  struct Submission {
     std::uint64_t message = 0;
     int number = 1;
     std::string id;
-    bool repeated = false;  // on a second connection, since the first was closed before it was read
+    bool repeated = false;  // on a second connection, since the first was closed before the request was read
   };
 
-  struct Seat {
-    std::unique_ptr<ClientLine> line;
+  struct ConnectionState {
+    std::unique_ptr<ClientConnection> connection;
     std::size_t relay = 0;
-    Try asking;  // the last, while the line is not free
+    Submission submission;  // the latest, while the connection is not idle
   };
 
   void OnTick();
-  void HandIn(Try t);
-  void Again(const Try& t, net::Time after, Ledger::End end);
-  void OnAnswer(ClientLine& line, const std::string& answer) override;
-  void OnBreak(ClientLine& line, const ClientLine::Break& how) override;
-  std::string Command(const Try& t) const;
+  void Submit(Submission submission);
+  void ResubmitAfter(const Submission& submission, net::Time delay, MessageTracker::GiveUpReason reason);
+  void OnAnswer(ClientConnection& connection, const std::string& answer) override;
+  void OnLost(ClientConnection& connection, const ClientConnection::Loss& loss) override;
+  std::string FormatCommand(const Submission& submission) const;
 
   net::Loop& loop_;
-  Ledger& ledger_;
+  MessageTracker& tracker_;
   LoadOptions options_;
   std::vector<net::Address> addresses_;
-  std::vector<net::Time> passed_over_until_;
-  std::map<ClientLine*, Seat> lines_;
-  std::multimap<net::Time, Try> later_;
-  net::Time begun_{0}, lateness_{0};
-  std::uint64_t messages_ = 0, ids_ = 0;
-  std::size_t next_relay_ = 0, waiting_ = 0;
-  bool ending_ = false;
-  std::string run_;  // tells this run's ids from those of others
-  net::Timer timer_, later_timer_;
+  std::vector<net::Time> skipped_until_;  // by relay
+  std::map<ClientConnection*, ConnectionState> connections_;
+  std::multimap<net::Time, Submission> resubmissions_;
+  net::Time started_at_{0}, lateness_{0};
+  std::uint64_t message_count_ = 0, id_count_ = 0;
+  std::size_t next_relay_ = 0, pending_ = 0;
+  bool stopping_ = false;
+  std::string run_id_;  // prefix of the message ids, which differs from run to run
+  net::Timer timer_, resubmission_timer_;
 };
 
 }  // namespace oxbowspread::standin
--- a/src/standin/platform.hpp
+++ b/src/standin/platform.hpp
@@ -1,5 +1,5 @@
-// Stand-ins for what the relays call: discovery with its watch, the platform's notices, and endpoints that
-// answer after a while. Loopback only.
+// Stands in for what the relays call: discovery with its watch, the receiver of notices, and endpoints that
+// answer after a delay. Loopback only.
 #pragma once
 
 #include <cstdint>
@@ -15,83 +15,84 @@
 
 namespace oxbowspread::standin {
 
-// A server of HTTP/1.1 on one loopback port, its answers given now or later.
+// An HTTP/1.1 server on one loopback port. Its owner answers each request at once or later.
 class HttpServer {
  public:
   using Handler = std::function<void(std::uint64_t connection, const Request& request)>;
-  using Gone = std::function<void(std::uint64_t connection)>;
+  using ClosedHandler = std::function<void(std::uint64_t connection)>;
 
-  // Port 0: any. `gone` is told of connections that the other side ended. Throws std::system_error.
-  HttpServer(net::Loop& loop, int port, Handler handler, Gone gone = {});
+  // Port 0: any. `on_closed` is called for connections that the peer closed. Throws std::system_error.
+  HttpServer(net::Loop& loop, int port, Handler handler, ClosedHandler on_closed = {});
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
   int port() const { return port_; }
-  // False if the connection has gone.
+  // Returns false if the connection is closed.
   bool Write(std::uint64_t connection, const std::string& bytes);
-  // Ends it; `gone` is not told.
-  void Close(std::uint64_t connection) { Leave(connection); }
-  // Whether the other side has ended it, though `gone` has not been told so yet.
-  bool Ended(std::uint64_t connection) const;
-  std::size_t connections() const { return seats_.size(); }
+  // Closes the connection without a call to `on_closed`.
+  void Close(std::uint64_t connection) { Remove(connection); }
+  // Whether the peer has closed the connection, even if `on_closed` has not been called yet.
+  bool IsClosed(std::uint64_t connection) const;
+  std::size_t connections() const { return sessions_.size(); }
 
  private:
-  class Seat;
-  void Leave(std::uint64_t number);
+  class Session;
+  void Remove(std::uint64_t number);
 
   net::Loop& loop_;
   Handler handler_;
-  Gone gone_;
+  ClosedHandler on_closed_;
   int port_ = 0;
-  std::uint64_t next_ = 1;
-  std::map<std::uint64_t, std::unique_ptr<Seat>> seats_;
+  std::uint64_t next_number_ = 1;
+  std::map<std::uint64_t, std::unique_ptr<Session>> sessions_;
   std::unique_ptr<net::Listener> listener_;
 };
 
-// A whole answer; `status` as in "200 OK", each line of `headers` with its end.
-std::string Answer(const char* status, const std::string& body = {}, const std::string& headers = {});
-// One chunk of an answer that stays open.
-std::string Chunk(const std::string& text);
+// Formats a complete response; `status` is such as "200 OK", and each line of `headers` includes its line
+// end.
+std::string FormatResponse(const char* status, const std::string& body = {}, const std::string& headers = {});
+// Formats one chunk of a response with chunked transfer encoding.
+std::string FormatChunk(const std::string& text);
 
-// Spans in microseconds; port 0: any.
+// Times are in microseconds; port 0: any.
 struct PlatformOptions {
   int discovery_port = 0;
-  int hosts = 4;  // half in each of two rooms, all of destination 7
+  int hosts = 4;  // half of them in each of two zones, all of destination 7
   net::Time latency{20'000};
-  net::Time latency_spread{20'000};
+  net::Time latency_spread{20'000};  // added at random, up to this
   std::uint64_t seed = 1;
 };
 
-class Platform {
+class StubPlatform {
  public:
-  // Loop and ledger must outlive it. Throws std::system_error where a port can't be had.
-  Platform(net::Loop& loop, Ledger& ledger, const PlatformOptions& options);
+  // Loop and tracker must outlive it. Throws std::system_error if a port is not available.
+  StubPlatform(net::Loop& loop, MessageTracker& tracker, const PlatformOptions& options);
   int discovery_port() const { return discovery_.port(); }
-  // While true the hosts answer 503 to everything.
+  // While true the hosts answer 503 to every call.
   void SetDown(bool down) { down_ = down; }
 
  private:
-  struct Due {
+  struct PendingCall {
     std::size_t host;
     std::uint64_t connection;
     Request request;
   };
   void OnDiscovery(std::uint64_t connection, const Request& request);
   void OnCall(std::size_t host, std::uint64_t connection, const Request& request);
-  void AnswerDue();
-  void Beat();
-  std::string List() const;
+  void AnswerDueCalls();
+  void SendHeartbeats();
+  std::string ListJson() const;
 
   net::Loop& loop_;
-  Ledger& ledger_;
+  MessageTracker& tracker_;
   PlatformOptions options_;
-  std::uint64_t dice_;
+  std::uint64_t random_state_;
   bool down_ = false;
   HttpServer discovery_;
   std::vector<std::unique_ptr<HttpServer>> hosts_;
-  std::vector<std::uint64_t> watches_;
-  std::multimap<net::Time, Due> due_;
-  net::Timer answer_, beat_;
+  std::vector<std::uint64_t> watches_;  // connections
+  std::multimap<net::Time, PendingCall> pending_calls_;
+  net::Timer answer_timer_, heartbeat_timer_;
 };
 
 }  // namespace oxbowspread::standin
--- a/src/standin/request.cpp
+++ b/src/standin/request.cpp
@@ -6,51 +6,52 @@
 
 namespace oxbowspread::standin {
 
-RequestReader::RequestReader(std::function<void(Request)> whole) : whole_(std::move(whole)) {
+HttpRequestParser::HttpRequestParser(std::function<void(Request)> on_request)
+    : on_request_(std::move(on_request)) {
   http_parser_init(&parser_, HTTP_REQUEST);
   parser_.data = this;
-  http_parser_settings_init(&calls_);
-  const auto keep = [](RequestReader& r) {
-    std::transform(r.field_.begin(), r.field_.end(), r.field_.begin(),
+  http_parser_settings_init(&callbacks_);
+  const auto store_header = [](HttpRequestParser& parser) {
+    std::transform(parser.field_.begin(), parser.field_.end(), parser.field_.begin(),
                    [](unsigned char c) { return std::tolower(c); });
-    if (!r.field_.empty()) r.request_.headers[r.field_] = r.value_;
-    r.field_.clear();
-    r.value_.clear();
+    if (!parser.field_.empty()) parser.request_.headers[parser.field_] = parser.value_;
+    parser.field_.clear();
+    parser.value_.clear();
   };
-  static const auto kKeep = keep;
-  calls_.on_url = [](http_parser* p, const char* at, std::size_t n) {
-    Of(p).request_.target.append(at, n);
+  static const auto kStoreHeader = store_header;
+  callbacks_.on_url = [](http_parser* state, const char* data, std::size_t size) {
+    FromParser(state).request_.target.append(data, size);
     return 0;
   };
-  calls_.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
-    if (std::exchange(Of(p).in_value_, false)) kKeep(Of(p));
-    Of(p).field_.append(at, n);
+  callbacks_.on_header_field = [](http_parser* state, const char* data, std::size_t size) {
+    if (std::exchange(FromParser(state).in_value_, false)) kStoreHeader(FromParser(state));
+    FromParser(state).field_.append(data, size);
     return 0;
   };
-  calls_.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
-    Of(p).in_value_ = true;
-    Of(p).value_.append(at, n);
+  callbacks_.on_header_value = [](http_parser* state, const char* data, std::size_t size) {
+    FromParser(state).in_value_ = true;
+    FromParser(state).value_.append(data, size);
     return 0;
   };
-  calls_.on_headers_complete = [](http_parser* p) {
-    kKeep(Of(p));
-    Of(p).in_value_ = false;
+  callbacks_.on_headers_complete = [](http_parser* state) {
+    kStoreHeader(FromParser(state));
+    FromParser(state).in_value_ = false;
     return 0;
   };
-  calls_.on_body = [](http_parser* p, const char* at, std::size_t n) {
-    Of(p).request_.body.append(at, n);
+  callbacks_.on_body = [](http_parser* state, const char* data, std::size_t size) {
+    FromParser(state).request_.body.append(data, size);
     return 0;
   };
-  calls_.on_message_complete = [](http_parser* p) {
-    RequestReader& r = Of(p);
-    r.request_.method = http_method_str(static_cast<http_method>(p->method));
-    r.whole_(std::exchange(r.request_, {}));
+  callbacks_.on_message_complete = [](http_parser* state) {
+    HttpRequestParser& parser = FromParser(state);
+    parser.request_.method = http_method_str(static_cast<http_method>(state->method));
+    parser.on_request_(std::exchange(parser.request_, {}));
     return 0;
   };
 }
 
-bool RequestReader::Feed(std::string_view bytes) {
-  return http_parser_execute(&parser_, &calls_, bytes.data(), bytes.size()) == bytes.size();
+bool HttpRequestParser::Feed(std::string_view bytes) {
+  return http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size()) == bytes.size();
 }
 
 }  // namespace oxbowspread::standin
--- a/src/standin/request.hpp
+++ b/src/standin/request.hpp
@@ -1,4 +1,4 @@
-// Requests of HTTP/1.1 as a server reads them: a machine over http-parser that is fed bytes. Knows no socket.
+// Parses HTTP/1.1 requests on the server side: wraps http-parser and is fed bytes. Uses no socket.
 #pragma once
 
 #include <http_parser.h>
@@ -14,29 +14,31 @@
   std::string method, target, body;
   std::map<std::string, std::string> headers;  // names in lower case
 
+  // Returns the value of the header, or an empty string. `name` must be in lower case.
   std::string Header(const std::string& name) const {
     const auto it = headers.find(name);
     return it == headers.end() ? std::string() : it->second;
   }
 };
 
-class RequestReader {
+class HttpRequestParser {
  public:
-  explicit RequestReader(std::function<void(Request)> whole);
-  RequestReader(const RequestReader&) = delete;
-  RequestReader& operator=(const RequestReader&) = delete;
+  explicit HttpRequestParser(std::function<void(Request)> on_request);
+  HttpRequestParser(const HttpRequestParser&) = delete;
+  HttpRequestParser& operator=(const HttpRequestParser&) = delete;
 
-  // Tells of each request as it gets whole. False: it is no HTTP, and nothing more can be read.
+  // Calls `on_request` for each request as it becomes complete. Returns false if the bytes are not HTTP;
+  // nothing more can be parsed then.
   bool Feed(std::string_view bytes);
 
  private:
-  static RequestReader& Of(http_parser* p) { return *static_cast<RequestReader*>(p->data); }
+  static HttpRequestParser& FromParser(http_parser* p) { return *static_cast<HttpRequestParser*>(p->data); }
 
-  std::function<void(Request)> whole_;
+  std::function<void(Request)> on_request_;
   http_parser parser_;
-  http_parser_settings calls_;
+  http_parser_settings callbacks_;
   Request request_;
-  std::string field_, value_;
+  std::string field_, value_;  // of the header that is being parsed
   bool in_value_ = false;
 };
 
--- a/src/standin/settings.hpp
+++ b/src/standin/settings.hpp
@@ -1,5 +1,5 @@
-// The settings, in the platform's JSON, of a relay among stand-ins: one partner in two rooms, and one class
-// whose repeats are dropped by key. Times in seconds, as the keys' names say.
+// Settings, in the platform's JSON, of a relay whose surroundings are stand-ins: one partner in two zones,
+// and one message class whose repeats are dropped by key. Times are in seconds, as the names of the keys say.
 #pragma once
 
 namespace oxbowspread::standin {
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -12,31 +12,32 @@
 #include "tls/keys.hpp"
 
 namespace oxbowspread::standin {
-// Bound for as long as this process lives, or until many later ones were asked for: no connection is given it
-// as its own port meanwhile, and whoever listens there with SO_REUSEADDR, as all of ours do, still may.
+// The port stays bound until this process ends or has reserved many later ports. Meanwhile the system doesn't
+// use it as the local port of a connection, while a process that listens with SO_REUSEADDR, as all of the
+// relay's programs do, still can.
 int FreePort() {
   static std::deque<int> reserved;
-  constexpr std::size_t kMost = 1000;
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  constexpr std::size_t kMaxReserved = 1000;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  socklen_t size = sizeof a;
-  bind(fd, reinterpret_cast<const sockaddr*>(&a), size);
-  getsockname(fd, reinterpret_cast<sockaddr*>(&a), &size);
+  socklen_t size = sizeof address;
+  bind(fd, reinterpret_cast<const sockaddr*>(&address), size);
+  getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
   reserved.push_back(fd);
-  if (reserved.size() > kMost) {
+  if (reserved.size() > kMaxReserved) {
     close(reserved.front());
     reserved.pop_front();
   }
-  return ntohs(a.sin_port);
+  return ntohs(address.sin_port);
 }
 
 nlohmann::json RelayConfig(const std::string& name, const std::string& listen, int discovery_port) {
   nlohmann::json settings = nlohmann::json::parse(kSettings);
-  settings["family-info"]["calls-out"] = 64;  // room for a load
+  settings["family-info"]["calls-out"] = 64;  // room for the load generator
   settings["limits"]["max-open"] = 2000;
   return {{"name", name},
           {"listen", listen},
--- a/src/standin/site.hpp
+++ b/src/standin/site.hpp
@@ -1,4 +1,4 @@
-// A whole small installation on loopback, as files: group file, relay configurations, keys.
+// Writes the files of a whole small installation on loopback: group file, relay configurations, keys.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,21 +12,22 @@
   int instances = 5;
   int agents = 3;
   int discovery_port = 0;
-  double capacity = 400;  // of each instance, messages a second
-  std::string limits;     // YAML lines of the group file's `limits`, each indented by two blanks
+  double capacity = 400;  // of each instance, messages per second
+  std::string limits;     // YAML lines of the group file's `limits`, each indented by two spaces
 };
 
 struct Site {
   std::string group_file;
   std::vector<std::string> agents, instances;  // names
-  std::vector<std::string> relays;             // address:port, beside instances
-  std::vector<std::string> agent_of;           // beside instances
+  std::vector<std::string> relays;             // address:port, by index of `instances`
+  std::vector<std::string> agent_of;           // name of the agent, by index of `instances`
 };
 
-// Writes all of it, with free ports. Throws std::runtime_error.
+// Writes all files, with free ports. Throws std::runtime_error.
 Site MakeSite(const SiteOptions& options);
-// The relay's configuration; to be changed and written again for tests of `apply`.
+// The relay's configuration, which tests of `apply` change and write again.
 nlohmann::json RelayConfig(const std::string& name, const std::string& listen, int discovery_port);
-int FreePort();  // on loopback, and kept free for whoever is to listen there
+// Returns a free port on loopback. It stays reserved for the process that is to listen there.
+int FreePort();
 
 }  // namespace oxbowspread::standin
--- a/tests/group/chaos_test.cpp
+++ b/tests/group/chaos_test.cpp
@@ -28,7 +28,7 @@
   std::mt19937 dice(seed);
   Played played;
   rig.StartAll();
-  rig.load->Begin();
+  rig.load->Start();
   Json begun;
   if (seed % 2 == 0) {
     std::map<std::string, Json> configs;
@@ -104,9 +104,9 @@
 void CheckPlayed(const Played& p) {
   CHECK((p.state == "done" || p.state == "rolled-back"));
   CHECK(p.totals.lost == 0);
-  CHECK(p.totals.answered_twice == 0);
-  CHECK(p.totals.taken > 100);
-  CHECK(p.totals.taken == p.totals.delivered + p.totals.failed);
+  CHECK(p.totals.ended_twice == 0);
+  CHECK(p.totals.accepted > 100);
+  CHECK(p.totals.accepted == p.totals.delivered + p.totals.failed);
 }
 
 #define OXBOW_SEED(n)                                                                      \
@@ -129,16 +129,16 @@
     const Played p = Play(seed);
     CheckPlayed(p);
     std::cout << seed << "\t" << p.state << "\t" << p.relays_killed << "\t" << p.agents_killed << "\t"
-              << p.stopped << "\t" << p.known_after_ms << "\t" << p.totals.asked << "\t" << p.totals.taken
-              << "\t" << p.totals.delivered << "\t" << p.totals.refused << "\t" << p.totals.failed << "\t"
-              << p.totals.lost << "\t" << p.totals.answered_twice << std::endl;
+              << p.stopped << "\t" << p.known_after_ms << "\t" << p.totals.due << "\t" << p.totals.accepted
+              << "\t" << p.totals.delivered << "\t" << p.totals.rejected << "\t" << p.totals.failed << "\t"
+              << p.totals.lost << "\t" << p.totals.ended_twice << std::endl;
   }
 }
 
 TEST_CASE("forty kills, by hand: time until agents, processes, locks and sockets agree", "[.][kills]") {
   GroupRig rig;
   rig.StartAll();
-  rig.load->Begin();
+  rig.load->Start();
   std::vector<double> relay_ms, agent_ms;
   for (int i = 0; i < 40; ++i) {
     const bool agent = i % 4 == 3;
--- a/tests/group/group_process_test.cpp
+++ b/tests/group/group_process_test.cpp
@@ -25,7 +25,7 @@
 TEST_CASE("a rolling restart under load gives every instance a new process and loses nothing") {
   GroupRig rig;
   rig.StartAll();
-  rig.load->Begin();
+  rig.load->Start();
   const auto before = Pids(rig);
   REQUIRE(rig.Begin("restart").value("ok", false));
   REQUIRE(rig.UntilOver());
@@ -34,10 +34,10 @@
   for (const auto& [name, pid] : before) CHECK(after.at(name) != pid);
   CHECK(rig.Disagreement().empty());
   const standin::Totals t = rig.Settle();
-  CHECK(t.taken == t.delivered);
+  CHECK(t.accepted == t.delivered);
   CHECK(t.lost == 0);
-  CHECK(t.answered_twice == 0);
-  CHECK(t.refused + t.unanswered == 0);
+  CHECK(t.ended_twice == 0);
+  CHECK(t.rejected + t.unanswered == 0);
 }
 
 // Seeds 113 and 477 of the long table: the leader had not heard of every instance yet, and refused.
@@ -93,7 +93,7 @@
 TEST_CASE("everything is killed in the middle of a change and goes on from disk") {
   GroupRig rig;
   rig.StartAll();
-  rig.load->Begin();
+  rig.load->Start();
   REQUIRE(rig.Begin("restart").value("ok", false));
   const std::string id = Text(rig.Change().at("change"), "change");
   rig.Run(2s);
@@ -108,7 +108,7 @@
   CHECK(rig.Until([&] { return rig.Disagreement().empty(); }));
   const standin::Totals t = rig.Settle();
   CHECK(t.lost == 0);
-  CHECK(t.answered_twice == 0);
+  CHECK(t.ended_twice == 0);
 }
 
 TEST_CASE("a coordinator stopped past every bound is replaced, and fenced when it comes back") {
@@ -194,7 +194,7 @@
   o.limits += "  least_sample: 20\n";
   GroupRig rig(o);
   rig.StartAll();
-  rig.load->Begin();
+  rig.load->Start();
   const auto before = Pids(rig);
   // A port that this process holds: the file is good, the relay can't listen.
   const int port = standin::FreePort();
@@ -211,7 +211,7 @@
   for (const char* name : {"n2", "n3", "n4", "n5"}) CHECK(after.at(name) == before.at(name));
   const standin::Totals t = rig.Settle();
   CHECK(t.lost == 0);
-  CHECK(t.answered_twice == 0);
+  CHECK(t.ended_twice == 0);
 }
 
 TEST_CASE("a configuration that comes up and refuses what it is asked fails its gate and is rolled back") {
@@ -221,7 +221,7 @@
       "  observe_for: 2s\n  watch_for: 2s\n  settle_within: 4s\n  least_sample: 20\n  refused_rise: 0.05\n";
   GroupRig rig(o);
   rig.StartAll();
-  rig.load->Begin();
+  rig.load->Start();
   const auto before = Pids(rig);
   Json bad = rig.ConfigOf("n1");
   bad["settings"]["limits"]["max-open"] = 1;
@@ -239,7 +239,7 @@
 void KillAtEachStage(bool agent) {
   GroupRig rig;
   rig.StartAll();
-  rig.load->Begin();
+  rig.load->Start();
   const std::string keeper = rig.site.agent_of[1];
   for (const char* stage : {"waiting", "pausing", "turning", "watching", "done"}) {
     INFO("killed while " << stage);
@@ -266,7 +266,7 @@
   }
   const standin::Totals t = rig.Settle();
   CHECK(t.lost == 0);
-  CHECK(t.answered_twice == 0);
+  CHECK(t.ended_twice == 0);
 }
 
 TEST_CASE("a relay killed at each stage of its change ends turned and known") { KillAtEachStage(false); }
--- a/tests/group/rig.cpp
+++ b/tests/group/rig.cpp
@@ -40,12 +40,12 @@
   signal(SIGPIPE, SIG_IGN);
   standin::PlatformOptions p;
   p.seed = options.seed;
-  platform = std::make_unique<standin::Platform>(loop, ledger, p);
+  platform = std::make_unique<standin::StubPlatform>(loop, ledger, p);
   site = standin::MakeSite(SiteOf(folder, options, platform->discovery_port()));
   standin::LoadOptions l;
   l.relays = site.relays;
   l.rate = options.rate;
-  load = std::make_unique<standin::Load>(loop, ledger, l);
+  load = std::make_unique<standin::LoadGenerator>(loop, ledger, l);
   identity_.emplace(folder + "/keys", "operator");
   for (const group::Agent& a : group::Read(site.group_file).agents) {
     callers_[a.name] = std::make_unique<control::Caller>(
@@ -274,9 +274,9 @@
 }
 
 standin::Totals GroupRig::Settle(net::Time limit) {
-  load->End();
-  Until([this] { return load->idle() && ledger.Owed().empty(); }, limit);
-  return ledger.Sum();
+  load->Stop();
+  Until([this] { return load->idle() && ledger.PendingIds().empty(); }, limit);
+  return ledger.ComputeTotals();
 }
 
 std::string GroupRig::AgentLog(const std::string& name) const {
--- a/tests/group/rig.hpp
+++ b/tests/group/rig.hpp
@@ -80,9 +80,9 @@
   standin::Site site;
   std::string folder;
   net::Loop loop;
-  standin::Ledger ledger;
-  std::unique_ptr<standin::Platform> platform;
-  std::unique_ptr<standin::Load> load;
+  standin::MessageTracker ledger;
+  std::unique_ptr<standin::StubPlatform> platform;
+  std::unique_ptr<standin::LoadGenerator> load;
 
  private:
   std::map<std::string, pid_t> agents_;
