--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -43,7 +43,7 @@
 
 int RunDay(const RunOptions& options, bool on_sockets) {
   const model::Scenario scenario = model::ReadScenario(options.file, options.sets);
-  const model::Day day = model::Draw(scenario, options.seed);
+  const model::Day day = model::DrawDay(scenario, options.seed);
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("oxbowlab-" + std::to_string(getpid()))).string();
   std::ofstream trace;
@@ -73,7 +73,7 @@
 // Runs one day in this process and prints its report as JSON.
 int RunSoakDay(std::uint64_t seed, const std::string& relay, const std::string& folder) {
   const model::Scenario scenario = model::DrawSoak(seed);
-  const model::Day day = model::Draw(scenario, seed);
+  const model::Day day = model::DrawDay(scenario, seed);
   const std::string at =
       folder.empty()
           ? (std::filesystem::temp_directory_path() / ("oxbowlab-" + std::to_string(getpid()))).string()
--- a/src/lab/node.cpp
+++ b/src/lab/node.cpp
@@ -38,12 +38,14 @@
   Submission(SimulatedRelay& owner, std::uint64_t submission_number)
       : relay(owner), number(submission_number) {}
   bool OnAccepted() override {
-    relay.environment_.Notify(model::Answered{number, model::Answered::What::kTaken, Time(0)});
+    relay.environment_.Notify(
+        model::SubmissionAnswered{number, model::SubmissionAnswered::Result::kAccepted, Time(0)});
     Finish();
     return true;
   }
   void OnRejected(relay::Time come_again) override {
-    relay.environment_.Notify(model::Answered{number, model::Answered::What::kTurnedAway, come_again});
+    relay.environment_.Notify(
+        model::SubmissionAnswered{number, model::SubmissionAnswered::Result::kRejected, come_again});
     Finish();
   }
   // Erases itself later, since the relay core may still be in a call to this object.
@@ -59,7 +61,7 @@
 };
 
 SimulatedRelay::SimulatedRelay(const Options& options, const wheathub::Settings& settings,
-                               Environment& environment, const model::TellList& known)
+                               Environment& environment, const model::SendList& known)
     : options_(options),
       environment_(environment),
       list_({.pushed_by_agent = !settings.must_request_list,
@@ -84,7 +86,7 @@
 SimulatedRelay::~SimulatedRelay() {
   *alive_ = false;
   for (const auto& [number, call] : calls_) {
-    environment_.Notify(model::Dropped{number});
+    environment_.Notify(model::CallDropped{number});
     environment_.Disconnect(call.address);
   }
   for (const auto& [host, pool] : pools_) {
@@ -92,7 +94,8 @@
   }
   for (const auto& [number, submission] : submissions_) {
     if (!submission->answered)
-      environment_.Notify(model::Answered{number, model::Answered::What::kBroken, Time(0)});
+      environment_.Notify(
+          model::SubmissionAnswered{number, model::SubmissionAnswered::Result::kConnectionLost, Time(0)});
   }
 }
 
@@ -137,17 +140,18 @@
 
 // ---- clients ----
 
-void SimulatedRelay::Submit(const model::HandIn& in, const std::string& body) {
+void SimulatedRelay::Submit(const model::SubmitMessage& in, const std::string& body) {
   last_submission_at_ = environment_.Now();
   journal::Message message;
   message.id = in.id;
   message.key = in.key;
   message.class_name = "outbound";
   message.destination = in.destination;
-  message.deadline = UnixNow() + in.left - TimeUnread();
-  message.resubmitted = in.refused_before || in.died_before;
+  message.deadline = UnixNow() + in.time_left - TimeUnread();
+  message.resubmitted = in.refused_before || in.lost_before;
   message.body = body;
-  const auto [it, inserted] = submissions_.emplace(in.hand, std::make_unique<Submission>(*this, in.hand));
+  const auto [it, inserted] =
+      submissions_.emplace(in.submission, std::make_unique<Submission>(*this, in.submission));
   relay_->Submit(std::move(message), *it->second);
 }
 
@@ -262,8 +266,8 @@
   const std::uint64_t call = environment_.NextCallNumber(options_.relay_index);
   calls_[call] = {request.attempt, request.host, address};
   by_attempt_[request.attempt] = call;
-  environment_.Notify(
-      model::Called{call, options_.relay_index, address, request.attempt.id, request.key, new_connection});
+  environment_.Notify(model::CallReceived{call, options_.relay_index, address, request.attempt.id,
+                                          request.key, new_connection});
   RunAfter(std::max(Time(0), request.timeout_at - now), [this, call] { TimeOutCall(call); });
 }
 
@@ -282,7 +286,7 @@
   CloseConnection(calls_.at(number).address);
   calls_.erase(number);
   by_attempt_.erase(it);
-  environment_.Notify(model::Dropped{number});
+  environment_.Notify(model::CallDropped{number});
   return true;
 }
 
@@ -295,9 +299,9 @@
   // Interpreted as the endpoint side interprets a response.
   proto::HttpResponseHead head;
   head.status = answer.status;
-  if (answer.wait > 0us) {
+  if (answer.retry_after > 0us) {
     char text[40];
-    std::snprintf(text, sizeof text, "%.6f", static_cast<double>(answer.wait.count()) / 1e6);
+    std::snprintf(text, sizeof text, "%.6f", static_cast<double>(answer.retry_after.count()) / 1e6);
     head.headers["retry-after"] = text;
   }
   const relay::AttemptResult result = endpoint::InterpretResponse(head);
@@ -321,7 +325,7 @@
 
 // ---- discovery and notices ----
 
-relay::RoutingChange SimulatedRelay::ToRoutingChange(const model::TellList& list, bool remembered) const {
+relay::RoutingChange SimulatedRelay::ToRoutingChange(const model::SendList& list, bool remembered) const {
   relay::RoutingChange change;
   change.scope = remembered  ? wheathub::ListScope::kRemembered
                  : list.full ? wheathub::ListScope::kAll
@@ -358,7 +362,7 @@
   }
 }
 
-void SimulatedRelay::ApplyList(const model::TellList& list) {
+void SimulatedRelay::ApplyList(const model::SendList& list) {
   if (list.version >= version_) {
     version_ = list.version;
     relay_->RoutingChanged(ToRoutingChange(list, false));
@@ -366,7 +370,7 @@
   OnListReceived(list.call);
 }
 
-void SimulatedRelay::OnHeartbeat(const model::BeatWatch& beat) { OnListReceived(beat.call); }
+void SimulatedRelay::OnHeartbeat(const model::SendHeartbeat& beat) { OnListReceived(beat.call); }
 
 void SimulatedRelay::RefuseListCall(const model::RefuseList& refused) {
   if (refused.call <= list_call_offset_) return;
@@ -423,7 +427,7 @@
       environment_.Notify(model::WatchEnded{options_.relay_index, ToWorldCall(*call.replaced_call)});
     if (list_.subscription() != 0) UpdateLease(wheathub::ListLease::SubscriptionBroken{});
     open_list_calls_[call.number] = Now();
-    environment_.Notify(model::ListWanted{options_.relay_index, ToWorldCall(call.number), version_});
+    environment_.Notify(model::ListRequested{options_.relay_index, ToWorldCall(call.number), version_});
   }
   const std::uint64_t alarm = ++list_alarm_generation_;
   if (list_.alarm() == Time::max()) return;
@@ -435,7 +439,7 @@
 void SimulatedRelay::Post(const std::string& id, const journal::Ending& ending) {
   RunAfter(Time(0), [this, id, ending] {
     environment_.Notify(
-        model::Noticed{options_.relay_index, id, ending.deferred, Time(ending.retry_after_ms * 1000)});
+        model::NoticeReceived{options_.relay_index, id, ending.deferred, Time(ending.retry_after_ms * 1000)});
     relay_->NoticeAccepted(id);
   });
 }
--- a/src/lab/node.hpp
+++ b/src/lab/node.hpp
@@ -54,17 +54,17 @@
 
   // Recovers the messages of the journal that have not ended. Throws what the journal throws.
   SimulatedRelay(const Options& options, const wheathub::Settings& settings, Environment& environment,
-                 const model::TellList& known);
+                 const model::SendList& known);
   // Acts as SIGKILL does: open calls lose their connection, and so do clients that wait for an answer.
   ~SimulatedRelay();
 
-  void Submit(const model::HandIn& in, const std::string& body);
+  void Submit(const model::SubmitMessage& in, const std::string& body);
   void Withdraw(std::uint64_t number);
   void AnswerCall(const model::AnswerCall& answer);
   void BreakCall(std::uint64_t call);
-  void ApplyList(const model::TellList& list);
+  void ApplyList(const model::SendList& list);
   void RefuseListCall(const model::RefuseList& refused);
-  void OnHeartbeat(const model::BeatWatch& beat);
+  void OnHeartbeat(const model::SendHeartbeat& beat);
   void BreakList(std::uint64_t call);  // the subscription ends in the middle of a message
   void MoveDiscovery();
   void Terminate();
@@ -114,7 +114,7 @@
   void TimeOutCall(std::uint64_t call);
   void Sweep();
   void CheckShutdown();
-  relay::RoutingChange ToRoutingChange(const model::TellList& list, bool remembered) const;
+  relay::RoutingChange ToRoutingChange(const model::SendList& list, bool remembered) const;
 
   Options options_;
   Environment& environment_;
--- a/src/lab/simulation.cpp
+++ b/src/lab/simulation.cpp
@@ -21,7 +21,7 @@
         options_(options),
         observer_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
         world_(scenario, day, [this](const trace::Event& event) { observer_.Observe(event); }),
-        body_(static_cast<std::size_t>(scenario.traffic.body), 'b'),
+        body_(static_cast<std::size_t>(scenario.traffic.body_bytes), 'b'),
         process_counts_(static_cast<std::size_t>(day.relays)) {
     std::filesystem::remove_all(options_.folder);
     std::filesystem::create_directories(options_.folder);
@@ -90,29 +90,30 @@
     return FindRelay(static_cast<int>(call % static_cast<std::uint64_t>(day_.relays)));
   }
 
-  void Apply(const model::HandIn& in) {
+  void Apply(const model::SubmitMessage& in) {
     if (SimulatedRelay* relay = FindRelay(in.relay)) {
       relay->RunOrDefer([this, relay, in] {
         relay->Submit(in, body_);
         max_held_messages_ = std::max<std::uint64_t>(max_held_messages_, relay->held_messages());
       });
     } else {
-      Notify(model::Answered{in.hand, model::Answered::What::kBroken, Time(0)});
+      Notify(model::SubmissionAnswered{in.submission, model::SubmissionAnswered::Result::kConnectionLost,
+                                       Time(0)});
     }
   }
-  void Apply(const model::LeaveHand& leave) {
+  void Apply(const model::AbandonSubmission& leave) {
     if (SimulatedRelay* relay = FindRelay(leave.relay))
-      relay->RunOrDefer([relay, hand = leave.hand] { relay->Withdraw(hand); });
+      relay->RunOrDefer([relay, hand = leave.submission] { relay->Withdraw(hand); });
   }
   void Apply(const model::AnswerCall& answer) {
     if (SimulatedRelay* relay = FindRelayOfCall(answer.call))
       relay->RunOrDefer([relay, answer] { relay->AnswerCall(answer); });
   }
-  void Apply(const model::BreakCall& broken) {
+  void Apply(const model::CloseCallConnection& broken) {
     if (SimulatedRelay* relay = FindRelayOfCall(broken.call))
       relay->RunOrDefer([relay, call = broken.call] { relay->BreakCall(call); });
   }
-  void Apply(const model::TellList& list) {
+  void Apply(const model::SendList& list) {
     if (SimulatedRelay* relay = FindRelay(list.relay))
       relay->RunOrDefer([relay, list] { relay->ApplyList(list); });
   }
@@ -120,11 +121,11 @@
     if (SimulatedRelay* relay = FindRelay(refused.relay))
       relay->RunOrDefer([relay, refused] { relay->RefuseListCall(refused); });
   }
-  void Apply(const model::BeatWatch& beat) {
+  void Apply(const model::SendHeartbeat& beat) {
     if (SimulatedRelay* relay = FindRelay(beat.relay))
       relay->RunOrDefer([relay, beat] { relay->OnHeartbeat(beat); });
   }
-  void Apply(const model::BreakList& broken) {
+  void Apply(const model::TruncateList& broken) {
     if (SimulatedRelay* relay = FindRelay(broken.list.relay)) {
       relay->RunOrDefer([relay, call = broken.list.call] { relay->BreakList(call); });
     }
@@ -134,7 +135,7 @@
   }
   // Signals that don't end a process and idle clients exist in runs on sockets only.
   void Apply(const model::SignalRelay&) {}
-  void Apply(const model::IdleClients&) {}
+  void Apply(const model::SetIdleClients&) {}
   // Connect asks the model itself whether a host is there.
   void Apply(const model::HostUp&) {}
   void Apply(const model::HostDown&) {}
@@ -161,7 +162,8 @@
     options.max_connections = static_cast<std::size_t>(scenario_.relay.sockets) / 2;
     options.list_call_offset = static_cast<std::uint64_t>(process_counts_[index]) * kListCallsPerProcess;
     options.seed = RelaySeed(day_, relay, process_counts_[index]++);
-    relays_[index] = std::make_unique<SimulatedRelay>(options, settings_[index], *this, world_.Known(relay));
+    relays_[index] =
+        std::make_unique<SimulatedRelay>(options, settings_[index], *this, world_.KnownList(relay));
     Notify(model::RelayUp{relay});
   }
 
@@ -192,7 +194,7 @@
   const model::Day& day_;
   const SimulationOptions& options_;
   EventObserver observer_;
-  model::World world_;
+  model::PlatformModel world_;
   std::string body_;
   std::vector<wheathub::Settings> settings_;
   std::vector<std::unique_ptr<SimulatedRelay>> relays_;
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -36,7 +36,7 @@
 constexpr std::uint64_t kCallsPerDiscoveryServer = 1'000'000;
 
 // One run. Its loop drives the model, the stand-ins and the relay processes.
-class SocketRun final : public standin::ClientLine::Owner {
+class SocketRun final : public standin::ClientConnection::Owner {
  public:
   SocketRun(const model::Scenario& scenario, const model::Day& day, const SocketRunOptions& options)
       : scenario_(scenario),
@@ -44,7 +44,7 @@
         options_(options),
         observer_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
         world_(scenario, day, [this](const trace::Event& event) { observer_.Observe(event); }),
-        body_(static_cast<std::size_t>(scenario.traffic.body), 'b'),
+        body_(static_cast<std::size_t>(scenario.traffic.body_bytes), 'b'),
         world_timer_(loop_, [this] { StepWorld(); }),
         poll_timer_(loop_, [this] { PollProcesses(); }),
         second_timer_(loop_, [this] { CountSecond(); }) {
@@ -97,7 +97,7 @@
     std::vector<DiscoveryServer> discovery_servers;  // the last one is current
     Json config;                                     // of the present process
     int signals_left = 0;                            // SIGHUP and SIGUSR1 in turn, one at each poll
-    std::vector<std::unique_ptr<standin::ClientLine>> idle_clients;
+    std::vector<std::unique_ptr<standin::ClientConnection>> idle_clients;
     std::set<std::uint64_t> open_watches;  // calls for which a response has begun
     pid_t pid = 0;
     int process_count = 0;
@@ -111,7 +111,7 @@
     std::map<std::uint64_t, std::uint64_t> calls;  // connection number to its open call; 0: none
   };
   struct ClientConnection {
-    std::unique_ptr<standin::ClientLine> line;
+    std::unique_ptr<standin::ClientConnection> line;
     int relay = 0;
     std::uint64_t hand = 0;  // 0: a PING
     bool resent = false;  // the request was sent again, since the first connection closed without reading it
@@ -160,14 +160,14 @@
 
   // ---- relays ----
 
-  static Json ListJson(const model::TellList& list, const model::Scenario& scenario,
+  static Json ListJson(const model::SendList& list, const model::Scenario& scenario,
                        const std::map<std::string, int>& ports) {
     Json servers = Json::array();
     for (const model::ListEntry& e : list.entries) {
       const auto port = ports.find(e.address);
       servers.push_back({{"id", e.id},
                          {"addr", "127.0.0.1:" + std::to_string(port == ports.end() ? 1 : port->second)},
-                         {"zone", scenario.rooms[static_cast<std::size_t>(e.zone)]},
+                         {"zone", scenario.zone_names[static_cast<std::size_t>(e.zone)]},
                          {"kind", e.kind == 0 ? "large" : "small"},
                          {"cell", e.destination},
                          {"state", e.state == model::ListEntry::State::kReady         ? "Ready"
@@ -228,7 +228,7 @@
                      {{"memory_mb", scenario_.relay.memory_mb},
                       {"sockets", scenario_.relay.sockets},
                       {"disk_mb", scenario_.relay.disk_mb}}},
-                    {"known", ListJson(world_.Known(number), scenario_, ports_)},
+                    {"known", ListJson(world_.KnownList(number), scenario_, ports_)},
                     {"settings", Json::parse(SettingsOf(scenario_, day_, number))}};
     WriteConfig(number);
     supervise::Program program;
@@ -352,7 +352,7 @@
   void Apply(const model::SignalRelay& effect) {
     relays_[static_cast<std::size_t>(effect.relay)].signals_left = effect.count;
   }
-  void Apply(const model::IdleClients& effect) {
+  void Apply(const model::SetIdleClients& effect) {
     Relay& relay = relays_[static_cast<std::size_t>(effect.relay)];
     for (auto& line : relay.idle_clients) {
       line->Close();
@@ -361,60 +361,60 @@
     relay.idle_clients.clear();
     for (int i = 0; i < effect.count; ++i) {
       relay.idle_clients.push_back(
-          std::make_unique<standin::ClientLine>(loop_, idle_owner_, relay.address, Time(0)));
+          std::make_unique<standin::ClientConnection>(loop_, idle_owner_, relay.address, Time(0)));
     }
   }
 
   // ---- clients ----
 
   // Idle clients need no handling: the relay decides what happens to their connections.
-  class IdleOwner final : public standin::ClientLine::Owner {
-    void OnAnswer(standin::ClientLine&, const std::string&) override {}
-    void OnBreak(standin::ClientLine&, const standin::ClientLine::Break&) override {}
+  class IdleOwner final : public standin::ClientConnection::Owner {
+    void OnAnswer(standin::ClientConnection&, const std::string&) override {}
+    void OnLost(standin::ClientConnection&, const standin::ClientConnection::Loss&) override {}
   };
 
-  standin::ClientLine* OpenClient(int relay) {
-    auto line = std::make_unique<standin::ClientLine>(
+  standin::ClientConnection* OpenClient(int relay) {
+    auto line = std::make_unique<standin::ClientConnection>(
         loop_, *this, relays_[static_cast<std::size_t>(relay)].address, Time(0));
     if (!line->opened()) return nullptr;
-    standin::ClientLine* const opened = line.get();
+    standin::ClientConnection* const opened = line.get();
     clients_[opened] = {std::move(line), relay, 0, false, {}};
     return opened;
   }
 
-  void SendRequest(standin::ClientLine* line, std::uint64_t hand, std::string request) {
+  void SendRequest(standin::ClientConnection* line, std::uint64_t hand, std::string request) {
     if (line == nullptr) return MarkInvalid("no socket for a client");
     ClientConnection& client = clients_.at(line);
     client.hand = hand;
     client.request = request;
     if (hand > 0) waiting_clients_[hand] = line;
-    line->Ask(std::move(request));
+    line->Send(std::move(request));
   }
 
-  void Apply(const model::HandIn& in) {
+  void Apply(const model::SubmitMessage& in) {
     relay_by_id_[in.id] = in.relay;
-    const auto left = std::max<std::int64_t>(1, in.left / 1ms);
+    const auto left = std::max<std::int64_t>(1, in.time_left / 1ms);
     const std::string values = "c=outbound,d=" + std::to_string(left) + ",k=" + in.key +
                                ",dest=" + std::to_string(in.destination) + (in.refused_before ? ",r=1" : "") +
-                               (in.died_before ? ",again=1" : "");
+                               (in.lost_before ? ",again=1" : "");
     std::string request = standin::RespCommand({"MSG.PUT", "0000000000000000", in.id, values, body_});
     for (auto& [line, client] : clients_) {
-      if (client.relay == in.relay && client.line->free() && !client.request.empty()) {
+      if (client.relay == in.relay && client.line->idle() && !client.request.empty()) {
         client.resent = false;
-        return SendRequest(line, in.hand, std::move(request));
+        return SendRequest(line, in.submission, std::move(request));
       }
     }
-    SendRequest(OpenClient(in.relay), in.hand, std::move(request));
+    SendRequest(OpenClient(in.relay), in.submission, std::move(request));
   }
-  void Apply(const model::LeaveHand& leave) {
-    const auto it = waiting_clients_.find(leave.hand);
+  void Apply(const model::AbandonSubmission& leave) {
+    const auto it = waiting_clients_.find(leave.submission);
     if (it == waiting_clients_.end()) return;
-    standin::ClientLine* const line = it->second;
+    standin::ClientConnection* const line = it->second;
     waiting_clients_.erase(it);
     CloseClient(*line);
   }
 
-  void CloseClient(standin::ClientLine& line) {
+  void CloseClient(standin::ClientConnection& line) {
     const auto it = clients_.find(&line);
     if (it == clients_.end()) return;
     line.Close();
@@ -422,7 +422,7 @@
     clients_.erase(it);
   }
 
-  void OnAnswer(standin::ClientLine& line, const std::string& answer) override {
+  void OnAnswer(standin::ClientConnection& line, const std::string& answer) override {
     ClientConnection& client = clients_.at(&line);
     const std::uint64_t hand = std::exchange(client.hand, 0);
     if (hand == 0) {
@@ -432,35 +432,36 @@
       return;
     }
     waiting_clients_.erase(hand);
-    using What = model::Answered::What;
-    if (answer[0] == '+' || answer[0] == '$') return Notify(model::Answered{hand, What::kTaken, Time(0)});
+    using Result = model::SubmissionAnswered::Result;
+    if (answer[0] == '+' || answer[0] == '$')
+      return Notify(model::SubmissionAnswered{hand, Result::kAccepted, Time(0)});
     if (answer.rfind("-BUSY", 0) == 0) {
       const Time wait(answer.size() > 6 ? std::atoll(answer.c_str() + 6) * 1000 : 0);
-      return Notify(model::Answered{hand, What::kTurnedAway, wait});
+      return Notify(model::SubmissionAnswered{hand, Result::kRejected, wait});
     }
     // An error answer is final for the client. The commands here are well-formed, so it counts as a failure
     // of the relay.
     if (outcome_.crash.empty()) outcome_.crash = "a relay answered " + answer;
-    Notify(model::Answered{hand, What::kTurnedAway, Time(0)});
+    Notify(model::SubmissionAnswered{hand, Result::kRejected, Time(0)});
   }
 
-  void OnBreak(standin::ClientLine& line, const standin::ClientLine::Break& end) override {
+  void OnLost(standin::ClientConnection& line, const standin::ClientConnection::Loss& end) override {
     const ClientConnection& client = clients_.at(&line);
     const int relay = client.relay;
     const std::uint64_t hand = client.hand;
-    const bool resend = end.asking && hand > 0 && end.unread && !client.resent;
+    const bool resend = end.request_pending && hand > 0 && end.request_unread && !client.resent;
     std::string request = client.request;
     waiting_clients_.erase(hand);
     CloseClient(line);
-    if (hand == 0 && end.asking)
+    if (hand == 0 && end.request_pending)
       relays_[static_cast<std::size_t>(relay)].pinging = false;  // the relay does not listen yet
-    if (run_ended_ || hand == 0 || !end.asking) return;
+    if (run_ended_ || hand == 0 || !end.request_pending) return;
     if (resend) {
-      standin::ClientLine* const next = OpenClient(relay);
+      standin::ClientConnection* const next = OpenClient(relay);
       if (next != nullptr) clients_.at(next).resent = true;
       return SendRequest(next, hand, std::move(request));
     }
-    Notify(model::Answered{hand, model::Answered::What::kBroken, Time(0)});
+    Notify(model::SubmissionAnswered{hand, model::SubmissionAnswered::Result::kConnectionLost, Time(0)});
   }
 
   // ---- endpoints ----
@@ -489,7 +490,7 @@
     HostServer& host = hosts_.at(address);
     if (request.method != "POST" || request.target != "/inbox") {
       if (outcome_.crash.empty()) outcome_.crash = "a relay called " + request.method + " " + request.target;
-      host.server->Write(connection, standin::Answer("400 Bad Request"));
+      host.server->Write(connection, standin::FormatResponse("400 Bad Request"));
       return;
     }
     const auto [slot, fresh] = host.calls.emplace(connection, 0);
@@ -501,8 +502,8 @@
     EndEarlierCall(id);
     last_call_by_id_[id] = call;
     const auto relay = relay_by_id_.find(id);
-    Notify(model::Called{call, relay == relay_by_id_.end() ? -1 : relay->second, address, id,
-                         request.Header("idempotency-key"), fresh, crowded});
+    Notify(model::CallReceived{call, relay == relay_by_id_.end() ? -1 : relay->second, address, id,
+                               request.Header("idempotency-key"), fresh, crowded});
     if (crowded) host.calls.erase(connection);  // so that no Disconnect follows for it
   }
 
@@ -514,7 +515,7 @@
     if (it == calls_.end()) return;
     const auto [address, connection] = it->second;
     const HostServer& host = hosts_.at(address);
-    if (host.server && host.server->Ended(connection)) OnConnectionClosed(address, connection);
+    if (host.server && host.server->IsClosed(connection)) OnConnectionClosed(address, connection);
   }
 
   void OnConnectionClosed(const std::string& address, std::uint64_t connection) {
@@ -524,7 +525,7 @@
     const std::uint64_t call = it->second;
     host.calls.erase(it);
     world_.Disconnect(address);
-    if (calls_.erase(call) > 0) Notify(model::Dropped{call});
+    if (calls_.erase(call) > 0) Notify(model::CallDropped{call});
   }
 
   void Apply(const model::AnswerCall& answer) {
@@ -535,16 +536,16 @@
     HostServer& host = hosts_.at(address);
     if (const auto slot = host.calls.find(connection); slot != host.calls.end()) slot->second = 0;
     std::string headers;
-    if (answer.wait > 0us) {
+    if (answer.retry_after > 0us) {
       char text[60];
       std::snprintf(text, sizeof text, "Retry-After: %.6f\r\n",
-                    static_cast<double>(answer.wait.count()) / 1e6);
+                    static_cast<double>(answer.retry_after.count()) / 1e6);
       headers = text;
     }
     const std::string status = std::to_string(answer.status) + " -";
-    if (host.server) host.server->Write(connection, standin::Answer(status.c_str(), {}, headers));
+    if (host.server) host.server->Write(connection, standin::FormatResponse(status.c_str(), {}, headers));
   }
-  void Apply(const model::BreakCall& broken) {
+  void Apply(const model::CloseCallConnection& broken) {
     const auto it = calls_.find(broken.call);
     if (it == calls_.end()) return;
     const auto [address, connection] = it->second;
@@ -563,42 +564,44 @@
       for (std::string line; std::getline(lines, line);) {
         const Json notice = Json::parse(line, nullptr, false);
         if (!notice.is_object()) continue;
-        Notify(model::Noticed{number, notice.value("id", ""), notice.value("status", "") == "deferred",
-                              Time(notice.value("again_ms", std::int64_t{0}) * 1000)});
+        Notify(model::NoticeReceived{number, notice.value("id", ""), notice.value("status", "") == "deferred",
+                                     Time(notice.value("again_ms", std::int64_t{0}) * 1000)});
       }
-      WriteToCall(number, connection, standin::Answer("204 No Content"));
+      WriteToCall(number, connection, standin::FormatResponse("204 No Content"));
     } else {
       ++list_calls_;
       const std::size_t from = request.target.find("from=");
       const bool known = request.target.find("watch=1") != std::string::npos && from != std::string::npos;
-      Notify(
-          model::ListWanted{number, connection, known ? std::atoll(request.target.c_str() + from + 5) : 0});
+      Notify(model::ListRequested{number, connection,
+                                  known ? std::atoll(request.target.c_str() + from + 5) : 0});
     }
   }
 
-  void Apply(const model::TellList& list) {
+  void Apply(const model::SendList& list) {
     Relay& relay = relays_[static_cast<std::size_t>(list.relay)];
     if (relay.open_watches.insert(list.call).second) {
       WriteToCall(list.relay, list.call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
     WriteToCall(list.relay, list.call, ChunkOf(list));
   }
-  void Apply(const model::BreakList& broken) {
-    const model::TellList& list = broken.list;
+  void Apply(const model::TruncateList& broken) {
+    const model::SendList& list = broken.list;
     const std::string chunk = ChunkOf(list);
     WriteToCall(list.relay, list.call, chunk.substr(0, chunk.size() / 2));
     CloseCall(list.relay, list.call);
   }
-  std::string ChunkOf(const model::TellList& list) const {
-    return standin::Chunk(ListJson(list, scenario_, ports_).dump() + "\n");
+  std::string ChunkOf(const model::SendList& list) const {
+    return standin::FormatChunk(ListJson(list, scenario_, ports_).dump() + "\n");
   }
   void Apply(const model::RefuseList& refused) {
     Relay& relay = relays_[static_cast<std::size_t>(refused.relay)];
     const bool watch = relay.open_watches.count(refused.call) > 0;
-    if (!watch) WriteToCall(refused.relay, refused.call, standin::Answer("503 Service Unavailable"));
+    if (!watch) WriteToCall(refused.relay, refused.call, standin::FormatResponse("503 Service Unavailable"));
     CloseCall(refused.relay, refused.call);
   }
-  void Apply(const model::BeatWatch& beat) { WriteToCall(beat.relay, beat.call, standin::Chunk("\n")); }
+  void Apply(const model::SendHeartbeat& beat) {
+    WriteToCall(beat.relay, beat.call, standin::FormatChunk("\n"));
+  }
 
   void CountSecond() {
     second_timer_.After(1s);
@@ -609,7 +612,7 @@
   const model::Day& day_;
   const SocketRunOptions& options_;
   EventObserver observer_;
-  model::World world_;
+  model::PlatformModel world_;
   std::string body_;
   net::Loop loop_;
   net::Timer world_timer_, poll_timer_, second_timer_;
@@ -628,8 +631,9 @@
   std::uint64_t calls_made_ = 0;
   std::map<std::string, std::uint64_t> last_call_by_id_;  // by submission id
   std::map<std::string, int> relay_by_id_;                // by submission id
-  std::map<standin::ClientLine*, ClientConnection> clients_;
-  std::map<std::uint64_t, standin::ClientLine*> waiting_clients_;  // by submission that waits for its answer
+  std::map<standin::ClientConnection*, ClientConnection> clients_;
+  std::map<std::uint64_t, standin::ClientConnection*>
+      waiting_clients_;  // by submission that waits for its answer
 };
 
 }  // namespace
