--- a/tests/drill_test.cpp
+++ b/tests/drill_test.cpp
@@ -1,4 +1,4 @@
-// The adapter's binary on short transcripts of our own.
+// Runs the program wheathub_drill, which connects the decision module to the text protocol, on short inputs.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -12,13 +12,13 @@
 
 namespace {
 
-struct Result {
+struct DrillResult {
   std::string out;
   std::string err;
-  int code = 0;
+  int exit_code = 0;
 };
 
-Result Drill(const std::string& input) {
+DrillResult RunDrill(const std::string& input) {
   const auto base = std::filesystem::temp_directory_path() / ("wheathub_drill_" + std::to_string(::getpid()));
   const std::string in = base.string() + ".in";
   const std::string out = base.string() + ".out";
@@ -26,13 +26,13 @@
   std::ofstream(in) << input;
   const std::string command = std::string(WHEATHUB_DRILL) + " <" + in + " >" + out + " 2>" + err;
   const int status = std::system(command.c_str());
-  const auto slurp = [](const std::string& path) {
+  const auto read_file = [](const std::string& path) {
     std::ifstream file(path);
     return std::string(std::istreambuf_iterator<char>(file), {});
   };
-  Result run{slurp(out), slurp(err), WIFEXITED(status) ? WEXITSTATUS(status) : -1};
+  DrillResult result{read_file(out), read_file(err), WIFEXITED(status) ? WEXITSTATUS(status) : -1};
   for (const std::string& path : {in, out, err}) std::filesystem::remove(path);
-  return run;
+  return result;
 }
 
 const char kLaunch[] =
@@ -41,37 +41,38 @@
     "LEDGER ref=0 items=1\nITEM receiver=10.0.0.1:80 lifecycle=up belongs-to=5\n"
     "VIEW ref=0 revision=1 scope=remembered\n";
 
+// Lines that start an instance and give it a list with one endpoint.
 std::string Start(const std::string& instance) { return "AT i=" + instance + "\n" + kLaunch; }
 std::string Message(const std::string& instance, const std::string& id) {
   return "AT i=" + instance + "\nINBOUND rid=" + id + " category=0 expires-in-s=20 to-exchange=5\n";
 }
-// The lines said for one instance.
-std::string Of(const std::string& out, const std::string& instance) {
-  std::string mine;
-  std::size_t at = 0;
-  bool on = false;
-  while (at < out.size()) {
-    const std::size_t end = out.find('\n', at);
-    const std::string line = out.substr(at, end - at);
-    at = end + 1;
-    if (line.rfind("SPEAKING", 0) == 0) on = line == "SPEAKING i=" + instance;
-    if (line.rfind("END", 0) == 0) on = false;
-    if (on) mine += line + "\n";
+// Returns the lines of the output that belong to one instance.
+std::string OutputOf(const std::string& out, const std::string& instance) {
+  std::string lines;
+  std::size_t position = 0;
+  bool is_selected = false;
+  while (position < out.size()) {
+    const std::size_t end = out.find('\n', position);
+    const std::string line = out.substr(position, end - position);
+    position = end + 1;
+    if (line.rfind("SPEAKING", 0) == 0) is_selected = line == "SPEAKING i=" + instance;
+    if (line.rfind("END", 0) == 0) is_selected = false;
+    if (is_selected) lines += line + "\n";
   }
-  return mine;
+  return lines;
 }
 
-TEST(Drill, SendsAndEndsWithTheInput) {
-  const Result run = Drill("TURN wall-s=1 round=4\n" + Start("sender_0") + Message("sender_0", "m1") +
-                           "FLUSH\n\nTURN wall-s=2 round=5\nFLUSH\n");
-  EXPECT_EQ(run.code, 0) << run.err;
-  EXPECT_NE(run.out.find("SPEAKING i=sender_0\nASSIGN rid=m1 receiver=10.0.0.1:80"), std::string::npos)
-      << run.out;
-  EXPECT_NE(run.out.find("END round=4\nEND round=5\n"), std::string::npos) << run.out;
+TEST(Drill, SendsAMessageAndExitsAtTheEndOfInput) {
+  const DrillResult result = RunDrill("TURN wall-s=1 round=4\n" + Start("sender_0") +
+                                      Message("sender_0", "m1") + "FLUSH\n\nTURN wall-s=2 round=5\nFLUSH\n");
+  EXPECT_EQ(result.exit_code, 0) << result.err;
+  EXPECT_NE(result.out.find("SPEAKING i=sender_0\nASSIGN rid=m1 receiver=10.0.0.1:80"), std::string::npos)
+      << result.out;
+  EXPECT_NE(result.out.find("END round=4\nEND round=5\n"), std::string::npos) << result.out;
 }
 
-TEST(Drill, InstancesActAlikeTogetherAndApart) {
-  const auto script = [](bool first, bool second) {
+TEST(Drill, InstancesInOneProcessDoNotAffectEachOther) {
+  const auto input = [](bool first, bool second) {
     std::string text = "TURN wall-s=1 round=1\n";
     if (first) text += Start("sender_0");
     if (second) text += Start("sender_1");
@@ -90,33 +91,34 @@
     if (second) text += "AT i=sender_1\nDEADLINE_HIT handle=sweep\n";
     return text + "FLUSH\n";
   };
-  const std::string together = Drill(script(true, true)).out;
-  EXPECT_GT(Of(together, "sender_0").size(), 100u);
-  EXPECT_EQ(Of(together, "sender_0"), Of(Drill(script(true, false)).out, "sender_0"));
-  EXPECT_EQ(Of(together, "sender_1"), Of(Drill(script(false, true)).out, "sender_1"));
+  const std::string together = RunDrill(input(true, true)).out;
+  EXPECT_GT(OutputOf(together, "sender_0").size(), 100u);
+  EXPECT_EQ(OutputOf(together, "sender_0"), OutputOf(RunDrill(input(true, false)).out, "sender_0"));
+  EXPECT_EQ(OutputOf(together, "sender_1"), OutputOf(RunDrill(input(false, true)).out, "sender_1"));
 }
 
-TEST(Drill, ARestartForgetsTheFormerLife) {
-  const Result run = Drill("TURN wall-s=1 round=1\n" + Start("sender_0") + Message("sender_0", "m1") +
-                           "FLUSH\nTURN wall-s=2 round=2\nAT i=sender_0\nTEARDOWN\n" + Start("sender_0") +
-                           Message("sender_0", "m2") + "FLUSH\n");
-  EXPECT_EQ(run.code, 0) << run.err;
-  EXPECT_NE(run.out.find("ASSIGN rid=m2"), std::string::npos);
+TEST(Drill, ARestartedInstanceStartsWithoutState) {
+  const DrillResult result =
+      RunDrill("TURN wall-s=1 round=1\n" + Start("sender_0") + Message("sender_0", "m1") +
+               "FLUSH\nTURN wall-s=2 round=2\nAT i=sender_0\nTEARDOWN\n" + Start("sender_0") +
+               Message("sender_0", "m2") + "FLUSH\n");
+  EXPECT_EQ(result.exit_code, 0) << result.err;
+  EXPECT_NE(result.out.find("ASSIGN rid=m2"), std::string::npos);
 }
 
-TEST(Drill, BadInputEndsWithOnePlainLineAndNoReply) {
-  const std::string bad[] = {
+TEST(Drill, InvalidInputIsReportedInOneLineWithoutOutput) {
+  const std::string invalid_inputs[] = {
       "TURN wall-s=1 round=1\nAT i=sender_0\nINBOUND rid=m category=0 expires-in-s=1 to-exchange=5\nFLUSH\n",
       "TURN wall-s=1 round=1\nWHAT\nFLUSH\n",
       "TURN wall-s=1 round=1\n" + Start("sender_0"),
       "TURN wall-s=1 round=1\nAT i=sender_0\nLAUNCH salt=1 facts={\"services\":[]}\nFLUSH\n",
   };
-  for (const std::string& input : bad) {
-    const Result run = Drill(input);
-    EXPECT_NE(run.code, 0);
-    EXPECT_TRUE(run.out.empty()) << run.out;
-    EXPECT_EQ(std::count(run.err.begin(), run.err.end(), '\n'), 1) << run.err;
-    EXPECT_NE(run.err.find("line "), std::string::npos) << run.err;
+  for (const std::string& input : invalid_inputs) {
+    const DrillResult result = RunDrill(input);
+    EXPECT_NE(result.exit_code, 0);
+    EXPECT_TRUE(result.out.empty()) << result.out;
+    EXPECT_EQ(std::count(result.err.begin(), result.err.end(), '\n'), 1) << result.err;
+    EXPECT_NE(result.err.find("line "), std::string::npos) << result.err;
   }
 }
 
--- a/tests/list_lease_test.cpp
+++ b/tests/list_lease_test.cpp
@@ -1,5 +1,5 @@
-// Until when the list may be used: never beyond what the rules allow, whatever happens in whatever order; and
-// through an outage of discovery that can be told from a crowd.
+// Tests of the lease on the list of endpoints: it never lasts longer than the rules allow, for any events in
+// any order, and it lasts through an outage of discovery that can be distinguished from an overload.
 #include "wheathub/list_lease.hpp"
 
 #include <gtest/gtest.h>
@@ -19,24 +19,27 @@
 using Lease = ListLease;
 using Time = Lease::Time;
 
-struct Moment {
+struct TimedEvent {
   Time at{0};
   Lease::Event event;
 };
 
-// Events at moments that never go back, of all kinds.
-std::vector<Moment> History(const std::vector<std::pair<int, int>>& draws) {
-  std::vector<Moment> history{{Time(0), Lease::Started{}}};
+// Turns pairs of a gap in ms and a kind into a start and events of all kinds, in the order of time.
+std::vector<TimedEvent> TimedEvents(const std::vector<std::pair<int, int>>& draws) {
+  std::vector<TimedEvent> events{{Time(0), Lease::Started{}}};
   for (const auto& [gap_ms, kind] : draws) {
-    const Time at = history.back().at + Time(gap_ms * 1000);
-    const Time begun = std::max(Time(0), at - 2s);
-    const std::vector<Lease::Event> kinds{
-        Lease::Confirmed{},         Lease::Unreachable{},        Lease::Moved{},
-        Lease::SubscriptionEnded{}, Lease::SubscriptionBroken{}, Lease::RefusedImmediately{},
-        Lease::RefusedLate{begun}};
-    history.push_back({at, kinds[static_cast<std::size_t>(kind)]});
+    const Time at = events.back().at + Time(gap_ms * 1000);
+    const Time call_started_at = std::max(Time(0), at - 2s);
+    const std::vector<Lease::Event> kinds{Lease::Confirmed{},
+                                          Lease::Unreachable{},
+                                          Lease::Moved{},
+                                          Lease::SubscriptionEnded{},
+                                          Lease::SubscriptionBroken{},
+                                          Lease::RefusedImmediately{},
+                                          Lease::RefusedLate{call_started_at}};
+    events.push_back({at, kinds[static_cast<std::size_t>(kind)]});
   }
-  return history;
+  return events;
 }
 
 auto Draws() {
@@ -44,37 +47,38 @@
       rc::gen::pair(rc::gen::inRange(0, 4000), rc::gen::inRange(0, 7)));
 }
 
-TEST(ListLease, EndsBeforeAChangeCountsAsKnown) {
-  EXPECT_TRUE(rc::check("by the last thing that says anything of discovery", [] {
+TEST(ListLease, NeverExceedsWhatTheLatestEventsAllow) {
+  EXPECT_TRUE(rc::check("the end follows from the latest event that shows the state of discovery", [] {
     Lease lease;
-    Time most = Lease::kStartedFor;
-    std::optional<Time> moved;
-    for (const Moment& moment : History(*Draws())) {
-      lease.Step(moment.at, moment.event);
-      if (std::holds_alternative<Lease::Confirmed>(moment.event)) {
-        most = moment.at + Lease::kConfirmedFor;
-        moved.reset();
+    Time latest_end = Lease::kStartedFor;
+    std::optional<Time> moved_at;
+    for (const TimedEvent& timed : TimedEvents(*Draws())) {
+      lease.Step(timed.at, timed.event);
+      if (std::holds_alternative<Lease::Confirmed>(timed.event)) {
+        latest_end = timed.at + Lease::kConfirmedFor;
+        moved_at.reset();
       }
-      if (std::holds_alternative<Lease::Unreachable>(moment.event)) {
-        most = std::max(most, moment.at + Lease::kUnreachableFor);
-        moved.reset();
+      if (std::holds_alternative<Lease::Unreachable>(timed.event)) {
+        latest_end = std::max(latest_end, timed.at + Lease::kUnreachableFor);
+        moved_at.reset();
       }
-      const auto* late = std::get_if<Lease::RefusedLate>(&moment.event);
-      if (late != nullptr) most = std::max(most, late->call_started_at + Lease::kUnreachableFor);
-      if (std::holds_alternative<Lease::Moved>(moment.event) && !moved) moved = moment.at;
-      RC_ASSERT(lease.valid_until() <= most);
-      if (moved) RC_ASSERT(lease.valid_until() <= *moved + Lease::kMovedFor);
+      const auto* refused_late = std::get_if<Lease::RefusedLate>(&timed.event);
+      if (refused_late != nullptr)
+        latest_end = std::max(latest_end, refused_late->call_started_at + Lease::kUnreachableFor);
+      if (std::holds_alternative<Lease::Moved>(timed.event) && !moved_at) moved_at = timed.at;
+      RC_ASSERT(lease.valid_until() <= latest_end);
+      if (moved_at) RC_ASSERT(lease.valid_until() <= *moved_at + Lease::kMovedFor);
     }
   }));
 }
 
-TEST(ListLease, ACallRefusedLateHelpsOnlyWhereAnOutageIsPossible) {
-  EXPECT_TRUE(rc::check("not after a subscription that broke, a move, or a call refused at once", [] {
+TEST(ListLease, ALateRefusalExtendsItOnlyWhereAnOutageIsPossible) {
+  EXPECT_TRUE(rc::check("no extension after a broken subscription, a move, or an immediate refusal", [] {
     Lease lease;
     lease.Step(Time(0), Lease::Started{});
-    const std::vector<Lease::Event> shows_no_outage{Lease::Confirmed{}, Lease::SubscriptionBroken{},
+    const std::vector<Lease::Event> excludes_outage{Lease::Confirmed{}, Lease::SubscriptionBroken{},
                                                     Lease::RefusedImmediately{}, Lease::Moved{}};
-    lease.Step(1s, shows_no_outage[*rc::gen::inRange<std::size_t>(0, 4)]);
+    lease.Step(1s, excludes_outage[*rc::gen::inRange<std::size_t>(0, 4)]);
     const Time before = lease.valid_until();
     for (int i = 1; i < *rc::gen::inRange(2, 10); ++i) {
       lease.Step(i * 3s, Lease::RefusedLate{i * 3s - 2s});
@@ -83,7 +87,7 @@
   }));
 }
 
-TEST(ListLease, LastsThroughAnOutageInWhichEachCallWaitsForItsRefusal) {
+TEST(ListLease, LastsThroughAnOutageInWhichEachCallIsRefusedLate) {
   Lease lease;
   lease.Step(Time(0), Lease::Started{});
   lease.Step(1s, Lease::Confirmed{});
@@ -94,7 +98,7 @@
   }
 }
 
-TEST(ListLease, EndsOnceACallIsRefusedAtOnce) {
+TEST(ListLease, IsNotExtendedAfterAnImmediateRefusal) {
   Lease lease;
   lease.Step(Time(0), Lease::Started{});
   lease.Step(1s, Lease::Confirmed{});
@@ -112,14 +116,14 @@
   EXPECT_EQ(lease.Step(8s, Lease::Confirmed{}), 8s + Lease::kConfirmedFor);
 }
 
-TEST(ListLease, IsInheritedAsItWasAndNeverLongerThanOneConfirmedNow) {
-  Lease told, untold, never_ends;
-  EXPECT_EQ(told.Step(10s, Lease::Inherited{11s}), Time(11s));
-  EXPECT_EQ(untold.Step(10s, Lease::Inherited{}), 10s + Lease::kInheritedFor);
+TEST(ListLease, IsInheritedUnchangedButNeverLongerThanOneConfirmedNow) {
+  Lease with_end, without_end, never_ends;
+  EXPECT_EQ(with_end.Step(10s, Lease::Inherited{11s}), Time(11s));
+  EXPECT_EQ(without_end.Step(10s, Lease::Inherited{}), 10s + Lease::kInheritedFor);
   EXPECT_EQ(never_ends.Step(10s, Lease::Inherited{Time::max()}), 10s + Lease::kConfirmedFor);
 }
 
-TEST(Decider, SendsNothingByAListThatIsTooOldAndWhatWaitsOnceItIsConfirmed) {
+TEST(Decider, HoldsMessagesWhileTheListIsExpiredAndSendsThemOnceItIsValid) {
   Rig rig;
   rig.UpdateList({MakeEndpoint("a", 7)});
   rig.Step({ListValidity{rig.now + 2s}});
@@ -135,7 +139,7 @@
   EXPECT_EQ(rig.SendCount("late"), 1);
 }
 
-TEST(Decider, AnswersWhatWaitsForTheListBeforeItsTimeIsUp) {
+TEST(Decider, RefusesMessagesThatWaitForAValidListBeforeTheirDeadline) {
   Rig rig;
   rig.UpdateList({MakeEndpoint("a", 7)});
   rig.Step({ListValidity{rig.now}});
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -1,5 +1,5 @@
-// When discovery is called for the list: in time whatever becomes of calls, and never more often than stated,
-// for fleets of 1 to 900 and any order of what may happen.
+// Tests of when discovery is called for the list: in time whatever happens to the calls, and never more often
+// than stated, for fleets of 1 to 900 senders and events in any order.
 #include "wheathub/list_subscription.hpp"
 
 #include <gtest/gtest.h>
@@ -15,42 +15,43 @@
 using List = ListSubscription;
 using Time = List::Time;
 
-// What discovery does with a call.
-enum class Fate { kAnswered, kRefusedAtOnce, kRefusedLate, kHangs, kEndsBehindItsList };
+// How discovery handles a call: it sends the list, refuses at once or late, does not answer, or sends the
+// list and then closes the call.
+enum class CallResult { kAnswered, kRefusedImmediately, kRefusedLate, kHangs, kClosedAfterList };
 
-constexpr Time kRefusesWithin = 2s;  // a discovery that can be reached refuses no later
+constexpr Time kRefusalTimeout = 2s;  // a reachable discovery refuses a call within this time
 
-// A discovery on a virtual clock round one sender: its calls meet the fates that `script` has for them in
-// turn, until `reachable_at`; from then on each is answered after `answers_after`, but for `refused` of them,
-// which are refused as late as can be.
-class Round {
+// Simulates one sender and its discovery on a virtual clock. Until `reachable_at` the calls end as `script`
+// says, in turn; later ones are answered after `answer_delay`, except that the first `refused` of them are
+// refused as late as possible.
+class Simulation {
  public:
-  Round(List::Options options, std::uint64_t seed, std::vector<Fate> script, Time reachable_at,
-        Time answers_after, int refused)
+  Simulation(List::Options options, std::uint64_t seed, std::vector<CallResult> script, Time reachable_at,
+             Time answer_delay, int refused)
       : list_(options, seed),
         script_(std::move(script)),
         reachable_at_(reachable_at),
-        answers_after_(answers_after),
-        refused_(refused) {}
+        answer_delay_(answer_delay),
+        remaining_refusals_(refused) {}
 
-  // Runs until that moment, which is the one of the first answer from `reachable_at` on if it is sooner.
+  // Runs until `end`, or until the first answer after `reachable_at` if that is earlier.
   void RunUntil(Time end) {
     while (!answered_at_ && now_ <= end) {
-      const Time next = std::min(list_.alarm(), due_.empty() ? Time::max() : due_.begin()->first);
+      const Time next = std::min(list_.alarm(), scheduled_.empty() ? Time::max() : scheduled_.begin()->first);
       if (next > end) break;
       now_ = std::max(now_, next);
-      if (!due_.empty() && due_.begin()->first <= now_) {
-        const auto happens = due_.begin()->second;
-        due_.erase(due_.begin());
-        Tell(happens);
+      if (!scheduled_.empty() && scheduled_.begin()->first <= now_) {
+        const auto event = scheduled_.begin()->second;
+        scheduled_.erase(scheduled_.begin());
+        Report(event);
       } else {
-        Tell(List::Elapsed{});
+        Report(List::Elapsed{});
       }
     }
   }
-  void Tell(const List::Event& event) {
-    if (const auto* heard = std::get_if<List::Received>(&event)) {
-      if (now_ >= reachable_at_ && started_.at(heard->call) >= Time(0)) answered_at_ = now_;
+  void Report(const List::Event& event) {
+    if (const auto* received = std::get_if<List::Received>(&event)) {
+      if (now_ >= reachable_at_ && started_.at(received->call) >= Time(0)) answered_at_ = now_;
     }
     for (const List::Call& call : list_.Step(now_, event)) Start(call);
   }
@@ -58,19 +59,20 @@
     starts.push_back(now_);
     started_[call.number] = now_;
     if (now_ >= reachable_at_) {
-      if (refused_-- > 0) return Add(now_ + kRefusesWithin, List::Failed{call.number});
-      return Add(now_ + answers_after_, List::Received{call.number});
+      if (remaining_refusals_-- > 0) return Schedule(now_ + kRefusalTimeout, List::Failed{call.number});
+      return Schedule(now_ + answer_delay_, List::Received{call.number});
     }
-    const Fate fate = script_.empty() ? Fate::kHangs : script_[starts.size() % script_.size()];
-    if (fate == Fate::kAnswered) Add(now_ + answers_after_, List::Received{call.number});
-    if (fate == Fate::kRefusedAtOnce) Add(now_, List::Failed{call.number});
-    if (fate == Fate::kRefusedLate) Add(now_ + kRefusesWithin, List::Failed{call.number});
-    if (fate == Fate::kEndsBehindItsList) {
-      Add(now_ + answers_after_, List::Received{call.number});
-      Add(now_ + answers_after_, List::Failed{call.number});
+    const CallResult call_result =
+        script_.empty() ? CallResult::kHangs : script_[starts.size() % script_.size()];
+    if (call_result == CallResult::kAnswered) Schedule(now_ + answer_delay_, List::Received{call.number});
+    if (call_result == CallResult::kRefusedImmediately) Schedule(now_, List::Failed{call.number});
+    if (call_result == CallResult::kRefusedLate) Schedule(now_ + kRefusalTimeout, List::Failed{call.number});
+    if (call_result == CallResult::kClosedAfterList) {
+      Schedule(now_ + answer_delay_, List::Received{call.number});
+      Schedule(now_ + answer_delay_, List::Failed{call.number});
     }
   }
-  void Add(Time at, List::Event event) { due_.emplace(at, std::move(event)); }
+  void Schedule(Time at, List::Event event) { scheduled_.emplace(at, std::move(event)); }
 
   List& list() { return list_; }
   Time now() const { return now_; }
@@ -79,110 +81,117 @@
 
  private:
   List list_;
-  std::vector<Fate> script_;
-  Time reachable_at_, answers_after_;
-  int refused_;
+  std::vector<CallResult> script_;
+  Time reachable_at_, answer_delay_;
+  int remaining_refusals_;
   Time now_{0};
-  std::multimap<Time, List::Event> due_;
+  std::multimap<Time, List::Event> scheduled_;
   std::map<List::CallNumber, Time> started_;
   std::optional<Time> answered_at_;
 };
 
-List::Options Asked(int senders) {
+// Options of a sender that calls discovery itself.
+List::Options CallsDiscovery(int senders) {
   return {.pushed_by_agent = false, .senders = senders, .failures_are_reported = false};
 }
-List::Options Pushed() { return {.pushed_by_agent = true, .senders = 300, .failures_are_reported = false}; }
+// Options of a sender whose list is pushed by an agent.
+List::Options PushedByAgent() {
+  return {.pushed_by_agent = true, .senders = 300, .failures_are_reported = false};
+}
 
-rc::Gen<std::vector<Fate>> Fates() {
-  return rc::gen::container<std::vector<Fate>>(rc::gen::element(
-      Fate::kAnswered, Fate::kRefusedAtOnce, Fate::kRefusedLate, Fate::kHangs, Fate::kEndsBehindItsList));
+rc::Gen<std::vector<CallResult>> CallResults() {
+  return rc::gen::container<std::vector<CallResult>>(
+      rc::gen::element(CallResult::kAnswered, CallResult::kRefusedImmediately, CallResult::kRefusedLate,
+                       CallResult::kHangs, CallResult::kClosedAfterList));
 }
 
-TEST(ListSubscription, NewsIsKnownInTimeWhateverBecameOfEarlierCalls) {
-  EXPECT_TRUE(rc::check("an answer within 6 s of a discovery that can be reached", [] {
+TEST(ListSubscription, AChangeIsKnownInTimeWhateverHappenedToEarlierCalls) {
+  EXPECT_TRUE(rc::check("an answer within 6 s after discovery becomes reachable", [] {
     const int senders = *rc::gen::inRange(1, 901);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-    const auto script = *Fates();
+    const auto script = *CallResults();
     const Time reachable_at(*rc::gen::inRange<std::int64_t>(0, 60'000'000));
     const int refused = *rc::gen::inRange(0, 2);
-    // What the proof leaves for the answer, by how many calls are refused.
-    const Time most = refused == 0 ? Time(3'400'000) : Time(900'000);
-    const Time answers_after(*rc::gen::inRange<std::int64_t>(0, most.count() + 1));
-    Round round(Asked(senders), seed, script, reachable_at, answers_after, refused);
-    round.Tell(List::Started{false});
-    round.RunUntil(reachable_at + List::kKnownWithin);
-    RC_ASSERT(round.answered_at().has_value());
-    RC_ASSERT(*round.answered_at() <= reachable_at + List::kKnownWithin);
+    // The time that the proof in list_subscription.hpp leaves for the answer, depending on the refusals.
+    const Time max_answer_delay = refused == 0 ? Time(3'400'000) : Time(900'000);
+    const Time answer_delay(*rc::gen::inRange<std::int64_t>(0, max_answer_delay.count() + 1));
+    Simulation simulation(CallsDiscovery(senders), seed, script, reachable_at, answer_delay, refused);
+    simulation.Report(List::Started{false});
+    simulation.RunUntil(reachable_at + List::kKnownWithin);
+    RC_ASSERT(simulation.answered_at().has_value());
+    RC_ASSERT(*simulation.answered_at() <= reachable_at + List::kKnownWithin);
   }));
 }
 
-TEST(ListSubscription, AMoveIsFollowedAtOnceAndOnceMoreInTime) {
-  EXPECT_TRUE(rc::check("an answer within 4 s of a move, one call refused at once", [] {
-    const auto script = *Fates();
+TEST(ListSubscription, AMoveIsFollowedByACallAtOnceAndARetryInTime) {
+  EXPECT_TRUE(rc::check("time for an answer within 4 s of a move if one call is refused at once", [] {
+    const auto script = *CallResults();
     const Time moved_at(*rc::gen::inRange<std::int64_t>(0, 30'000'000));
-    Round round(Asked(*rc::gen::inRange(1, 901)), *rc::gen::arbitrary<std::uint64_t>(), script, Time::max(),
-                1s, 0);
-    round.Tell(List::Started{false});
-    round.RunUntil(moved_at);
-    const std::vector<List::Call> calls = round.list().Step(moved_at, List::Moved{});
+    Simulation simulation(CallsDiscovery(*rc::gen::inRange(1, 901)), *rc::gen::arbitrary<std::uint64_t>(),
+                          script, Time::max(), 1s, 0);
+    simulation.Report(List::Started{false});
+    simulation.RunUntil(moved_at);
+    const std::vector<List::Call> calls = simulation.list().Step(moved_at, List::Moved{});
     RC_ASSERT(calls.size() == 1u);
-    round.list().Step(moved_at, List::Failed{calls.front().number});
-    RC_ASSERT(round.list().alarm() <= moved_at + List::kLatestNextCall);
-    RC_ASSERT(round.list().alarm() + 1400ms <= moved_at + List::kKnownWithinAfterMove);
+    simulation.list().Step(moved_at, List::Failed{calls.front().number});
+    RC_ASSERT(simulation.list().alarm() <= moved_at + List::kLatestNextCall);
+    RC_ASSERT(simulation.list().alarm() + 1400ms <= moved_at + List::kKnownWithinAfterMove);
   }));
 }
 
-TEST(ListSubscription, CallsStartNoCloserThanStated) {
+TEST(ListSubscription, CallsKeepTheMinimumInterval) {
   EXPECT_TRUE(rc::check("calls of one sender are kMinCallInterval apart, at any fleet size", [] {
-    const auto script = *Fates();
-    Round round(Asked(*rc::gen::inRange(1, 901)), *rc::gen::arbitrary<std::uint64_t>(), script, Time::max(),
-                Time(*rc::gen::inRange<std::int64_t>(0, 3'000'000)), 0);
-    round.Tell(List::Started{false});
-    round.RunUntil(60s);
-    RC_ASSERT(round.starts.size() > 1u);
-    for (std::size_t i = 1; i < round.starts.size(); ++i) {
-      RC_ASSERT(round.starts[i] - round.starts[i - 1] >= List::kMinCallInterval);
+    const auto script = *CallResults();
+    Simulation simulation(CallsDiscovery(*rc::gen::inRange(1, 901)), *rc::gen::arbitrary<std::uint64_t>(),
+                          script, Time::max(), Time(*rc::gen::inRange<std::int64_t>(0, 3'000'000)), 0);
+    simulation.Report(List::Started{false});
+    simulation.RunUntil(60s);
+    RC_ASSERT(simulation.starts.size() > 1u);
+    for (std::size_t i = 1; i < simulation.starts.size(); ++i) {
+      RC_ASSERT(simulation.starts[i] - simulation.starts[i - 1] >= List::kMinCallInterval);
     }
   }));
 }
 
-TEST(ListSubscription, AFleetsCallsStayUnderTheStatedBoundInAnySecond) {
-  for (const Fate fate : {Fate::kRefusedAtOnce, Fate::kHangs, Fate::kRefusedLate}) {
+TEST(ListSubscription, CallsOfAFleetStayWithinTheStatedRate) {
+  for (const CallResult call_result :
+       {CallResult::kRefusedImmediately, CallResult::kHangs, CallResult::kRefusedLate}) {
     for (const int senders : {3, 30, 300, 900}) {
       std::vector<Time> starts;
       for (int i = 0; i < senders; ++i) {
-        Round round(Asked(senders), static_cast<std::uint64_t>(i + 1), {fate}, Time::max(), 0s, 0);
-        round.Tell(List::Started{false});
-        round.RunUntil(30s);
-        starts.insert(starts.end(), round.starts.begin(), round.starts.end());
+        Simulation simulation(CallsDiscovery(senders), static_cast<std::uint64_t>(i + 1), {call_result},
+                              Time::max(), 0s, 0);
+        simulation.Report(List::Started{false});
+        simulation.RunUntil(30s);
+        starts.insert(starts.end(), simulation.starts.begin(), simulation.starts.end());
       }
       std::sort(starts.begin(), starts.end());
-      std::ptrdiff_t most = 0;
+      std::ptrdiff_t max_in_a_second = 0;
       for (auto it = starts.begin(); it != starts.end(); ++it) {
-        most = std::max(most, std::lower_bound(it, starts.end(), *it + 1s) - it);
+        max_in_a_second = std::max(max_in_a_second, std::lower_bound(it, starts.end(), *it + 1s) - it);
       }
-      EXPECT_LE(static_cast<double>(most), senders) << "one call a sender in any second";
-      // The first call, and as many as the mean span between two allows.
-      const double apart_s = fate == Fate::kRefusedAtOnce ? 1.75 : 1.95;
-      EXPECT_LE(static_cast<double>(starts.size()), senders * (1 + 30 / apart_s));
-      // And not all at once: a quarter of a second holds no more than its part, and half of that again.
-      std::ptrdiff_t burst = 0;
+      EXPECT_LE(static_cast<double>(max_in_a_second), senders) << "one call a sender in any second";
+      // The first call, and as many as the mean interval between two calls allows.
+      const double mean_interval_s = call_result == CallResult::kRefusedImmediately ? 1.75 : 1.95;
+      EXPECT_LE(static_cast<double>(starts.size()), senders * (1 + 30 / mean_interval_s));
+      // The calls are spread: a quarter of a second holds at most one and a half times its part of them.
+      std::ptrdiff_t max_in_250ms = 0;
       for (auto it = starts.begin(); senders >= 300 && it != starts.end(); ++it) {
-        burst = std::max(burst, std::lower_bound(it, starts.end(), *it + 250ms) - it);
+        max_in_250ms = std::max(max_in_250ms, std::lower_bound(it, starts.end(), *it + 250ms) - it);
       }
-      EXPECT_LE(static_cast<double>(burst), senders * 0.25 / 1.2 * 1.5);
+      EXPECT_LE(static_cast<double>(max_in_250ms), senders * 0.25 / 1.2 * 1.5);
     }
   }
 }
 
-TEST(ListSubscription, ASubscriptionThatEndsIsNotAskedForByAllAtOnce) {
+TEST(ListSubscription, CallsAfterASubscriptionEndsForAllSendersAreSpread) {
   std::vector<Time> alarms;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-    List list(Asked(300), seed);
+    List list(CallsDiscovery(300), seed);
     const auto first = list.Step(0s, List::Started{true});
     ASSERT_EQ(first.size(), 1u);
     list.Step(10ms, List::Received{1});
-    for (Time t = 2s; t <= 20s; t += 2s) EXPECT_TRUE(list.Step(t, List::Received{1}).empty());
+    for (Time now = 2s; now <= 20s; now += 2s) EXPECT_TRUE(list.Step(now, List::Received{1}).empty());
     list.Step(20s, List::Failed{1});
     alarms.push_back(list.alarm() - 20s);
   }
@@ -192,17 +201,17 @@
   EXPECT_GE(alarms[225] - alarms[75], 1s) << "the middle half is spread";
 }
 
-TEST(ListSubscription, ASilenceThatBeginsForAllAtOnceIsFoundApartAndInTime) {
+TEST(ListSubscription, CallsAfterASilenceOfAllSubscriptionsAreSpreadAndInTime) {
   std::vector<Time> alarms;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-    List list(Asked(300), seed);
+    List list(CallsDiscovery(300), seed);
     list.Step(0s, List::Started{true});
     list.Step(10s, List::Received{1});
     alarms.push_back(list.alarm() - 10s);
-    // Refused 2 s later, the next call still leaves some of the 6 s for its answer.
-    const Time called = list.alarm();
-    ASSERT_EQ(list.Step(called, List::Elapsed{}).size(), 1u);
-    list.Step(called + kRefusesWithin, List::Failed{2});
+    // If that call is refused 2 s later, the next one still leaves some of the 6 s for its answer.
+    const Time called_at = list.alarm();
+    ASSERT_EQ(list.Step(called_at, List::Elapsed{}).size(), 1u);
+    list.Step(called_at + kRefusalTimeout, List::Failed{2});
     EXPECT_LE(list.alarm(), 10s + List::kKnownWithin - 700ms);
   }
   std::sort(alarms.begin(), alarms.end());
@@ -211,42 +220,43 @@
   EXPECT_GE(alarms[225] - alarms[75], 100ms);
 }
 
-TEST(ListSubscription, AnUnansweredCallKeepsItsPlaceBesideNewerOnes) {
-  for (const List::Options& options : {Asked(300), Pushed()}) {
+TEST(ListSubscription, AnUnansweredCallStaysOpenBesideNewerOnes) {
+  for (const List::Options& options : {CallsDiscovery(300), PushedByAgent()}) {
     List list(options, 7);
-    std::map<List::CallNumber, Time> open;
+    std::map<List::CallNumber, Time> open_calls;
     Time now{0};
     for (auto calls = list.Step(now, List::Started{true}); now < 60s;) {
       ASSERT_EQ(calls.size(), 1u);
       const List::Call call = calls.front();
       if (call.replaced_call) {
-        const bool oldest = *call.replaced_call == open.begin()->first;
-        const bool old = now - open.begin()->second > List::kMaxOpenTime;
-        EXPECT_EQ(oldest, old) << "the oldest is nearest to its answer, but may hang for good";
-        ASSERT_EQ(open.erase(*call.replaced_call), 1u);
+        const bool replaces_oldest = *call.replaced_call == open_calls.begin()->first;
+        const bool is_hung = now - open_calls.begin()->second > List::kMaxOpenTime;
+        EXPECT_EQ(replaces_oldest, is_hung)
+            << "the oldest call is closest to its answer, but may never get one";
+        ASSERT_EQ(open_calls.erase(*call.replaced_call), 1u);
       }
-      open[call.number] = now;
-      EXPECT_LE(open.size(), List::kMaxOpenCalls);
-      EXPECT_LE(now - open.begin()->second, List::kMaxOpenTime + List::kAnswerTimeout);
+      open_calls[call.number] = now;
+      EXPECT_LE(open_calls.size(), List::kMaxOpenCalls);
+      EXPECT_LE(now - open_calls.begin()->second, List::kMaxOpenTime + List::kAnswerTimeout);
       now = list.alarm();
       calls = list.Step(now, List::Elapsed{});
     }
   }
 }
 
-TEST(ListSubscription, AnOlderCallsAnswerIsTheSubscription) {
-  List list(Asked(300), 7);
+TEST(ListSubscription, TheAnswerOfAnOlderCallBecomesTheSubscription) {
+  List list(CallsDiscovery(300), 7);
   list.Step(0s, List::Started{true});
   list.Step(list.alarm(), List::Elapsed{});
   EXPECT_TRUE(list.Step(3s, List::Received{1}).empty());
   EXPECT_EQ(list.subscription(), 1);
-  list.Step(3s, List::Failed{2});  // closed with it: nothing of its own
+  list.Step(3s, List::Failed{2});  // closed because of the answer; not a failure of its own
   EXPECT_GE(list.alarm(), 3s + List::kSilenceTimeout);
   EXPECT_LE(list.alarm(), 3s + List::kSilenceTimeout + List::kSilenceJitter);
 }
 
-TEST(ListSubscription, ASubscriptionThoughtSilentThatSpeaksAgainIsKept) {
-  List list(Asked(1), 7);
+TEST(ListSubscription, ASilentSubscriptionThatReceivesAgainIsKept) {
+  List list(CallsDiscovery(1), 7);
   list.Step(0s, List::Started{true});
   list.Step(0s, List::Received{1});
   EXPECT_EQ(list.alarm(), List::kSilenceTimeout);
@@ -257,9 +267,9 @@
   EXPECT_EQ(list.alarm(), 2600ms + List::kSilenceTimeout);
 }
 
-TEST(ListSubscription, AnAgentIsAskedAgainWithinTheGraceOfADrain) {
-  EXPECT_TRUE(rc::check("a pushed list is asked for again well within 300 ms of any failure", [] {
-    List list(Pushed(), *rc::gen::arbitrary<std::uint64_t>());
+TEST(ListSubscription, AnAgentIsCalledAgainWithinTheDrainGrace) {
+  EXPECT_TRUE(rc::check("a pushed list is requested again well within 300 ms after any failure", [] {
+    List list(PushedByAgent(), *rc::gen::arbitrary<std::uint64_t>());
     RC_ASSERT(list.Step(0s, List::Started{false}).size() == 1u);
     const Time failed_at(*rc::gen::inRange<std::int64_t>(0, 500'000));
     list.Step(failed_at, List::Failed{1});
@@ -268,7 +278,7 @@
   }));
 }
 
-TEST(ListSubscription, WhereFailuresAreToldNothingIsTimed) {
+TEST(ListSubscription, NoTimeoutIsSetWhereFailuresAreReported) {
   List list({.pushed_by_agent = false, .senders = 1, .failures_are_reported = true}, 7);
   ASSERT_EQ(list.Step(0s, List::Started{false}).size(), 1u);
   EXPECT_EQ(list.alarm(), Time::max());
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the text protocol of the drill program: reading events and writing actions.
 #include "wire.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-const char kFacts[] =
+const char kSettingsJson[] =
     R"({"balancers":3,"rank":1,"models":["m"],"discovery":"ask","weights":"rough","new-key":{"x":1},)"
     R"("family-info":{"calls-out":9,"bundle-max":[4],"kind-apart":[true],"decay":"by_half","carriage":[0.5]},)"
     R"("limits":{"send-cap":7,"max-open":50,"probing":true,"cancel":true,"peers":true,"retry-after":true,)"
@@ -19,9 +20,10 @@
     R"("key-scope":"zone","goal-time-s":1,"deadline-s":5,"repeat-window-s":3,"worth":2,"late-value":0.5,)"
     R"("one-at-a-time":true}]})";
 
+// A batch that launches an instance and holds the lines of `rest`.
 std::string WithLaunch(const std::string& rest) {
-  return std::string("TURN wall-s=1.5 round=1\nAT i=sender_0\nLAUNCH salt=7 facts=") + kFacts + "\n" + rest +
-         "FLUSH\n";
+  return std::string("TURN wall-s=1.5 round=1\nAT i=sender_0\nLAUNCH salt=7 facts=") + kSettingsJson + "\n" +
+         rest + "FLUSH\n";
 }
 
 Batch ReadOne(const std::string& text) {
@@ -32,35 +34,36 @@
   return batch;
 }
 
-template <typename E>
-E EventAt(const Batch& batch, std::size_t i) {
-  return std::get<E>(std::get<Event>(batch.items.at(i).content));
+template <typename EventType>
+EventType EventAt(const Batch& batch, std::size_t index) {
+  return std::get<EventType>(std::get<Event>(batch.items.at(index).content));
 }
 
 TEST(Read, Settings) {
   const Batch batch = ReadOne(WithLaunch(""));
   const Launch launch = std::get<Launch>(batch.items.at(0).content);
   EXPECT_EQ(launch.seed, 7u);
-  const Settings& s = launch.settings;
-  EXPECT_EQ(s.senders, 3);
-  EXPECT_EQ(s.rank, 1);
-  EXPECT_TRUE(s.must_request_list);
-  EXPECT_EQ(s.weights, WeightMeaning::kRough);
-  EXPECT_EQ(s.slots, 9);
-  EXPECT_TRUE(s.kinds.at(0).separate_routes);
-  EXPECT_EQ(s.kinds.at(0).bundle_max, 4);
-  EXPECT_EQ(s.decay, Decay::kExponential);
-  EXPECT_EQ(s.max_attempts, 7);
-  EXPECT_TRUE(s.may_probe && s.may_cancel && s.may_message_peers && s.may_give_retry_after);
-  EXPECT_EQ(s.max_retry_after, 2500ms);
-  EXPECT_EQ(s.warm_up, 9s);
-  EXPECT_EQ(s.drain_grace, 250ms);
-  EXPECT_TRUE(s.reports_allowance);
-  const MessageClass& c = s.classes.at(0);
-  EXPECT_EQ(c.semantics, Semantics::kDeduplicated);
-  EXPECT_TRUE(c.repeats_bound_to_zone && c.ordered);
-  EXPECT_EQ(c.repeat_window, 3s);
-  EXPECT_EQ(s.tenants.at(0).quota_per_s, 4);
+  const Settings& settings = launch.settings;
+  EXPECT_EQ(settings.senders, 3);
+  EXPECT_EQ(settings.rank, 1);
+  EXPECT_TRUE(settings.must_request_list);
+  EXPECT_EQ(settings.weights, WeightMeaning::kRough);
+  EXPECT_EQ(settings.slots, 9);
+  EXPECT_TRUE(settings.kinds.at(0).separate_routes);
+  EXPECT_EQ(settings.kinds.at(0).bundle_max, 4);
+  EXPECT_EQ(settings.decay, Decay::kExponential);
+  EXPECT_EQ(settings.max_attempts, 7);
+  EXPECT_TRUE(settings.may_probe && settings.may_cancel && settings.may_message_peers &&
+              settings.may_give_retry_after);
+  EXPECT_EQ(settings.max_retry_after, 2500ms);
+  EXPECT_EQ(settings.warm_up, 9s);
+  EXPECT_EQ(settings.drain_grace, 250ms);
+  EXPECT_TRUE(settings.reports_allowance);
+  const MessageClass& message_class = settings.classes.at(0);
+  EXPECT_EQ(message_class.semantics, Semantics::kDeduplicated);
+  EXPECT_TRUE(message_class.repeats_bound_to_zone && message_class.ordered);
+  EXPECT_EQ(message_class.repeat_window, 3s);
+  EXPECT_EQ(settings.tenants.at(0).quota_per_s, 4);
 }
 
 TEST(Read, Events) {
@@ -82,10 +85,10 @@
   EXPECT_EQ(list.endpoints[0].weight, 1.5);
   EXPECT_EQ(list.endpoints[0].destination, 57);
   EXPECT_EQ(list.endpoints[1].lifecycle, Lifecycle::kDraining);
-  const auto m = EventAt<Message>(batch, 2);
-  EXPECT_EQ(m.key, "aa");
-  EXPECT_EQ(m.expires_in, 240ms);
-  EXPECT_TRUE(m.resubmitted);
+  const auto message = EventAt<Message>(batch, 2);
+  EXPECT_EQ(message.key, "aa");
+  EXPECT_EQ(message.expires_in, 240ms);
+  EXPECT_TRUE(message.resubmitted);
   const auto ended = EventAt<AttemptEnded>(batch, 3);
   EXPECT_EQ(ended.outcome, Outcome::kRefused);
   EXPECT_EQ(ended.retry_after, 250ms);
@@ -93,23 +96,26 @@
   EXPECT_EQ(ended.allowance->left_share, 0.4);
   EXPECT_EQ(ended.allowance->limit_per_s, 12.5);
   EXPECT_FALSE(ended.closed);
-  EXPECT_EQ(EventAt<AttemptEnded>(batch, 4).retry_after, 0s) << "the note of a stale send is no wait";
+  EXPECT_EQ(EventAt<AttemptEnded>(batch, 4).retry_after, 0s)
+      << "wait-ms of a stale send is not a retry-after";
   EXPECT_EQ(EventAt<ProbeEnded>(batch, 5).outcome, Outcome::kServed);
   EXPECT_EQ(EventAt<PeerData>(batch, 7).bytes, "hi");
   EXPECT_TRUE(std::holds_alternative<Teardown>(batch.items.at(9).content));
 }
 
-TEST(Read, ALedgerNumberMeansItsLatestList) {
-  const std::string ledger = "LEDGER ref=3 items=1\nITEM receiver=10.0.0.1:80 lifecycle=up belongs-to=1\n";
-  const std::string other = "LEDGER ref=3 items=1\nITEM receiver=10.0.0.9:80 lifecycle=up belongs-to=1\n";
-  const Batch batch = ReadOne(
-      WithLaunch(ledger + "VIEW ref=3 revision=1 scope=all\n" + other + "VIEW ref=3 revision=2 scope=all\n"));
+TEST(Read, AReusedLedgerNumberRefersToTheLatestList) {
+  const std::string first_list =
+      "LEDGER ref=3 items=1\nITEM receiver=10.0.0.1:80 lifecycle=up belongs-to=1\n";
+  const std::string second_list =
+      "LEDGER ref=3 items=1\nITEM receiver=10.0.0.9:80 lifecycle=up belongs-to=1\n";
+  const Batch batch = ReadOne(WithLaunch(first_list + "VIEW ref=3 revision=1 scope=all\n" + second_list +
+                                         "VIEW ref=3 revision=2 scope=all\n"));
   EXPECT_EQ(EventAt<ListUpdate>(batch, 1).endpoints[0].id, "10.0.0.1:80");
   EXPECT_EQ(EventAt<ListUpdate>(batch, 2).endpoints[0].id, "10.0.0.9:80");
 }
 
-TEST(Read, BadInputNamesTheLine) {
-  const std::pair<const char*, const char*> bad[] = {
+TEST(Read, AnErrorNamesTheLine) {
+  const std::pair<const char*, const char*> invalid_lines[] = {
       {"WHAT a=1\n", "unknown message"},
       {"INBOUND category=0 expires-in-s=1 to-exchange=5\n", "without rid"},
       {"INBOUND rid=r category=x expires-in-s=1 to-exchange=5\n", "whole number"},
@@ -125,16 +131,16 @@
       {"LAUNCH salt=1 facts={\"services\":[{\"semantics\":\"odd\"}]}\n", "semantics"},
       {"LEDGER ref=0 items=1\nVIEW ref=0 revision=1 scope=all\n", "ITEM expected"},
   };
-  for (const auto& [line, what] : bad) {
+  for (const auto& [line, expected_text] : invalid_lines) {
     std::istringstream in(WithLaunch(line));
     Reader reader(in);
     Batch batch;
     try {
       reader.Next(&batch);
       ADD_FAILURE() << "no error for " << line;
-    } catch (const Error& e) {
-      EXPECT_NE(std::string(e.what()).find(what), std::string::npos) << e.what();
-      EXPECT_EQ(std::string(e.what()).rfind("line ", 0), 0u) << e.what();
+    } catch (const Error& error) {
+      EXPECT_NE(std::string(error.what()).find(expected_text), std::string::npos) << error.what();
+      EXPECT_EQ(std::string(error.what()).rfind("line ", 0), 0u) << error.what();
     }
   }
 }
@@ -145,14 +151,14 @@
   Batch batch;
   EXPECT_TRUE(reader.Next(&batch));
   EXPECT_TRUE(batch.items.empty());
-  EXPECT_THROW(reader.Next(&batch), Error) << "inside a batch";
+  EXPECT_THROW(reader.Next(&batch), Error) << "the input ends inside a batch";
   std::istringstream none("");
   Reader empty(none);
   EXPECT_FALSE(empty.Next(&batch));
 }
 
 TEST(Write, Actions) {
-  const std::pair<Action, const char*> all[] = {
+  const std::pair<Action, const char*> cases[] = {
       {Send{"r", "10.0.0.1:80", 80ms}, "ASSIGN rid=r receiver=10.0.0.1:80 give-up-after-s=0.080000\n"},
       {Send{"r", "10.0.0.1:80", 0s}, "ASSIGN rid=r receiver=10.0.0.1:80\n"},
       {Refuse{"r", 250ms}, "BUSY rid=r wait-s=0.250000\n"},
@@ -167,7 +173,7 @@
       {SetTimer{"sweep", 8912250us}, "AFTER handle=sweep time-s=8.912250\n"},
       {Log{"two servers known"}, "RECORD reason-text=two servers known\n"},
   };
-  for (const auto& [action, line] : all) {
+  for (const auto& [action, line] : cases) {
     std::string out;
     Write(action, &out);
     EXPECT_EQ(out, line);
