--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -121,8 +121,8 @@
   lead::Epoch leading_epoch_ = 0;
   net::Time leading_since_{0};
   std::deque<Queued> queue_;
-  std::map<std::string, std::string>
-      desired_versions_;  // by instance: the configuration version that its agent is to run it by
+  // By instance: the configuration version that its agent is to run it by.
+  std::map<std::string, std::string> desired_versions_;
   std::map<std::string, bool> status_requested_;  // by agent: whether a status request is in progress
   std::uint64_t refused_connections_ = 0, fenced_orders_ = 0;
   std::string keys_fault_;
--- a/src/supervise/process.hpp
+++ b/src/supervise/process.hpp
@@ -18,8 +18,8 @@
 struct Program {
   std::string path;
   std::vector<std::string> arguments;  // without the program's name
-  std::map<std::string, std::string>
-      environment;       // added to the caller's, whose ROUTER_* variables are dropped
+  // Added to the caller's environment, whose ROUTER_* variables are dropped.
+  std::map<std::string, std::string> environment;
   std::string log_path;  // file to which standard output and standard error are appended
 };
 
