--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -13,12 +13,12 @@
 #include <variant>
 #include <vector>
 
-#include "agent/hand.hpp"
 #include "agent/log.hpp"
+#include "agent/relay_controller.hpp"
 #include "change/engine.hpp"
 #include "control/server.hpp"
 #include "group/group.hpp"
-#include "lead/lead.hpp"
+#include "lead/leader_election.hpp"
 #include "store/store.hpp"
 #include "tls/session.hpp"
 
--- a/src/agent/hand.cpp
+++ b/src/agent/relay_controller.cpp
@@ -1,4 +1,4 @@
-#include "agent/hand.hpp"
+#include "agent/relay_controller.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
--- a/src/agent/hand.hpp
+++ b/src/agent/relay_controller.hpp
@@ -12,7 +12,7 @@
 #include "group/group.hpp"
 #include "net/loop.hpp"
 #include "store/store.hpp"
-#include "supervise/keeper.hpp"
+#include "supervise/supervisor.hpp"
 
 namespace oxbowspread::agent {
 
--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -18,7 +18,7 @@
 #include "lab/report.hpp"
 #include "lab/settings.hpp"
 #include "lab/simulation.hpp"
-#include "lab/stage.hpp"
+#include "lab/socket_run.hpp"
 #include "model/soak.hpp"
 #include "results/child.hpp"
 #include "results/compare.hpp"
--- a/src/endpoint/line.cpp
+++ b/src/endpoint/endpoint_connection.cpp
@@ -1,4 +1,4 @@
-#include "endpoint/line.hpp"
+#include "endpoint/endpoint_connection.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/endpoint/hosts.hpp
+++ b/src/endpoint/hosts.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "net/connection.hpp"
-#include "relay/estate.hpp"
+#include "relay/handover_state.hpp"
 #include "relay/ports.hpp"
 
 namespace oxbowspread::endpoint {
--- a/src/endpoint/pool.hpp
+++ b/src/endpoint/pool.hpp
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
+#include "endpoint/endpoint_connection.hpp"
 #include "endpoint/hosts.hpp"
-#include "endpoint/line.hpp"
 #include "net/loop.hpp"
 #include "relay/counters.hpp"
 #include "relay/ports.hpp"
--- a/src/handover/taker.cpp
+++ b/src/handover/handover_receiver.cpp
@@ -1,4 +1,4 @@
-#include "handover/taker.hpp"
+#include "handover/handover_receiver.hpp"
 
 #include <stdexcept>
 #include <utility>
--- a/src/handover/giver.cpp
+++ b/src/handover/handover_sender.cpp
@@ -1,4 +1,4 @@
-#include "handover/giver.hpp"
+#include "handover/handover_sender.hpp"
 
 #include <utility>
 
--- a/src/handover/old_process.cpp
+++ b/src/handover/handover_server.cpp
@@ -1,4 +1,4 @@
-#include "handover/old_process.hpp"
+#include "handover/handover_server.hpp"
 
 #include <unistd.h>
 
--- a/src/handover/old_process.hpp
+++ b/src/handover/handover_server.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "handover/channel.hpp"
-#include "handover/giver.hpp"
+#include "handover/handover_sender.hpp"
 #include "net/loop.hpp"
 
 namespace oxbowspread::handover {
--- a/src/handover/new_process.hpp
+++ b/src/handover/new_process.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "handover/channel.hpp"
-#include "handover/taker.hpp"
+#include "handover/handover_receiver.hpp"
 #include "journal/folder_lock.hpp"
 #include "net/loop.hpp"
 #include "relay/ports.hpp"
--- a/src/handover/record.hpp
+++ b/src/handover/record.hpp
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include "client/clients.hpp"
-#include "relay/estate.hpp"
+#include "relay/handover_state.hpp"
 #include "relay/ports.hpp"
 
 namespace oxbowspread::handover {
--- a/src/lab/node.cpp
+++ b/src/lab/simulated_relay.cpp
@@ -1,11 +1,11 @@
-#include "lab/node.hpp"
+#include "lab/simulated_relay.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <filesystem>
 #include <sstream>
 
-#include "endpoint/line.hpp"
+#include "endpoint/endpoint_connection.hpp"
 #include "relay/phase.hpp"
 
 namespace oxbowspread::lab {
--- a/src/lab/node.hpp
+++ b/src/lab/simulated_relay.hpp
@@ -12,7 +12,7 @@
 
 #include "endpoint/hosts.hpp"
 #include "journal/journal.hpp"
-#include "model/world.hpp"
+#include "model/platform_model.hpp"
 #include "relay/counters.hpp"
 #include "relay/relay.hpp"
 #include "wheathub/list_lease.hpp"
--- a/src/lab/simulation.hpp
+++ b/src/lab/simulation.hpp
@@ -4,9 +4,9 @@
 
 #include <string>
 
-#include "lab/node.hpp"
 #include "lab/outcome.hpp"
-#include "model/world.hpp"
+#include "lab/simulated_relay.hpp"
+#include "model/platform_model.hpp"
 
 namespace oxbowspread::lab {
 
--- a/src/lab/stage.cpp
+++ b/src/lab/socket_run.cpp
@@ -1,4 +1,4 @@
-#include "lab/stage.hpp"
+#include "lab/socket_run.hpp"
 
 #include <signal.h>
 #include <sys/resource.h>
@@ -15,7 +15,7 @@
 #include <sstream>
 
 #include "lab/settings.hpp"
-#include "standin/client_line.hpp"
+#include "standin/client_connection.hpp"
 #include "standin/platform.hpp"
 #include "standin/site.hpp"
 #include "supervise/process.hpp"
--- a/src/lab/stage.hpp
+++ b/src/lab/socket_run.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "lab/outcome.hpp"
-#include "model/world.hpp"
+#include "model/platform_model.hpp"
 
 namespace oxbowspread::lab {
 
--- a/src/lead/lead.cpp
+++ b/src/lead/leader_election.cpp
@@ -1,4 +1,4 @@
-#include "lead/lead.hpp"
+#include "lead/leader_election.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/door/call.cpp
+++ b/src/management/command_reader.cpp
@@ -1,4 +1,4 @@
-#include "door/call.hpp"
+#include "management/command_reader.hpp"
 
 #include <sstream>
 
--- a/src/door/door.cpp
+++ b/src/management/management_server.cpp
@@ -1,4 +1,4 @@
-#include "door/door.hpp"
+#include "management/management_server.hpp"
 
 #include <utility>
 
--- a/src/door/door.hpp
+++ b/src/management/management_server.hpp
@@ -12,7 +12,7 @@
 #include <optional>
 #include <string>
 
-#include "door/call.hpp"
+#include "management/command_reader.hpp"
 #include "net/connection.hpp"
 
 namespace oxbowspread::management {
--- a/src/model/world.cpp
+++ b/src/model/platform_model.cpp
@@ -1,4 +1,4 @@
-#include "model/world.hpp"
+#include "model/platform_model.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/model/world.hpp
+++ b/src/model/platform_model.hpp
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "model/day.hpp"
-#include "model/route.hpp"
+#include "model/simulated_host.hpp"
 #include "trace/event.hpp"
 
 namespace oxbowspread::model {
--- a/src/model/dice.cpp
+++ b/src/model/random_stream.cpp
@@ -1,4 +1,4 @@
-#include "model/dice.hpp"
+#include "model/random_stream.hpp"
 
 #include <xxhash.h>
 
--- a/src/model/scenario.hpp
+++ b/src/model/scenario.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "model/dice.hpp"
+#include "model/random_stream.hpp"
 #include "yaml/reader.hpp"
 
 namespace oxbowspread::model {
--- a/src/model/route.cpp
+++ b/src/model/simulated_host.cpp
@@ -1,4 +1,4 @@
-#include "model/route.hpp"
+#include "model/simulated_host.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/model/soak.cpp
+++ b/src/model/soak.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "model/dice.hpp"
+#include "model/random_stream.hpp"
 
 namespace oxbowspread::model {
 namespace {
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -15,7 +15,7 @@
 #include "journal/journal.hpp"
 #include "relay/classes.hpp"
 #include "relay/counters.hpp"
-#include "relay/estate.hpp"
+#include "relay/handover_state.hpp"
 #include "relay/ports.hpp"
 #include "relay/table.hpp"
 #include "wheathub/decide.hpp"
--- a/src/results/compare.cpp
+++ b/src/results/compare.cpp
@@ -6,7 +6,7 @@
 #include <numeric>
 #include <tuple>
 
-#include "model/dice.hpp"
+#include "model/random_stream.hpp"
 
 namespace oxbowspread::results {
 namespace {
--- a/src/standin/client_line.cpp
+++ b/src/standin/client_connection.cpp
@@ -1,4 +1,4 @@
-#include "standin/client_line.hpp"
+#include "standin/client_connection.hpp"
 
 #include <utility>
 
--- a/src/standin/load.hpp
+++ b/src/standin/load.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "standin/client_line.hpp"
-#include "standin/ledger.hpp"
+#include "standin/client_connection.hpp"
+#include "standin/message_tracker.hpp"
 
 namespace oxbowspread::standin {
 
--- a/src/standin/ledger.cpp
+++ b/src/standin/message_tracker.cpp
@@ -1,4 +1,4 @@
-#include "standin/ledger.hpp"
+#include "standin/message_tracker.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/standin/platform.hpp
+++ b/src/standin/platform.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "net/connection.hpp"
-#include "standin/ledger.hpp"
+#include "standin/message_tracker.hpp"
 #include "standin/request.hpp"
 
 namespace oxbowspread::standin {
--- a/src/supervise/keeper.cpp
+++ b/src/supervise/supervisor.cpp
@@ -1,4 +1,4 @@
-#include "supervise/keeper.hpp"
+#include "supervise/supervisor.hpp"
 
 #include <algorithm>
 #include <csignal>
--- a/tests/group/lead_test.cpp
+++ b/tests/group/leader_election_test.cpp
@@ -1,6 +1,6 @@
 // Who leads, and the register that outlasts leaders: agents in one process, on a virtual clock, with a
 // network that loses, delays, cuts off one way or both, and processes that stop, die and come back from disk.
-#include "lead/lead.hpp"
+#include "lead/leader_election.hpp"
 
 #include <catch2/catch.hpp>
 #include <queue>
--- a/tests/group/keeper_test.cpp
+++ b/tests/group/supervisor_test.cpp
@@ -1,5 +1,5 @@
 // The keeper of one relay against a model of a process, on a virtual clock.
-#include "supervise/keeper.hpp"
+#include "supervise/supervisor.hpp"
 
 #include <signal.h>
 
--- a/tests/lab/model_test.cpp
+++ b/tests/lab/model_test.cpp
@@ -11,7 +11,7 @@
 
 #include "lab/settings.hpp"
 #include "lab/simulation.hpp"
-#include "model/route.hpp"
+#include "model/simulated_host.hpp"
 #include "model/soak.hpp"
 
 namespace {
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -11,8 +11,8 @@
 #include <set>
 
 #include "handover/channel.hpp"
-#include "handover/giver.hpp"
-#include "handover/taker.hpp"
+#include "handover/handover_receiver.hpp"
+#include "handover/handover_sender.hpp"
 #include "journal/folder_lock.hpp"
 #include "rig.hpp"
 
--- a/tests/relay/door_test.cpp
+++ b/tests/relay/management_test.cpp
@@ -10,8 +10,8 @@
 #include <sstream>
 #include <vector>
 
-#include "door/call.hpp"
 #include "journal/journal.hpp"
+#include "management/command_reader.hpp"
 #include "relay/table.hpp"
 #include "rig.hpp"
 
