--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -578,7 +578,7 @@
 TEST(Health, OneHungCallAmongServedOnesDoesNotCountAsSilence) {
   Rig rig;
   rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("stuck", 2)});
+  rig.Step({rig.NewMessage("hung", 2)});
   rig.Advance(1s);
   rig.Step({rig.NewMessage("m1", 2)});
   rig.Advance(100ms);
@@ -926,9 +926,9 @@
   for (const Lifecycle lifecycle : {Lifecycle::kDraining, Lifecycle::kRemoved}) {
     Rig rig;
     rig.UpdateList({MakeEndpoint("a", 7)});
-    EndpointInfo gone = MakeEndpoint("a", 7);
-    gone.lifecycle = lifecycle;
-    rig.UpdateList({gone}, ListScope::kChanges);
+    EndpointInfo updated = MakeEndpoint("a", 7);
+    updated.lifecycle = lifecycle;
+    rig.UpdateList({updated}, ListScope::kChanges);
     rig.Step({rig.NewMessage("m1", 0)});
     rig.Advance(1s);
     EXPECT_EQ(rig.SendCount("m1"), 0);
@@ -1100,7 +1100,9 @@
   double worst_overload = 0;          // most calls in 3 s, as a multiple of the capacity of that time
   double used = 0;                    // share of the capacity that was used until the warm-up ended
 };
-Recovery PlayRecovery(int senders, Outcome down_outcome, int first_seed = 0) {
+// Runs such a fleet. Calls during the outage end with `down_outcome`, and a refusal gives the time of the
+// return as its retry-after.
+Recovery SimulateRecovery(int senders, Outcome down_outcome, int first_seed = 0) {
   constexpr double kLimit = 40, kWarmUpStartShare = 0.25;
   constexpr Time kDownAt = 104s, kReturnAt = 109s, kWarmAt = 119s;
   Settings settings = SettingsForSenders(senders);
@@ -1162,7 +1164,7 @@
 TEST(SlowStart, AFleetUsesTheCapacityOfAReturningEndpointWithoutOverload) {
   for (const int senders : {30, 100, 200}) {
     const Recovery recovery =
-        PlayRecovery(senders, senders == 100 ? Outcome::kError : Outcome::kNoConnection);
+        SimulateRecovery(senders, senders == 100 ? Outcome::kError : Outcome::kNoConnection);
     EXPECT_LE(recovery.worst_overload, 1.7) << senders << " senders; the endpoint fails again at 2";
     EXPECT_GE(recovery.used, 0.85) << senders << " senders";
   }
@@ -1172,7 +1174,7 @@
 // its first call at that time: 40 calls to an endpoint with a capacity of six in 3 s.
 TEST(SlowStart, AFleetDoesNotCallAtOnceWhenTheRetryAfterEnds) {
   for (const int senders : {3, 30, 100}) {
-    const Recovery recovery = PlayRecovery(senders, Outcome::kRefused);
+    const Recovery recovery = SimulateRecovery(senders, Outcome::kRefused);
     EXPECT_LE(recovery.worst_overload, 1.7) << senders << " senders; the endpoint fails again at 2";
     EXPECT_LE(recovery.calls_per_second[0], 20) << senders << " senders; the capacity in that second is 11.5";
     EXPECT_GE(recovery.used, 0.7) << senders << " senders";
@@ -1183,7 +1185,7 @@
 // to call five times as often, and then sent it twice its full capacity.
 TEST(SlowStart, CallsServedDuringTheWarmUpDoNotShortenTheCallInterval) {
   for (const int first_seed : {0, 1000, 2000}) {
-    EXPECT_LE(PlayRecovery(30, Outcome::kNoConnection, first_seed).worst_overload, 1.5)
+    EXPECT_LE(SimulateRecovery(30, Outcome::kNoConnection, first_seed).worst_overload, 1.5)
         << "seeds from " << first_seed;
   }
 }
@@ -1207,9 +1209,9 @@
 TEST(SlowStart, AppliesToTheReplacementOfADrainedEndpoint) {
   Rig rig;
   rig.UpdateList({MakeEndpoint("a", 7)});
-  EndpointInfo gone = MakeEndpoint("a", 7);
-  gone.lifecycle = Lifecycle::kRemoved;
-  rig.UpdateList({gone}, ListScope::kChanges);
+  EndpointInfo updated = MakeEndpoint("a", 7);
+  updated.lifecycle = Lifecycle::kRemoved;
+  rig.UpdateList({updated}, ListScope::kChanges);
   for (int i = 0; i < 20; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
   rig.UpdateList({MakeEndpoint("b", 7)}, ListScope::kChanges);
   rig.Advance(500ms);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -28,7 +28,7 @@
 // An overload violates the rule if at least this share of its calls is from senders that saw the outage.
 constexpr double kInformedShare = 2.0 / 3;
 
-double InSeconds(Time t) { return static_cast<double>(t.count()) * 1e-6; }
+double InSeconds(Time time) { return static_cast<double>(time.count()) * 1e-6; }
 
 // How calls end during the outage: refused with a retry-after that ends with the outage, refused without one,
 // no connection, an error, or no response.
@@ -36,6 +36,7 @@
 constexpr const char* kOutageNames[] = {"refused with retry-after", "refused", "no connection", "error",
                                         "no response"};
 
+// One run of a fleet.
 struct Case {
   int senders = 1;
   double limit = 40;  // calls a second of a warm endpoint
