--- a/src/change/engine.hpp
+++ b/src/change/engine.hpp
@@ -32,7 +32,7 @@
 struct BeliefReceived {
   Belief belief;
 };
-// Ignored if a change is running or RejectionReason() objects to it.
+// Ignored if RejectionReason() gives a reason against it, such as another running change.
 struct StartChange {
   Spec spec;
 };
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -68,8 +68,8 @@
     if (response.answer && response.answer->value("ok", false)) {
       // A follower answers from its own record, which may be older than the leader's.
       leader = control::TextOf(*response.answer, "leader");
-      const bool leader_not_listed =
-          !leader.empty() && callers_.count(leader) == 0;  // only one socket is used
+      // With a single socket the leader can't be asked itself.
+      const bool leader_not_listed = !leader.empty() && callers_.count(leader) == 0;
       // Only the answer to `change` names the leader; all other requests are answered by the leader alone.
       if (!response.answer->contains("leader") || leader == next || leader_not_listed)
         return *response.answer;
--- a/src/group/group.cpp
+++ b/src/group/group.cpp
@@ -23,6 +23,7 @@
  public:
   using yaml::Reader::Reader;
 
+  // Reads a time of day such as "06:30"; "24:00" is allowed.
   int MinuteOfDay(const YAML::Node& map, const char* key) const {
     const std::string text = Text(map, key, "freeze.", true);
     int hour = -1, minute = -1, length = 0;
@@ -83,6 +84,8 @@
     return limits;
   }
 
+  // Reads the name of an agent or instance. An agent's key files are named after it, and group.key and
+  // group.crt belong to the group itself.
   std::string Name(const YAML::Node& map, const std::string& prefix) const {
     const std::string name = Text(map, "name", prefix, true);
     const bool valid = name.size() <= 40 && name.front() != '.' && name != "group" &&
