--- a/src/change/engine.cpp
+++ b/src/change/engine.cpp
@@ -361,10 +361,11 @@
   }
   if (!belief.fault.empty() && belief.fault_stamp == belief.stamp) return Fail(clock, index, belief.fault);
   if (work.watched_pid != 0 && belief.pid != work.watched_pid && belief.pid != 0) {
-    ++progress.crashes;
+    ++progress.unexpected_exits;
     record_changed_ = true;
-    if (progress.crashes > limits_.max_crashes) {
-      return Fail(clock, index, "died " + std::to_string(progress.crashes) + " times while it was watched");
+    if (progress.unexpected_exits > limits_.max_unexpected_exits) {
+      return Fail(clock, index,
+                  "died " + std::to_string(progress.unexpected_exits) + " times while it was watched");
     }
     work.watched_pid = 0;
   }
@@ -422,7 +423,7 @@
     if (progress.stage == Stage::kWaiting || record_->spec.kind == Kind::kResume) continue;
     const bool was_active = IsActive(index);
     progress.undo = true;
-    progress.crashes = 0;
+    progress.unexpected_exits = 0;
     // Instances that are out of service are brought back at once, the others one after the other.
     if (was_active && progress.stage != Stage::kWatching) {
       EnterStage(clock, index, Stage::kApplying, progress.note);
--- a/src/change/record.cpp
+++ b/src/change/record.cpp
@@ -43,7 +43,7 @@
                        {"stage", NameOf(progress.stage)},
                        {"undo", progress.undo},
                        {"turned", progress.applied},
-                       {"deaths", progress.crashes},
+                       {"deaths", progress.unexpected_exits},
                        {"note", progress.note}});
   }
   Json json = {{"change", record.spec.id},       {"kind", NameOf(record.spec.kind)},
--- a/src/change/record.hpp
+++ b/src/change/record.hpp
@@ -48,7 +48,7 @@
   // Number of messages below which the shares are not compared.
   int min_sample = 50;
   // Times that an instance may end unexpectedly while it is watched.
-  int max_crashes = 2;
+  int max_unexpected_exits = 2;
   std::vector<Freeze> freezes;
 };
 
@@ -100,7 +100,7 @@
   bool undo = false;
   // The order with the new configuration or the restart was given.
   bool applied = false;
-  int crashes = 0;
+  int unexpected_exits = 0;
   std::string note;
 };
 
--- a/src/group/group.cpp
+++ b/src/group/group.cpp
@@ -76,7 +76,8 @@
         Number(node, "refused_rise", "limits.", 0, 1, limits.max_rejected_increase);
     limits.max_failed_increase = Number(node, "failed_rise", "limits.", 0, 1, limits.max_failed_increase);
     limits.min_sample = Integer(node, "least_sample", "limits.", 1, 1'000'000, limits.min_sample);
-    limits.max_crashes = Integer(node, "most_deaths", "limits.", 0, 100, limits.max_crashes);
+    limits.max_unexpected_exits =
+        Integer(node, "most_deaths", "limits.", 0, 100, limits.max_unexpected_exits);
     if (limits.max_belief_age < std::chrono::milliseconds(500)) {
       Fail(node["belief_age"].Mark(), "limits.belief_age",
            "must be at least 500ms: agents are asked each 300ms");
--- a/tests/group/engine_test.cpp
+++ b/tests/group/engine_test.cpp
@@ -438,7 +438,7 @@
     std::mt19937 dice(seed);
     const auto chance = [&](double p) { return std::uniform_real_distribution<>()(dice) < p; };
     Limits l = Quick();
-    l.max_crashes = 100;
+    l.max_unexpected_exits = 100;
     Model m(5, l);
     const bool bad = seed % 3 == 0;
     if (bad) m.bad_versions = {"v2"};
