--- a/src/group/group.cpp
+++ b/src/group/group.cpp
@@ -23,6 +23,7 @@
  public:
   using yaml::Reader::Reader;
 
+  // Reads a time of day such as "06:30"; "24:00" is allowed.
   int MinuteOfDay(const YAML::Node& map, const char* key) const {
     const std::string text = Text(map, key, "freeze.", true);
     int hour = -1, minute = -1, length = 0;
@@ -75,7 +76,8 @@
         Number(node, "refused_rise", "limits.", 0, 1, limits.max_rejected_increase);
     limits.max_failed_increase = Number(node, "failed_rise", "limits.", 0, 1, limits.max_failed_increase);
     limits.min_sample = Integer(node, "least_sample", "limits.", 1, 1'000'000, limits.min_sample);
-    limits.max_crashes = Integer(node, "most_deaths", "limits.", 0, 100, limits.max_crashes);
+    limits.max_unexpected_exits =
+        Integer(node, "most_deaths", "limits.", 0, 100, limits.max_unexpected_exits);
     if (limits.max_belief_age < std::chrono::milliseconds(500)) {
       Fail(node["belief_age"].Mark(), "limits.belief_age",
            "must be at least 500ms: agents are asked each 300ms");
@@ -83,6 +85,8 @@
     return limits;
   }
 
+  // Reads the name of an agent or instance. An agent's key files are named after it, and group.key and
+  // group.crt belong to the group itself.
   std::string Name(const YAML::Node& map, const std::string& prefix) const {
     const std::string name = Text(map, "name", prefix, true);
     const bool valid = name.size() <= 40 && name.front() != '.' && name != "group" &&
