--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -145,6 +145,7 @@
   return not_clean == 0 ? 0 : kExitNotClean;
 }
 
+// Checks a stored trace against the rules, with their limits from the scenario if one is given.
 int Check(const std::string& file, const std::string& scenario_file) {
   std::ifstream in(file);
   if (!in) throw yaml::Error(file + ": can't be read");
@@ -183,11 +184,13 @@
   int jobs = 0;
 };
 
+// A day to run, and the file of its scenario.
 struct PlannedRun {
   results::Key key;
   std::string file;
 };
 
+// One run for each scenario, variant and seed.
 std::vector<PlannedRun> PlanRuns(const SweepOptions& options) {
   const auto seeds = results::ReadSeeds(options.seeds);
   const auto variants = results::ReadVariants(options.sets);
@@ -234,22 +237,23 @@
   return {planned_run.key, Json::parse(child.out)};
 }
 
+// Runs the planned days that have no stored result yet, several at once.
 int RunSweep(const SweepOptions& options) {
   const std::vector<PlannedRun> all = PlanRuns(options);
   results::Results stored_results(options.out);
-  std::vector<const PlannedRun*> open;
+  std::vector<const PlannedRun*> missing_runs;
   for (const PlannedRun& planned_run : all) {
-    if (!stored_results.Has(planned_run.key)) open.push_back(&planned_run);
+    if (!stored_results.Has(planned_run.key)) missing_runs.push_back(&planned_run);
   }
-  const std::size_t already_done = all.size() - open.size();
+  const std::size_t already_done = all.size() - missing_runs.size();
   std::mutex mutex;
   std::size_t done = already_done, not_clean = 0;
   std::string error;
   std::atomic<std::size_t> next{0};
   PrintProgress(done, all.size(), not_clean);
   const auto run_days = [&] {
-    for (std::size_t i = next++; i < open.size(); i = next++) {
-      const PlannedRun& planned_run = *open[i];
+    for (std::size_t i = next++; i < missing_runs.size(); i = next++) {
+      const PlannedRun& planned_run = *missing_runs[i];
       try {
         const results::Row row = RunInChild(options, planned_run);
         const std::lock_guard<std::mutex> guard(mutex);
@@ -260,7 +264,7 @@
       } catch (const std::exception& e) {
         const std::lock_guard<std::mutex> guard(mutex);
         if (error.empty()) error = e.what();
-        next = open.size();  // stops; stored results stay, and the next sweep runs the remaining days
+        next = missing_runs.size();  // stops; stored results stay, and the next sweep runs the remaining days
       }
     }
   };
@@ -325,6 +329,7 @@
   return any ? 0 : kExitNotClean;
 }
 
+// Prints the difference of a figure between two selections of results, paired by day.
 int Compare(const std::string& file, const std::string& a, const std::string& b, const std::string& figure,
             bool json) {
   const auto rows = results::Results(file).All();
@@ -352,6 +357,7 @@
   return 0;
 }
 
+// Writes the stored results as an HTML page with charts.
 int Report(const std::string& file, const std::string& out, const std::string& svg_folder) {
   const auto rows = results::Results(file).All();
   if (rows.empty()) throw std::runtime_error(file + ": holds no results");
--- a/src/lab/outcome.hpp
+++ b/src/lab/outcome.hpp
@@ -13,6 +13,7 @@
 
 namespace oxbowspread::lab {
 
+// The results of a run.
 struct Outcome {
   check::Figures figures;
   std::vector<check::Breach> breaches;
@@ -20,8 +21,8 @@
   std::string crash;           // message of a relay that failed, or how its process ended; empty: none
   std::string invalid_reason;  // why the run says nothing about the relays; empty: it is valid
   trace::Time length{0};       // time of the run at its end
-  trace::Time load_lateness{
-      0};                   // how much later than due a message was submitted, at most; 0 on a virtual clock
+  // How much later than due a message was submitted, at most; 0 on a virtual clock.
+  trace::Time load_lateness{0};
   std::uint64_t steps = 0;  // steps of the decision modules of all relays; on a virtual clock only
   std::uint64_t max_held_messages = 0;              // at one relay; on a virtual clock only
   trace::Time cpu_time{0};                          // of all relays; on sockets only
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -393,8 +393,8 @@
 
   void Apply(const model::HandIn& in) {
     relay_by_id_[in.id] = in.relay;
-    const auto left = std::max<std::int64_t>(1, in.left / 1ms);
-    const std::string values = "c=outbound,d=" + std::to_string(left) + ",k=" + in.key +
+    const auto time_left_ms = std::max<std::int64_t>(1, in.left / 1ms);
+    const std::string values = "c=outbound,d=" + std::to_string(time_left_ms) + ",k=" + in.key +
                                ",dest=" + std::to_string(in.destination) + (in.refused_before ? ",r=1" : "") +
                                (in.died_before ? ",again=1" : "");
     std::string request = standin::RespCommand({"MSG.PUT", "0000000000000000", in.id, values, body_});
@@ -492,8 +492,8 @@
       host.server->Write(connection, standin::Answer("400 Bad Request"));
       return;
     }
-    const auto [slot, fresh] = host.calls.emplace(connection, 0);
-    const bool crowded = fresh && !world_.Connect(address);
+    const auto [slot, new_connection] = host.calls.emplace(connection, 0);
+    const bool crowded = new_connection && !world_.Connect(address);
     const std::uint64_t call = ++calls_made_;
     slot->second = call;
     calls_[call] = {address, connection};
@@ -502,7 +502,7 @@
     last_call_by_id_[id] = call;
     const auto relay = relay_by_id_.find(id);
     Notify(model::Called{call, relay == relay_by_id_.end() ? -1 : relay->second, address, id,
-                         request.Header("idempotency-key"), fresh, crowded});
+                         request.Header("idempotency-key"), new_connection, crowded});
     if (crowded) host.calls.erase(connection);  // so that no Disconnect follows for it
   }
 
