--- a/src/lab/socket_run.cpp
+++ b/src/lab/socket_run.cpp
@@ -393,8 +393,8 @@
 
   void Apply(const model::SubmitMessage& in) {
     relay_by_id_[in.id] = in.relay;
-    const auto left = std::max<std::int64_t>(1, in.time_left / 1ms);
-    const std::string values = "c=outbound,d=" + std::to_string(left) + ",k=" + in.key +
+    const auto time_left_ms = std::max<std::int64_t>(1, in.time_left / 1ms);
+    const std::string values = "c=outbound,d=" + std::to_string(time_left_ms) + ",k=" + in.key +
                                ",dest=" + std::to_string(in.destination) + (in.refused_before ? ",r=1" : "") +
                                (in.lost_before ? ",again=1" : "");
     std::string request = standin::RespCommand({"MSG.PUT", "0000000000000000", in.id, values, body_});
@@ -493,8 +493,8 @@
       host.server->Write(connection, standin::FormatResponse("400 Bad Request"));
       return;
     }
-    const auto [slot, fresh] = host.calls.emplace(connection, 0);
-    const bool crowded = fresh && !world_.Connect(address);
+    const auto [slot, new_connection] = host.calls.emplace(connection, 0);
+    const bool crowded = new_connection && !world_.Connect(address);
     const std::uint64_t call = ++calls_made_;
     slot->second = call;
     calls_[call] = {address, connection};
@@ -503,7 +503,7 @@
     last_call_by_id_[id] = call;
     const auto relay = relay_by_id_.find(id);
     Notify(model::CallReceived{call, relay == relay_by_id_.end() ? -1 : relay->second, address, id,
-                               request.Header("idempotency-key"), fresh, crowded});
+                               request.Header("idempotency-key"), new_connection, crowded});
     if (crowded) host.calls.erase(connection);  // so that no Disconnect follows for it
   }
 
