--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -108,7 +108,7 @@
 // Each day is a process of its own. Ends with kBroken if a rule was broken or a relay crashed; a day that the
 // load spoilt is shown with what it broke, which may be the load's doing, and only a crash counts on it.
 int RunSoak(const Soak& soak) {
-  const auto seeds = results::ReadSeeds(soak.seeds);
+  const auto seeds = results::ParseSeeds(soak.seeds);
   std::printf("| seed | calls | asked, delivered | breaches | crash | spoilt |\n");
   std::printf("| --- | --- | --- | --- | --- | --- |\n");
   std::mutex lock;
@@ -120,7 +120,7 @@
       std::vector<std::string> words = {soak.program, "soak",    "--one", std::to_string(seeds[i]),
                                         "--relay",    soak.relay};
       if (!soak.keep.empty()) words.insert(words.end(), {"--keep", soak.keep});
-      const results::Ran ran = results::RunToEnd(words);
+      const results::ProcessResult ran = results::RunProcess(words);
       const std::lock_guard<std::mutex> hold(lock);
       if (ran.exit_code != 0 && ran.exit_code != kBroken) {
         if (fault.empty()) fault = "seed " + std::to_string(seeds[i]) + ": " + ran.err;
@@ -188,13 +188,13 @@
 };
 
 std::vector<Work> PlanOf(const Sweep& sweep) {
-  const auto seeds = results::ReadSeeds(sweep.seeds);
-  const auto variants = results::ReadVariants(sweep.sets);
+  const auto seeds = results::ParseSeeds(sweep.seeds);
+  const auto variants = results::ExpandVariants(sweep.sets);
   std::vector<Work> all;
   for (const std::string& file : sweep.scenarios) {
     for (const std::string& variant : variants) {
       // All is read before anything is played: a fault in the last one must not come after an hour.
-      const model::Scenario scenario = model::ReadScenario(file, results::SettingsIn(variant));
+      const model::Scenario scenario = model::ReadScenario(file, results::SplitVariant(variant));
       for (const std::uint64_t seed : seeds) {
         all.push_back({{sweep.label, scenario.name, scenario.version, variant, seed, sweep.driver}, file});
       }
@@ -217,11 +217,11 @@
 results::Row PlayApart(const Sweep& sweep, const Work& work) {
   std::vector<std::string> words = {sweep.program, sweep.driver, work.file,
                                     "--json",      "--seed",     std::to_string(work.key.seed)};
-  for (const std::string& set : results::SettingsIn(work.key.variant)) {
+  for (const std::string& set : results::SplitVariant(work.key.variant)) {
     words.insert(words.end(), {"--set", set});
   }
   if (sweep.driver == "run") words.insert(words.end(), {"--relay", sweep.relay});
-  const results::Ran ran = results::RunToEnd(words);
+  const results::ProcessResult ran = results::RunProcess(words);
   if (ran.exit_code != 0 && ran.exit_code != kBroken) {
     throw std::runtime_error(
         work.key.scenario + " seed " + std::to_string(work.key.seed) + ": " +
@@ -232,10 +232,10 @@
 
 int RunSweep(const Sweep& sweep) {
   const std::vector<Work> all = PlanOf(sweep);
-  results::Results kept(sweep.out);
+  results::ResultStore kept(sweep.out);
   std::vector<const Work*> open;
   for (const Work& work : all) {
-    if (!kept.Has(work.key)) open.push_back(&work);
+    if (!kept.Contains(work.key)) open.push_back(&work);
   }
   const std::size_t known = all.size() - open.size();
   std::mutex lock;
@@ -278,7 +278,7 @@
 int RunSearch(const Sweep& sweep, const std::string& key, double low, double high, double tolerance,
               const results::Bounds& bounds) {
   if (!(low < high)) throw std::runtime_error("search: --from must be below --to");
-  const auto seeds = results::ReadSeeds(sweep.seeds);
+  const auto seeds = results::ParseSeeds(sweep.seeds);
   const auto setting = [&](double value) {
     char text[40];
     std::snprintf(text, sizeof text, "%g", value);
@@ -286,10 +286,10 @@
   };
   const std::string& file = sweep.scenarios.front();
   // All faults come before anything is played.
-  const std::string fixed = results::ReadVariants(sweep.sets).front();
+  const std::string fixed = results::ExpandVariants(sweep.sets).front();
   const auto variant = [&](double value) { return fixed + (fixed.empty() ? "" : " ") + setting(value); };
-  const model::Scenario scenario = model::ReadScenario(file, results::SettingsIn(variant(low)));
-  model::ReadScenario(file, results::SettingsIn(variant(high)));
+  const model::Scenario scenario = model::ReadScenario(file, results::SplitVariant(variant(low)));
+  model::ReadScenario(file, results::SplitVariant(variant(high)));
   std::printf("%-28s %6s %10s %10s %10s   within\n", "setting", "days", "p99 ms", "refused", "delivered");
   const auto good = [&](double value) {
     double p99 = 0, refused = 0, delivered = 1;
@@ -303,17 +303,17 @@
                                    row.Number("figures/deferred")) /
                                       asked);
       delivered = std::min(delivered, row.Number("figures/delivered") / asked);
-      all = results::Within(row, bounds) && all;
+      all = results::IsWithin(row, bounds) && all;
     }
     std::printf("%-28s %6zu %10.0f %10.4f %10.4f   %s\n", setting(value).c_str(), seeds.size(), p99, refused,
                 delivered, all ? "yes" : "no");
     std::fflush(stdout);
     return all;
   };
-  const auto tried = results::Search(low, high, tolerance, good);
+  const auto tried = results::SearchHighest(low, high, tolerance, good);
   double best = low;
   bool any = false;
-  for (const results::Tried& t : tried) {
+  for (const results::Trial& t : tried) {
     if (t.good) best = std::max(best, t.value), any = true;
   }
   std::printf(any ? "highest within: %s%s\n" : "none within: not even %s%s\n", setting(best).c_str(),
@@ -323,9 +323,9 @@
 
 int Compare(const std::string& file, const std::string& a, const std::string& b, const std::string& figure,
             bool json) {
-  const auto rows = results::Results(file).All();
+  const auto rows = results::ResultStore(file).ReadAll();
   const auto table =
-      results::Compare(rows, results::ReadSelector(a), results::ReadSelector(b), "figures/" + figure);
+      results::Compare(rows, results::ParseSelector(a), results::ParseSelector(b), "figures/" + figure);
   if (table.back().pairs == 0) {
     throw std::runtime_error("no day was played cleanly by both '" + a + "' and '" + b + "' with a " +
                              figure);
@@ -349,18 +349,18 @@
 }
 
 int Report(const std::string& file, const std::string& out, const std::string& svg_folder) {
-  const auto rows = results::Results(file).All();
+  const auto rows = results::ResultStore(file).ReadAll();
   if (rows.empty()) throw std::runtime_error(file + ": holds no results");
-  const auto charts = results::ChartsOf(rows);
+  const auto charts = results::MakeCharts(rows);
   std::vector<std::string> svg;
   for (const results::Chart& chart : charts) {
-    svg.push_back(results::Draw(chart));
+    svg.push_back(results::RenderSvg(chart));
     if (svg_folder.empty()) continue;
     std::filesystem::create_directories(svg_folder);
     std::ofstream(svg_folder + "/" + chart.name + ".svg") << svg.back();
   }
   std::ofstream page(out);
-  page << results::Page(rows, charts, svg);
+  page << results::FormatPage(rows, charts, svg);
   page.close();
   if (!page) throw std::runtime_error(out + ": can't be written");
   std::printf("%s: %zu days, %zu charts\n", out.c_str(), rows.size(), charts.size());
@@ -430,9 +430,10 @@
   search->add_option("--from", low, "good, one hopes (0.1)");
   search->add_option("--to", high, "not good, one hopes (3)");
   search->add_option("--tolerance", tolerance, "of the answer (0.02)")->check(CLI::Range(0.0001, 1.0));
-  search->add_option("--p99-ms", bounds.deliver_p99_ms, "of delivery, from when due, at most (3000)");
-  search->add_option("--refused", bounds.refused, "turned away, given back or unanswered, a message (0.01)");
-  search->add_option("--delivered", bounds.delivered, "share of the messages, at least (0.99)");
+  search->add_option("--p99-ms", bounds.max_deliver_p99_ms, "of delivery, from when due, at most (3000)");
+  search->add_option("--refused", bounds.max_refused_share,
+                     "turned away, given back or unanswered, a message (0.01)");
+  search->add_option("--delivered", bounds.min_delivered_share, "share of the messages, at least (0.99)");
   search->add_option("--seeds", sweep.seeds, "all of which must be within (1-5)");
   search->add_option("--set", sweep.sets, "KEY=VALUE laid over the scenario");
   search->add_option("--driver", sweep.driver, "sim or run (sim)")->check(CLI::IsMember({"sim", "run"}));
@@ -469,7 +470,7 @@
     }
     if (compare->parsed()) return Compare(file, a, b, figure, json);
     if (report->parsed()) return Report(file, out, svg_folder);
-    std::cout << results::ToCsv(results::Results(file).All());
+    std::cout << results::ToCsv(results::ResultStore(file).ReadAll());
     return 0;
   } catch (const std::exception& e) {
     std::cerr << "oxbowlab: " << e.what() << "\n";
--- a/src/model/day.cpp
+++ b/src/model/day.cpp
@@ -274,9 +274,9 @@
       affected_share += day_.traffic_shares[partner] / hosts[partner];
       // 1 means that the host refuses every call; a failing host stays below it, so that it serves some
       // calls.
-      const bool shut = fault.kind != Fault::Kind::kZoneFailing;
+      const bool refuses_all = fault.kind != Fault::Kind::kZoneFailing;
       Schedule(at, ScheduledEvent::Kind::kStartOutage, static_cast<int>(host_index),
-               shut ? 1 : std::min(chance, 0.999))
+               refuses_all ? 1 : std::min(chance, 0.999))
           .until = Seconds(at + length);
       Schedule(at + length, ScheduledEvent::Kind::kEndOutage, static_cast<int>(host_index));
     }
--- a/src/model/day.hpp
+++ b/src/model/day.hpp
@@ -32,7 +32,7 @@
   double capacity() const { return servers / service_time_s; }  // calls per second
 };
 
-// A message that a client hands in.
+// A message that a client submits.
 struct Arrival {
   Time due{0};
   int partner = 0;
--- a/src/model/scenario.hpp
+++ b/src/model/scenario.hpp
@@ -22,13 +22,14 @@
     kRollingRestart,  // SIGTERM to `share` of the relays over `duration`, `batch_size` at a time, each down
                       // for `downtime`
     kListDelayed,     // discovery's list lags by `extra_lag` more
-    kZoneFailing,     // hosts of one zone that have `share` of the traffic fail `failure_chance` of the calls
-    kZoneDown,        // the same hosts refuse all calls
-    kExtraTraffic,    // `count` large partners get `share` of all messages in addition
-    kHostsReplaced,   // `count` hosts drain and go; each is replaced by a new one, at the old address if
-                      // `same_address`
-    kPartnersDown,    // all hosts of `share` of the partners refuse all calls, in every zone
-    kDiscoveryDown,   // discovery refuses all calls and ends all watches
+    kZoneFailing,   // hosts of one zone that have `share` of the traffic quickly fail `failure_chance` of the
+                    // calls
+    kZoneDown,      // the same hosts refuse all calls
+    kExtraTraffic,  // `count` large partners get `share` of all messages in addition
+    kHostsReplaced,    // `count` hosts drain and go; each is replaced by a new one, at the old address if
+                       // `same_address`
+    kPartnersDown,     // all hosts of `share` of the partners refuse all calls, in every zone
+    kDiscoveryDown,    // discovery refuses all calls and ends all watches
     kDiscoverySilent,  // discovery answers no call; its open watches never say anything again
     kDiscoverySlow,    // discovery serves one call after the other, `time_per_call` each, and refuses those
                        // that wait for 2 s
@@ -121,9 +122,10 @@
     double disk_mb = 3;
     int memory_mb = 192, sockets = 1024;
     std::vector<double> zone_penalties{0.06, 0, 0.03};
-    double announced_sender_factor = 1;  // number of relays that each relay is told, over the true number
-    double refused_call_cost = 0.03;     // told to the relays, and subtracted from the service figure if each
-                                         // message's call were refused once
+    double announced_sender_factor =
+        1;  // number of relays that is announced to each relay, over the true number
+    double refused_call_cost = 0.03;  // announced to the relays, and subtracted from the service figure if
+                                      // each message's call were refused once
   } relay;
 
   std::vector<std::string> zone_names{"north-room", "east-room", "back-room"};
--- a/src/results/child.hpp
+++ b/src/results/child.hpp
@@ -1,4 +1,4 @@
-// One program run to its end, its output taken.
+// Runs a program to its end and collects its output.
 #pragma once
 
 #include <string>
@@ -6,13 +6,13 @@
 
 namespace oxbowspread::results {
 
-struct Ran {
-  int exit_code = -1;  // -1: it ended by a signal
+struct ProcessResult {
+  int exit_code = -1;  // -1: ended by a signal
   std::string out, err;
 };
 
-// `words` begin with the program's name, looked for in $PATH. Blocks; may be called from many threads. Throws
-// std::runtime_error where it can't be started.
-Ran RunToEnd(const std::vector<std::string>& words);
+// `command` begins with the program's name, which is looked up in $PATH. Blocks; may be called from several
+// threads. Throws std::runtime_error if the program can't be started.
+ProcessResult RunProcess(const std::vector<std::string>& command);
 
 }  // namespace oxbowspread::results
--- a/src/results/compare.hpp
+++ b/src/results/compare.hpp
@@ -1,4 +1,5 @@
-// Two sets of played days side by side, paired by the day: what the difference is, and how sure. No I/O.
+// Compares two sets of simulated days, paired by day: the mean difference and its confidence interval. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +11,15 @@
 
 namespace oxbowspread::results {
 
-// Which rows: "LABEL", "LABEL:VARIANT" (":" alone: no variant), each with "@sim" or "@run" behind it if one
-// driver is meant.
+// Selects rows: "LABEL", or "LABEL:VARIANT" (":" alone: no variant), either followed by "@sim" or "@run" to
+// select one driver.
 struct Selector {
   std::string label, variant, driver;
   bool any_variant = true;
 
-  bool Takes(const Key& key) const;
+  bool Matches(const Key& key) const;
 };
-Selector ReadSelector(const std::string& text);
+Selector ParseSelector(const std::string& text);
 
 struct Difference {
   std::string scenario;  // "all" for the last
@@ -28,13 +29,15 @@
   double low = 0, high = 0;  // 95% of the bootstrap's means lie between
 };
 
-// One line a scenario, then one for all. A row that isn't clean is left out with its partner; rows without a
-// partner are left out. `driver` counts as part of the day only where both selectors leave it open.
-// Deterministic: the bootstrap's draws depend on the rows alone.
+// Returns one difference per scenario, then one for all. A pair is left out if either row isn't clean; rows
+// without a counterpart are left out. `driver` is part of the day only if neither selector names one.
+// Deterministic: the bootstrap's resamples depend on the rows alone.
 std::vector<Difference> Compare(const std::vector<Row>& rows, const Selector& a, const Selector& b,
                                 const std::string& figure);
 
-// The interval in which 95% of the means of `draws` resamples lie. Of one value or none: that value twice.
-std::pair<double, double> Bootstrap(const std::vector<double>& values, std::uint64_t seed, int draws = 2000);
+// Returns the interval that holds 95% of the means of `resamples` resamples. With fewer than two values it is
+// their mean, twice.
+std::pair<double, double> Bootstrap(const std::vector<double>& values, std::uint64_t seed,
+                                    int resamples = 2000);
 
 }  // namespace oxbowspread::results
--- a/src/results/report.hpp
+++ b/src/results/report.hpp
@@ -1,5 +1,5 @@
-// A page of tables and charts from results: one HTML file that needs nothing beside it. Charts are SVG, drawn
-// by gnuplot.
+// Formats results as a page of tables and charts: one HTML file without external resources. gnuplot renders
+// the charts as SVG.
 #pragma once
 
 #include <string>
@@ -9,18 +9,19 @@
 
 namespace oxbowspread::results {
 
-// The scripts that gnuplot is to run, data within them; no I/O.
+// A gnuplot script that includes its data.
 struct Chart {
-  std::string title, name;  // name: of its file, without the end
+  std::string title, name;  // name: file name without extension
   std::string script;
 };
-std::vector<Chart> ChartsOf(const std::vector<Row>& rows);
+// No I/O.
+std::vector<Chart> MakeCharts(const std::vector<Row>& rows);
 
-// The page, with the charts' SVG in their order. No I/O.
-std::string Page(const std::vector<Row>& rows, const std::vector<Chart>& charts,
-                 const std::vector<std::string>& svg);
+// Formats the page; `svg` holds the rendered charts in the order of `charts`. No I/O.
+std::string FormatPage(const std::vector<Row>& rows, const std::vector<Chart>& charts,
+                       const std::vector<std::string>& svg);
 
-// Runs gnuplot on it and returns the SVG. Throws std::runtime_error in one line.
-std::string Draw(const Chart& chart);
+// Runs gnuplot on the chart and returns the SVG. Throws std::runtime_error with a one-line message.
+std::string RenderSvg(const Chart& chart);
 
 }  // namespace oxbowspread::results
--- a/src/results/results.cpp
+++ b/src/results/results.cpp
@@ -14,16 +14,16 @@
     PRIMARY KEY (label, scenario, text, variant, seed, driver)) WITHOUT ROWID;
 )";
 
-sqlite::Statement& BindKey(sqlite::Statement& s, const Key& key) {
-  return s.Bind(key.label)
+sqlite::Statement& BindKey(sqlite::Statement& statement, const Key& key) {
+  return statement.Bind(key.label)
       .Bind(key.scenario)
-      .Bind(key.text)
+      .Bind(key.scenario_version)
       .Bind(key.variant)
       .Bind(std::to_string(key.seed))
       .Bind(key.driver);
 }
 
-std::string Quoted(const std::string& text) {
+std::string QuoteForCsv(const std::string& text) {
   if (text.find_first_of(",\"\n") == text.npos) return text;
   std::string quoted = "\"";
   for (const char c : text) quoted += c == '"' ? "\"\"" : std::string(1, c);
@@ -33,9 +33,10 @@
 }  // namespace
 
 double Row::Number(const std::string& path) const {
-  const Json::json_pointer at("/" + path);
-  if (!report.contains(at) || !report.at(at).is_number()) return std::numeric_limits<double>::quiet_NaN();
-  return report.at(at).get<double>();
+  const Json::json_pointer pointer("/" + path);
+  if (!report.contains(pointer) || !report.at(pointer).is_number())
+    return std::numeric_limits<double>::quiet_NaN();
+  return report.at(pointer).get<double>();
 }
 
 bool Row::clean() const {
@@ -43,31 +44,36 @@
          report.value("spoilt", "").empty();
 }
 
-Results::Results(const std::string& path) : database_(path, {"results", 1, kSchema, 0, false}) {}
+ResultStore::ResultStore(const std::string& path) : database_(path, {"results", 1, kSchema, 0, false}) {}
 
-bool Results::Has(const Key& key) {
-  sqlite::Statement s(
+bool ResultStore::Contains(const Key& key) {
+  sqlite::Statement statement(
       database_,
       "SELECT 1 FROM played WHERE label = ? AND scenario = ? AND text = ? AND variant = ? AND "
       "seed = ? AND driver = ?");
-  return BindKey(s, key).Step();
+  return BindKey(statement, key).Step();
 }
 
-void Results::Put(const Row& row) {
-  sqlite::Statement s(database_, "INSERT OR REPLACE INTO played VALUES (?, ?, ?, ?, ?, ?, ?)");
-  BindKey(s, row.key).Bind(row.report.dump()).Step();
+void ResultStore::Put(const Row& row) {
+  sqlite::Statement statement(database_, "INSERT OR REPLACE INTO played VALUES (?, ?, ?, ?, ?, ?, ?)");
+  BindKey(statement, row.key).Bind(row.report.dump()).Step();
 }
 
-std::vector<Row> Results::All() {
+std::vector<Row> ResultStore::ReadAll() {
   std::vector<Row> rows;
-  sqlite::Statement s(
+  sqlite::Statement statement(
       database_,
       "SELECT label, scenario, text, variant, seed, driver, report FROM played ORDER BY label, "
       "scenario, text, variant, length(seed), seed, driver");
-  while (s.Step()) {
+  while (statement.Step()) {
     Row row;
-    row.key = {s.Text(0), s.Text(1), s.Text(2), s.Text(3), std::stoull(s.Text(4)), s.Text(5)};
-    row.report = Json::parse(s.Text(6));
+    row.key = {statement.Text(0),
+               statement.Text(1),
+               statement.Text(2),
+               statement.Text(3),
+               std::stoull(statement.Text(4)),
+               statement.Text(5)};
+    row.report = Json::parse(statement.Text(6));
     rows.push_back(std::move(row));
   }
   return rows;
@@ -87,8 +93,9 @@
   for (const std::string& name : columns) csv << "," << name;
   csv << "\n";
   for (const Row& row : rows) {
-    csv << Quoted(row.key.label) << "," << Quoted(row.key.scenario) << "," << Quoted(row.key.variant) << ","
-        << row.key.seed << "," << row.key.driver << "," << (row.clean() ? 1 : 0);
+    csv << QuoteForCsv(row.key.label) << "," << QuoteForCsv(row.key.scenario) << ","
+        << QuoteForCsv(row.key.variant) << "," << row.key.seed << "," << row.key.driver << ","
+        << (row.clean() ? 1 : 0);
     for (const std::string& name : columns) {
       const double value = row.Number("figures/" + name);
       csv << ",";
--- a/src/results/results.hpp
+++ b/src/results/results.hpp
@@ -1,5 +1,5 @@
-// The results of played days, kept in one SQLite file, so that a sweep that was broken off goes on where it
-// stood and two labels can be compared.
+// Stores the results of simulated days in one SQLite file, so that an interrupted sweep can continue and two
+// labels can be compared.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +13,13 @@
 
 using Json = nlohmann::ordered_json;
 
-// Which day was played, by what.
+// Identifies a day and what ran it.
 struct Key {
-  std::string label;     // the operators' own name for what was tried, such as a program's version
-  std::string scenario;  // its name
-  std::string text;      // version of its text: another text is another day
-  std::string variant;   // settings laid over it, "traffic.load=0.9 relay.slots=1"; empty: none
+  std::string label;             // the operator's name for what was tried, such as a program's version
+  std::string scenario;          // name
+  std::string scenario_version;  // hash of the scenario's text: another text gives another day
+  std::string variant;  // settings that override the scenario's, "traffic.load=0.9 relay.slots=1"; may be
+                        // empty
   std::uint64_t seed = 0;
   std::string driver;  // "sim" or "run"
 
@@ -27,29 +28,29 @@
 
 struct Row {
   Key key;
-  Json report;  // as `oxbowlab sim --json` tells it
+  Json report;  // as printed by `oxbowlab sim --json`
 
-  // A number in it by a path such as "figures/service". NaN where there is none.
+  // Returns the number at a path of the report such as "figures/service"; NaN if there is none.
   double Number(const std::string& path) const;
-  bool clean() const;  // no rule broken, no crash, not spoilt
+  bool clean() const;  // no rule broken, no crash, and the run was valid
 };
 
-class Results {
+class ResultStore {
  public:
-  // Makes the file if it isn't there. Throws sqlite::Error.
-  explicit Results(const std::string& path);
+  // Creates the file if it doesn't exist. Throws sqlite::Error.
+  explicit ResultStore(const std::string& path);
 
-  // All of these throw sqlite::Error; All also nlohmann's exceptions on a report that is no JSON.
-  bool Has(const Key& key);
-  void Put(const Row& row);  // in place of an earlier one of that key
+  // All of these throw sqlite::Error; ReadAll also throws nlohmann's exceptions on a report that is not JSON.
+  bool Contains(const Key& key);
+  void Put(const Row& row);  // replaces an earlier row of the same key
   // In the order of their keys.
-  std::vector<Row> All();
+  std::vector<Row> ReadAll();
 
  private:
   sqlite::Database database_;
 };
 
-// One line a row, the first with the columns' names: the key, then all plain numbers of `figures`.
+// One line per row after a line of column names: the key, then all plain numbers of `figures`.
 std::string ToCsv(const std::vector<Row>& rows);
 
 }  // namespace oxbowspread::results
--- a/src/results/search.cpp
+++ b/src/results/search.cpp
@@ -4,28 +4,29 @@
 
 namespace oxbowspread::results {
 
-bool Within(const Row& row, const Bounds& bounds) {
+bool IsWithin(const Row& row, const Bounds& bounds) {
   const double asked = row.Number("figures/asked");
   if (!row.clean() || !(asked > 0)) return false;
   const double refused =
       row.Number("figures/turned_away") + row.Number("figures/unanswered") + row.Number("figures/deferred");
-  return row.Number("figures/deliver_p99_ms") <= bounds.deliver_p99_ms && refused <= bounds.refused * asked &&
-         row.Number("figures/delivered") >= bounds.delivered * asked;
+  return row.Number("figures/deliver_p99_ms") <= bounds.max_deliver_p99_ms &&
+         refused <= bounds.max_refused_share * asked &&
+         row.Number("figures/delivered") >= bounds.min_delivered_share * asked;
 }
 
-std::vector<Tried> Search(double low, double high, double tolerance,
-                          const std::function<bool(double)>& good) {
-  std::vector<Tried> tried;
-  const auto ask = [&](double value) {
-    tried.push_back({value, good(value)});
-    return tried.back().good;
+std::vector<Trial> SearchHighest(double low, double high, double tolerance,
+                                 const std::function<bool(double)>& good) {
+  std::vector<Trial> trials;
+  const auto try_value = [&](double value) {
+    trials.push_back({value, good(value)});
+    return trials.back().good;
   };
-  if (!ask(low) || ask(high)) return tried;
+  if (!try_value(low) || try_value(high)) return trials;
   while (high - low > tolerance * high) {
     const double middle = low + (high - low) / 2;
-    (ask(middle) ? low : high) = middle;
+    (try_value(middle) ? low : high) = middle;
   }
-  return tried;
+  return trials;
 }
 
 }  // namespace oxbowspread::results
--- a/src/results/search.hpp
+++ b/src/results/search.hpp
@@ -1,4 +1,4 @@
-// The highest value of one setting at which played days stay within bounds. No I/O.
+// Searches the highest value of a setting at which simulated days stay within bounds. No I/O.
 #pragma once
 
 #include <functional>
@@ -9,23 +9,24 @@
 namespace oxbowspread::results {
 
 struct Bounds {
-  double deliver_p99_ms = 3000;  // from when a message was due
-  double refused =
-      0.01;  // messages turned away or given back, and what nobody answered, over those asked for
-  double delivered = 0.99;  // share of the messages, at least
+  double max_deliver_p99_ms = 3000;  // from when a message was due
+  // Messages that were rejected, deferred or not answered, as a share of all.
+  double max_refused_share = 0.01;
+  double min_delivered_share = 0.99;
 };
 
-// A clean day within all of them.
-bool Within(const Row& row, const Bounds& bounds);
+// Whether the day is clean and within all bounds.
+bool IsWithin(const Row& row, const Bounds& bounds);
 
-struct Tried {
+struct Trial {
   double value = 0;
   bool good = false;
 };
 
-// Halves the span between `low` and `high` until it is below `tolerance` of its upper end. `good` is asked
-// for `low` and `high` first and is taken to hold below some value and not above it. Returns what was tried,
-// in that order; the highest good one is the answer, and where none is good there is none.
-std::vector<Tried> Search(double low, double high, double tolerance, const std::function<bool(double)>& good);
+// Bisects between `low` and `high` until the interval is below `tolerance` times its upper end. `good` is
+// called for `low` and `high` first and is assumed to hold up to some value and not above it. Returns all
+// trials in order; the highest good one is the answer, and if none is good there is no answer.
+std::vector<Trial> SearchHighest(double low, double high, double tolerance,
+                                 const std::function<bool(double)>& good);
 
 }  // namespace oxbowspread::results
--- a/src/results/sweep.cpp
+++ b/src/results/sweep.cpp
@@ -7,10 +7,10 @@
 namespace oxbowspread::results {
 namespace {
 
-constexpr std::uint64_t kMostSeeds = 1'000'000;
+constexpr std::uint64_t kMaxSeedsPerRange = 1'000'000;
 
-// At commas that stand in no bracket.
-std::vector<std::string> Values(const std::string& text) {
+// Splits the text at commas outside brackets.
+std::vector<std::string> SplitValues(const std::string& text) {
   std::vector<std::string> all(1);
   int depth = 0;
   for (const char c : text) {
@@ -27,40 +27,41 @@
 
 }  // namespace
 
-std::vector<std::uint64_t> ReadSeeds(const std::string& text) {
+std::vector<std::uint64_t> ParseSeeds(const std::string& text) {
   const auto fail = [&] {
     throw std::runtime_error("seeds: must be such as 1-20 or 1,5,9, not '" + text + "'");
   };
   std::vector<std::uint64_t> seeds;
   std::istringstream parts(text);
   for (std::string part; std::getline(parts, part, ',');) {
-    std::uint64_t from = 0, to = 0;
+    std::uint64_t first = 0, last = 0;
     const char* const end = part.data() + part.size();
-    auto [next, error] = std::from_chars(part.data(), end, from);
-    to = from;
+    auto [next, error] = std::from_chars(part.data(), end, first);
+    last = first;
     if (error == std::errc() && next != end && *next == '-') {
-      const auto second = std::from_chars(next + 1, end, to);
+      const auto second = std::from_chars(next + 1, end, last);
       next = second.ptr;
       error = second.ec;
     }
-    if (error != std::errc() || next != end || to < from || to - from >= kMostSeeds) fail();
-    for (std::uint64_t seed = from; seed <= to; ++seed) seeds.push_back(seed);
+    if (error != std::errc() || next != end || last < first || last - first >= kMaxSeedsPerRange) fail();
+    for (std::uint64_t seed = first; seed <= last; ++seed) seeds.push_back(seed);
   }
   if (seeds.empty()) fail();
   return seeds;
 }
 
-std::vector<std::string> ReadVariants(const std::vector<std::string>& sets) {
+std::vector<std::string> ExpandVariants(const std::vector<std::string>& settings) {
   std::vector<std::string> variants = {""};
-  for (const std::string& set : sets) {
-    const std::size_t equals = set.find('=');
-    if (equals == 0 || equals == set.npos || equals + 1 == set.size() || set.find(' ') != set.npos) {
-      throw std::runtime_error("set: must be KEY=VALUE,VALUE without blanks, not '" + set + "'");
+  for (const std::string& setting : settings) {
+    const std::size_t equals = setting.find('=');
+    if (equals == 0 || equals == setting.npos || equals + 1 == setting.size() ||
+        setting.find(' ') != setting.npos) {
+      throw std::runtime_error("set: must be KEY=VALUE,VALUE without blanks, not '" + setting + "'");
     }
     std::vector<std::string> next;
     for (const std::string& variant : variants) {
-      for (const std::string& value : Values(set.substr(equals + 1))) {
-        next.push_back(variant + (variant.empty() ? "" : " ") + set.substr(0, equals + 1) + value);
+      for (const std::string& value : SplitValues(setting.substr(equals + 1))) {
+        next.push_back(variant + (variant.empty() ? "" : " ") + setting.substr(0, equals + 1) + value);
       }
     }
     variants = std::move(next);
@@ -68,7 +69,7 @@
   return variants;
 }
 
-std::vector<std::string> SettingsIn(const std::string& variant) {
+std::vector<std::string> SplitVariant(const std::string& variant) {
   std::vector<std::string> all;
   std::istringstream words(variant);
   for (std::string word; words >> word;) all.push_back(word);
--- a/src/results/sweep.hpp
+++ b/src/results/sweep.hpp
@@ -1,4 +1,4 @@
-// Which days a sweep plays: every scenario with every variant and every seed. No I/O.
+// Plans the days of a sweep: every scenario with every variant and every seed. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,15 @@
 
 namespace oxbowspread::results {
 
-// "1-20", "3", "1-5,9". Throws std::runtime_error in one line.
-std::vector<std::uint64_t> ReadSeeds(const std::string& text);
+// Parses such as "1-20", "3" or "1-5,9". Throws std::runtime_error with a one-line message.
+std::vector<std::uint64_t> ParseSeeds(const std::string& text);
 
-// Each of `sets` is "KEY=VALUE,VALUE,..."; a value in brackets is one. The product of all, each as
-// "KEY=VALUE KEY=VALUE" in the order of `sets`; one empty variant where there are none. Throws
-// std::runtime_error in one line.
-std::vector<std::string> ReadVariants(const std::vector<std::string>& sets);
+// Each of `settings` is "KEY=VALUE,VALUE,..."; a value in brackets counts as one. Returns the Cartesian
+// product, each variant as "KEY=VALUE KEY=VALUE" in the order of `settings`; one empty variant if there are
+// none. Throws std::runtime_error with a one-line message.
+std::vector<std::string> ExpandVariants(const std::vector<std::string>& settings);
 
-// A variant's settings, apart.
-std::vector<std::string> SettingsIn(const std::string& variant);
+// Splits a variant into its settings.
+std::vector<std::string> SplitVariant(const std::string& variant);
 
 }  // namespace oxbowspread::results
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -37,7 +37,7 @@
 
 nlohmann::json RelayConfig(const std::string& name, const std::string& listen, int discovery_port) {
   nlohmann::json settings = nlohmann::json::parse(kSettings);
-  settings["family-info"]["calls-out"] = 64;  // room for the load generator
+  settings["family-info"]["calls-out"] = 64;  // enough for the load generator
   settings["limits"]["max-open"] = 2000;
   return {{"name", name},
           {"listen", listen},
--- a/tests/lab/program_test.cpp
+++ b/tests/lab/program_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-using oxbowspread::results::Ran;
-using oxbowspread::results::RunToEnd;
+using oxbowspread::results::ProcessResult;
+using oxbowspread::results::RunProcess;
 using Json = nlohmann::json;
 
 class Folder {
@@ -33,9 +33,9 @@
   std::filesystem::path path_;
 };
 
-Ran Lab(std::vector<std::string> words) {
+ProcessResult Lab(std::vector<std::string> words) {
   words.insert(words.begin(), OXBOWLAB);
-  return RunToEnd(words);
+  return RunProcess(words);
 }
 
 std::string Read(const std::string& path) {
@@ -55,7 +55,7 @@
 TEST_CASE("oxbowlab run: a day on sockets keeps every rule and delivers what the simulation does", "[lab]") {
   Folder folder;
   const std::string file = folder.Write("day.yaml", kDay);
-  const Ran run =
+  const ProcessResult run =
       Lab({"run", file, "--seed", "2", "--json", "--relay", OXBOWSPREAD, "--trace", folder / "trace"});
   INFO(run.out << run.err);
   REQUIRE((run.exit_code == 0 || run.exit_code == 1));
@@ -74,7 +74,7 @@
   CHECK(trace.find("\"kind\":\"terminated\"") != std::string::npos);
   // The kept trace says the same, and says so when it is cut short.
   CHECK(Lab({"check", folder / "trace", "--scenario", file}).exit_code == 0);
-  const Ran cut = Lab({"check", folder.Write("cut", trace.substr(0, trace.size() / 2))});
+  const ProcessResult cut = Lab({"check", folder.Write("cut", trace.substr(0, trace.size() / 2))});
   CHECK(cut.exit_code == 1);
   CHECK(cut.out.find("cut short with ") != std::string::npos);
 }
@@ -87,7 +87,7 @@
                                         "relays_stopped: {at: 2s, for: 1500ms, share: 0.34}\n"
                                         "  - relays_killed: {at: 4500ms, for: 1s, share: 0.34}\n  - "
                                         "relays_stopped: {at: 6s, for: 1s, share: 0.34}\n");
-  const Ran run =
+  const ProcessResult run =
       Lab({"run", file, "--seed", "3", "--json", "--relay", OXBOWSPREAD, "--trace", folder / "trace"});
   INFO(run.out << run.err);
   const Json played = Json::parse(run.out),
@@ -105,18 +105,18 @@
 TEST_CASE("oxbowlab run: a relay that can't start, or dies by itself, is told and not scored", "[lab]") {
   Folder folder;
   const std::string file = folder.Write("day.yaml", "length: 2s\npartners: {count: 3}\n");
-  const Ran none = Lab({"run", file, "--relay", folder / "no-such-program"});
+  const ProcessResult none = Lab({"run", file, "--relay", folder / "no-such-program"});
   CHECK(none.exit_code == 2);
   CHECK(none.err.find("no-such-program") != std::string::npos);
   const std::string dies = folder.Write("dies", "#!/bin/sh\nexit 7\n");
   std::filesystem::permissions(dies, std::filesystem::perms::owner_all);
-  const Ran died = Lab({"run", file, "--json", "--relay", dies});
+  const ProcessResult died = Lab({"run", file, "--json", "--relay", dies});
   CHECK(died.exit_code == 1);
   CHECK(Json::parse(died.out)["crash"].get<std::string>().find("exited with 7") != std::string::npos);
 }
 
 TEST_CASE("oxbowlab soak: days with faults drawn from seeds keep every rule", "[lab]") {
-  const Ran run =
+  const ProcessResult run =
       Lab({"soak", "--seeds", "1,3,65,80,8100022,8100033", "--jobs", "2", "--relay", OXBOWSPREAD});
   INFO(run.out << run.err);
   CHECK(run.exit_code == 0);
@@ -146,7 +146,7 @@
       {"report", folder / "none", "--out", folder / "page"},
   };
   for (const auto& words : cases) {
-    const Ran ran = Lab(words);
+    const ProcessResult ran = Lab(words);
     INFO(Json(words).dump() << " " << ran.err);
     CHECK(ran.exit_code == 2);
     CHECK(std::count(ran.err.begin(), ran.err.end(), '\n') == 1);
@@ -172,7 +172,7 @@
   REQUIRE(table.size() == 2);
   CHECK(table[1]["pairs"] == 3);
   CHECK(table[1]["low"].get<double>() > 0);  // three times the load asks for more, on every day
-  const Ran report = Lab({"report", folder / "results", "--out", folder / "page.html"});
+  const ProcessResult report = Lab({"report", folder / "results", "--out", folder / "page.html"});
   CHECK(report.exit_code == 0);
   CHECK(Read(folder / "page.html").find("<svg") != std::string::npos);
 }
@@ -181,8 +181,8 @@
   Folder folder;
   const std::string file =
       folder.Write("day.yaml", "length: 10s\npartners: {count: 6}\ntraffic: {shape: steady, clumps: 0}\n");
-  const Ran ran = Lab({"search", file, "--seeds", "1", "--from", "0.1", "--to", "6", "--tolerance", "0.2",
-                       "--refused", "0.05", "--p99-ms", "8000", "--delivered", "0.95"});
+  const ProcessResult ran = Lab({"search", file, "--seeds", "1", "--from", "0.1", "--to", "6", "--tolerance",
+                                 "0.2", "--refused", "0.05", "--p99-ms", "8000", "--delivered", "0.95"});
   INFO(ran.out << ran.err);
   CHECK(ran.exit_code == 0);
   CHECK(ran.out.find("traffic.load=0.1 ") != std::string::npos);
--- a/tests/lab/results_test.cpp
+++ b/tests/lab/results_test.cpp
@@ -52,16 +52,16 @@
 }  // namespace
 
 TEST_CASE("sweep: seeds and variants as they are written", "[results]") {
-  CHECK(results::ReadSeeds("1-3,9") == std::vector<std::uint64_t>{1, 2, 3, 9});
+  CHECK(results::ParseSeeds("1-3,9") == std::vector<std::uint64_t>{1, 2, 3, 9});
   for (const char* bad : {"", "3-1", "a", "1-", "1,,2", "1-99999999999"}) {
-    CHECK_THROWS_AS(results::ReadSeeds(bad), std::runtime_error);
+    CHECK_THROWS_AS(results::ParseSeeds(bad), std::runtime_error);
   }
-  CHECK(results::ReadVariants({}) == std::vector<std::string>{""});
-  CHECK(results::ReadVariants({"a=1,2", "b.c=[3,4],5"}) ==
+  CHECK(results::ExpandVariants({}) == std::vector<std::string>{""});
+  CHECK(results::ExpandVariants({"a=1,2", "b.c=[3,4],5"}) ==
         std::vector<std::string>{"a=1 b.c=[3,4]", "a=1 b.c=5", "a=2 b.c=[3,4]", "a=2 b.c=5"});
-  CHECK(results::SettingsIn("a=1 b.c=[3,4]") == std::vector<std::string>{"a=1", "b.c=[3,4]"});
+  CHECK(results::SplitVariant("a=1 b.c=[3,4]") == std::vector<std::string>{"a=1", "b.c=[3,4]"});
   for (const char* bad : {"a", "=1", "a=", "a=1 2"}) {
-    CHECK_THROWS_AS(results::ReadVariants({bad}), std::runtime_error);
+    CHECK_THROWS_AS(results::ExpandVariants({bad}), std::runtime_error);
   }
 }
 
@@ -69,17 +69,17 @@
   File file;
   const Row row = Played("now", "calm", 18'000'000'000'000'000'000ull, 0.9);
   {
-    results::Results kept(file.path());
-    CHECK_FALSE(kept.Has(row.key));
+    results::ResultStore kept(file.path());
+    CHECK_FALSE(kept.Contains(row.key));
     kept.Put(row);
     kept.Put(Played("now", "calm", 2, 0.8));
   }
-  results::Results kept(file.path());
-  CHECK(kept.Has(row.key));
+  results::ResultStore kept(file.path());
+  CHECK(kept.Contains(row.key));
   Key other = row.key;
-  other.text = "t2";
-  CHECK_FALSE(kept.Has(other));
-  const auto rows = kept.All();
+  other.scenario_version = "t2";
+  CHECK_FALSE(kept.Contains(other));
+  const auto rows = kept.ReadAll();
   REQUIRE(rows.size() == 2);
   CHECK(rows[0].key.seed == 2);
   CHECK(rows[1].key == row.key);
@@ -103,7 +103,7 @@
   rows.push_back(broken);
   rows.push_back(Played("new", "busy", 1, 1));
   const auto table =
-      results::Compare(rows, results::ReadSelector("old"), results::ReadSelector("new"), "figures/service");
+      results::Compare(rows, results::ParseSelector("old"), results::ParseSelector("new"), "figures/service");
   REQUIRE(table.size() == 2);
   CHECK(table[0].scenario == "calm");
   CHECK(table[0].pairs == 20);
@@ -125,7 +125,7 @@
   }
   const auto difference = [&](const char* a, const char* b) {
     const auto table =
-        results::Compare(rows, results::ReadSelector(a), results::ReadSelector(b), "figures/service");
+        results::Compare(rows, results::ParseSelector(a), results::ParseSelector(b), "figures/service");
     return std::pair(table.back().pairs, table.back().mean);
   };
   CHECK(difference("now:@sim", "now:relay.slots=1@sim").first == 3);
@@ -153,38 +153,38 @@
   const std::vector<Row> rows = {Played("now", "calm", 1, 0.9),
                                  Played("now", "calm", 1, 0.8, "relay.slots=1"),
                                  Played("now", "calm", 1, 0.85, "relay.slots=2")};
-  const auto charts = results::ChartsOf(rows);
+  const auto charts = results::MakeCharts(rows);
   std::vector<std::string> names;
   for (const auto& chart : charts) names.push_back(chart.name);
   CHECK(names == std::vector<std::string>{"service", "curve-relay.slots-1", "time-calm", "latency-calm",
                                           "partners-calm"});
   std::vector<std::string> svg;
-  for (const auto& chart : charts) svg.push_back(results::Draw(chart));
+  for (const auto& chart : charts) svg.push_back(results::RenderSvg(chart));
   CHECK(svg[2].find("&lt;1") != std::string::npos);
   CHECK(svg[2].find("<1>") == std::string::npos);
-  const std::string page = results::Page(rows, charts, svg);
+  const std::string page = results::FormatPage(rows, charts, svg);
   std::size_t drawn = 0;
   for (std::size_t at = page.find("<svg"); at != page.npos; at = page.find("<svg", at + 1)) ++drawn;
   CHECK(drawn == charts.size());
   CHECK(page.find("0.850") != std::string::npos);
   CHECK(page.find("http://") == page.find("http://www.w3.org"));  // nothing is fetched
-  CHECK_THROWS_AS(results::Draw({"t", "n", "plot nonsense(\n"}), std::runtime_error);
+  CHECK_THROWS_AS(results::RenderSvg({"t", "n", "plot nonsense(\n"}), std::runtime_error);
 }
 
 TEST_CASE("child: output, errors and exit code, also of more than a pipe holds", "[results]") {
-  const auto ran = results::RunToEnd({"/bin/sh", "-c", "yes x | head -c 300000; echo bad >&2; exit 3"});
+  const auto ran = results::RunProcess({"/bin/sh", "-c", "yes x | head -c 300000; echo bad >&2; exit 3"});
   CHECK(ran.exit_code == 3);
   CHECK(ran.out.size() == 300000);
   CHECK(ran.err == "bad\n");
-  CHECK(results::RunToEnd({"/bin/sh", "-c", "kill -9 $$"}).exit_code == -1);
-  CHECK_THROWS_AS(results::RunToEnd({"/no/such/program"}), std::runtime_error);
+  CHECK(results::RunProcess({"/bin/sh", "-c", "kill -9 $$"}).exit_code == -1);
+  CHECK_THROWS_AS(results::RunProcess({"/no/such/program"}), std::runtime_error);
 }
 
 TEST_CASE("search: the highest value that is good, to the tolerance, and none where none is", "[results]") {
   const auto highest = [](double edge) {
     double best = -1;
-    const auto tried = results::Search(1, 5, 0.01, [&](double v) { return v <= edge; });
-    for (const results::Tried& t : tried) {
+    const auto tried = results::SearchHighest(1, 5, 0.01, [&](double v) { return v <= edge; });
+    for (const results::Trial& t : tried) {
       CHECK(t.good == (t.value <= edge));
       if (t.good) best = std::max(best, t.value);
     }
@@ -201,11 +201,11 @@
   Row row = Played("now", "calm", 1, 0.9);
   row.report["figures"] = {{"asked", 1000},    {"delivered", 990}, {"deliver_p99_ms", 3000.0},
                            {"turned_away", 5}, {"unanswered", 3},  {"deferred", 2}};
-  CHECK(results::Within(row, {}));
+  CHECK(results::IsWithin(row, {}));
   const auto with = [&](const char* figure, double value) {
     Row other = row;
     other.report["figures"][figure] = value;
-    return results::Within(other, {});
+    return results::IsWithin(other, {});
   };
   CHECK_FALSE(with("delivered", 989));
   CHECK_FALSE(with("deliver_p99_ms", 3001));
@@ -214,5 +214,5 @@
   CHECK_FALSE(with("deferred", 3));
   CHECK_FALSE(with("asked", 0));
   row.report["breaches"].push_back({{"rule", "lost"}});
-  CHECK_FALSE(results::Within(row, {}));
+  CHECK_FALSE(results::IsWithin(row, {}));
 }
