--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -109,7 +109,7 @@
 // invalid day, with a late load, is printed with the rules that it broke, but the lateness may have caused
 // those: only a crash on such a day counts.
 int RunSoak(const SoakOptions& options) {
-  const auto seeds = results::ReadSeeds(options.seeds);
+  const auto seeds = results::ParseSeeds(options.seeds);
   std::printf("| seed | calls | asked, delivered | breaches | crash | spoilt |\n");
   std::printf("| --- | --- | --- | --- | --- | --- |\n");
   std::mutex mutex;
@@ -121,7 +121,7 @@
       std::vector<std::string> arguments = {options.program,          "soak",    "--one",
                                             std::to_string(seeds[i]), "--relay", options.relay};
       if (!options.keep.empty()) arguments.insert(arguments.end(), {"--keep", options.keep});
-      const results::Ran child = results::RunToEnd(arguments);
+      const results::ProcessResult child = results::RunProcess(arguments);
       const std::lock_guard<std::mutex> guard(mutex);
       if (child.exit_code != 0 && child.exit_code != kExitNotClean) {
         if (error.empty()) error = "seed " + std::to_string(seeds[i]) + ": " + child.err;
@@ -192,14 +192,14 @@
 
 // One run for each scenario, variant and seed.
 std::vector<PlannedRun> PlanRuns(const SweepOptions& options) {
-  const auto seeds = results::ReadSeeds(options.seeds);
-  const auto variants = results::ReadVariants(options.sets);
+  const auto seeds = results::ParseSeeds(options.seeds);
+  const auto variants = results::ExpandVariants(options.sets);
   std::vector<PlannedRun> all;
   for (const std::string& file : options.scenarios) {
     for (const std::string& variant : variants) {
       // All scenarios are read before the first run, so that an error in the last one does not show up only
       // after an hour of runs.
-      const model::Scenario scenario = model::ReadScenario(file, results::SettingsIn(variant));
+      const model::Scenario scenario = model::ReadScenario(file, results::SplitVariant(variant));
       for (const std::uint64_t seed : seeds) {
         all.push_back(
             {{options.label, scenario.name, scenario.version, variant, seed, options.driver}, file});
@@ -224,11 +224,11 @@
   std::vector<std::string> arguments = {options.program,  options.driver,
                                         planned_run.file, "--json",
                                         "--seed",         std::to_string(planned_run.key.seed)};
-  for (const std::string& set : results::SettingsIn(planned_run.key.variant)) {
+  for (const std::string& set : results::SplitVariant(planned_run.key.variant)) {
     arguments.insert(arguments.end(), {"--set", set});
   }
   if (options.driver == "run") arguments.insert(arguments.end(), {"--relay", options.relay});
-  const results::Ran child = results::RunToEnd(arguments);
+  const results::ProcessResult child = results::RunProcess(arguments);
   if (child.exit_code != 0 && child.exit_code != kExitNotClean) {
     throw std::runtime_error(
         planned_run.key.scenario + " seed " + std::to_string(planned_run.key.seed) + ": " +
@@ -240,10 +240,10 @@
 // Runs the planned days that have no stored result yet, several at once.
 int RunSweep(const SweepOptions& options) {
   const std::vector<PlannedRun> all = PlanRuns(options);
-  results::Results stored_results(options.out);
+  results::ResultStore stored_results(options.out);
   std::vector<const PlannedRun*> missing_runs;
   for (const PlannedRun& planned_run : all) {
-    if (!stored_results.Has(planned_run.key)) missing_runs.push_back(&planned_run);
+    if (!stored_results.Contains(planned_run.key)) missing_runs.push_back(&planned_run);
   }
   const std::size_t already_done = all.size() - missing_runs.size();
   std::mutex mutex;
@@ -286,7 +286,7 @@
 int RunSearch(const SweepOptions& options, const std::string& key, double low, double high, double tolerance,
               const results::Bounds& bounds) {
   if (!(low < high)) throw std::runtime_error("search: --from must be below --to");
-  const auto seeds = results::ReadSeeds(options.seeds);
+  const auto seeds = results::ParseSeeds(options.seeds);
   const auto setting = [&](double value) {
     char text[40];
     std::snprintf(text, sizeof text, "%g", value);
@@ -294,10 +294,10 @@
   };
   const std::string& file = options.scenarios.front();
   // Errors in the settings are reported before the first run.
-  const std::string fixed = results::ReadVariants(options.sets).front();
+  const std::string fixed = results::ExpandVariants(options.sets).front();
   const auto variant = [&](double value) { return fixed + (fixed.empty() ? "" : " ") + setting(value); };
-  const model::Scenario scenario = model::ReadScenario(file, results::SettingsIn(variant(low)));
-  model::ReadScenario(file, results::SettingsIn(variant(high)));
+  const model::Scenario scenario = model::ReadScenario(file, results::SplitVariant(variant(low)));
+  model::ReadScenario(file, results::SplitVariant(variant(high)));
   std::printf("%-28s %6s %10s %10s %10s   within\n", "setting", "days", "p99 ms", "refused", "delivered");
   const auto within_bounds = [&](double value) {
     double p99 = 0, refused = 0, delivered = 1;
@@ -311,17 +311,17 @@
                                    row.Number("figures/deferred")) /
                                       asked);
       delivered = std::min(delivered, row.Number("figures/delivered") / asked);
-      all = results::Within(row, bounds) && all;
+      all = results::IsWithin(row, bounds) && all;
     }
     std::printf("%-28s %6zu %10.0f %10.4f %10.4f   %s\n", setting(value).c_str(), seeds.size(), p99, refused,
                 delivered, all ? "yes" : "no");
     std::fflush(stdout);
     return all;
   };
-  const auto tried = results::Search(low, high, tolerance, within_bounds);
+  const auto tried = results::SearchHighest(low, high, tolerance, within_bounds);
   double best = low;
   bool any = false;
-  for (const results::Tried& t : tried) {
+  for (const results::Trial& t : tried) {
     if (t.good) best = std::max(best, t.value), any = true;
   }
   std::printf(any ? "highest within: %s%s\n" : "none within: not even %s%s\n", setting(best).c_str(),
@@ -332,9 +332,9 @@
 // Prints the difference of a figure between two selections of results, paired by day.
 int Compare(const std::string& file, const std::string& a, const std::string& b, const std::string& figure,
             bool json) {
-  const auto rows = results::Results(file).All();
+  const auto rows = results::ResultStore(file).ReadAll();
   const auto table =
-      results::Compare(rows, results::ReadSelector(a), results::ReadSelector(b), "figures/" + figure);
+      results::Compare(rows, results::ParseSelector(a), results::ParseSelector(b), "figures/" + figure);
   if (table.back().pairs == 0) {
     throw std::runtime_error("no day was played cleanly by both '" + a + "' and '" + b + "' with a " +
                              figure);
@@ -359,18 +359,18 @@
 
 // Writes the stored results as an HTML page with charts.
 int Report(const std::string& file, const std::string& out, const std::string& svg_folder) {
-  const auto rows = results::Results(file).All();
+  const auto rows = results::ResultStore(file).ReadAll();
   if (rows.empty()) throw std::runtime_error(file + ": holds no results");
-  const auto charts = results::ChartsOf(rows);
+  const auto charts = results::MakeCharts(rows);
   std::vector<std::string> svg;
   for (const results::Chart& chart : charts) {
-    svg.push_back(results::Draw(chart));
+    svg.push_back(results::RenderSvg(chart));
     if (svg_folder.empty()) continue;
     std::filesystem::create_directories(svg_folder);
     std::ofstream(svg_folder + "/" + chart.name + ".svg") << svg.back();
   }
   std::ofstream page(out);
-  page << results::Page(rows, charts, svg);
+  page << results::FormatPage(rows, charts, svg);
   page.close();
   if (!page) throw std::runtime_error(out + ": can't be written");
   std::printf("%s: %zu days, %zu charts\n", out.c_str(), rows.size(), charts.size());
@@ -445,9 +445,10 @@
   search->add_option("--from", low, "good, one hopes (0.1)");
   search->add_option("--to", high, "not good, one hopes (3)");
   search->add_option("--tolerance", tolerance, "of the answer (0.02)")->check(CLI::Range(0.0001, 1.0));
-  search->add_option("--p99-ms", bounds.deliver_p99_ms, "of delivery, from when due, at most (3000)");
-  search->add_option("--refused", bounds.refused, "turned away, given back or unanswered, a message (0.01)");
-  search->add_option("--delivered", bounds.delivered, "share of the messages, at least (0.99)");
+  search->add_option("--p99-ms", bounds.max_deliver_p99_ms, "of delivery, from when due, at most (3000)");
+  search->add_option("--refused", bounds.max_refused_share,
+                     "turned away, given back or unanswered, a message (0.01)");
+  search->add_option("--delivered", bounds.min_delivered_share, "share of the messages, at least (0.99)");
   search->add_option("--seeds", sweep_options.seeds, "all of which must be within (1-5)");
   search->add_option("--set", sweep_options.sets, "KEY=VALUE laid over the scenario");
   search->add_option("--driver", sweep_options.driver, "sim or run (sim)")
@@ -486,7 +487,7 @@
     }
     if (compare->parsed()) return Compare(file, a, b, figure, json);
     if (report->parsed()) return Report(file, out, svg_folder);
-    std::cout << results::ToCsv(results::Results(file).All());
+    std::cout << results::ToCsv(results::ResultStore(file).ReadAll());
     return 0;
   } catch (const std::exception& e) {
     std::cerr << "oxbowlab: " << e.what() << "\n";
--- a/tests/lab/program_test.cpp
+++ b/tests/lab/program_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-using oxbowspread::results::Ran;
-using oxbowspread::results::RunToEnd;
+using oxbowspread::results::ProcessResult;
+using oxbowspread::results::RunProcess;
 using Json = nlohmann::json;
 
 // A folder that is removed at the end of the test.
@@ -34,9 +34,9 @@
   std::filesystem::path path_;
 };
 
-Ran RunLab(std::vector<std::string> arguments) {
+ProcessResult RunLab(std::vector<std::string> arguments) {
   arguments.insert(arguments.begin(), OXBOWLAB);
-  return RunToEnd(arguments);
+  return RunProcess(arguments);
 }
 
 std::string ReadFile(const std::string& path) {
@@ -56,7 +56,7 @@
 TEST_CASE("oxbowlab run: a day on sockets keeps every rule and delivers what the simulation does", "[lab]") {
   TemporaryFolder folder;
   const std::string file = folder.Write("day.yaml", kScenario);
-  const Ran run =
+  const ProcessResult run =
       RunLab({"run", file, "--seed", "2", "--json", "--relay", OXBOWSPREAD, "--trace", folder / "trace"});
   INFO(run.out << run.err);
   REQUIRE((run.exit_code == 0 || run.exit_code == 1));
@@ -75,7 +75,7 @@
   CHECK(trace.find("\"kind\":\"terminated\"") != std::string::npos);
   // A check of the stored trace finds the same, and reports a trace that is cut short.
   CHECK(RunLab({"check", folder / "trace", "--scenario", file}).exit_code == 0);
-  const Ran truncated = RunLab({"check", folder.Write("cut", trace.substr(0, trace.size() / 2))});
+  const ProcessResult truncated = RunLab({"check", folder.Write("cut", trace.substr(0, trace.size() / 2))});
   CHECK(truncated.exit_code == 1);
   CHECK(truncated.out.find("cut short with ") != std::string::npos);
 }
@@ -88,7 +88,7 @@
                                         "relays_stopped: {at: 2s, for: 1500ms, share: 0.34}\n"
                                         "  - relays_killed: {at: 4500ms, for: 1s, share: 0.34}\n  - "
                                         "relays_stopped: {at: 6s, for: 1s, share: 0.34}\n");
-  const Ran run =
+  const ProcessResult run =
       RunLab({"run", file, "--seed", "3", "--json", "--relay", OXBOWSPREAD, "--trace", folder / "trace"});
   INFO(run.out << run.err);
   const Json played = Json::parse(run.out),
@@ -106,18 +106,18 @@
 TEST_CASE("oxbowlab run: a relay that can't start, or exits by itself, is reported and not scored", "[lab]") {
   TemporaryFolder folder;
   const std::string file = folder.Write("day.yaml", "length: 2s\npartners: {count: 3}\n");
-  const Ran missing = RunLab({"run", file, "--relay", folder / "no-such-program"});
+  const ProcessResult missing = RunLab({"run", file, "--relay", folder / "no-such-program"});
   CHECK(missing.exit_code == 2);
   CHECK(missing.err.find("no-such-program") != std::string::npos);
   const std::string failing_program = folder.Write("dies", "#!/bin/sh\nexit 7\n");
   std::filesystem::permissions(failing_program, std::filesystem::perms::owner_all);
-  const Ran failed = RunLab({"run", file, "--json", "--relay", failing_program});
+  const ProcessResult failed = RunLab({"run", file, "--json", "--relay", failing_program});
   CHECK(failed.exit_code == 1);
   CHECK(Json::parse(failed.out)["crash"].get<std::string>().find("exited with 7") != std::string::npos);
 }
 
 TEST_CASE("oxbowlab soak: days with faults drawn from seeds keep every rule", "[lab]") {
-  const Ran run =
+  const ProcessResult run =
       RunLab({"soak", "--seeds", "1,3,65,80,8100022,8100033", "--jobs", "2", "--relay", OXBOWSPREAD});
   INFO(run.out << run.err);
   CHECK(run.exit_code == 0);
@@ -147,7 +147,7 @@
       {"report", folder / "none", "--out", folder / "page"},
   };
   for (const auto& arguments : cases) {
-    const Ran ran = RunLab(arguments);
+    const ProcessResult ran = RunLab(arguments);
     INFO(Json(arguments).dump() << " " << ran.err);
     CHECK(ran.exit_code == 2);
     CHECK(std::count(ran.err.begin(), ran.err.end(), '\n') == 1);
@@ -173,7 +173,7 @@
   REQUIRE(table.size() == 2);
   CHECK(table[1]["pairs"] == 3);
   CHECK(table[1]["low"].get<double>() > 0);  // three times the load gives more messages on every day
-  const Ran report = RunLab({"report", folder / "results", "--out", folder / "page.html"});
+  const ProcessResult report = RunLab({"report", folder / "results", "--out", folder / "page.html"});
   CHECK(report.exit_code == 0);
   CHECK(ReadFile(folder / "page.html").find("<svg") != std::string::npos);
 }
@@ -182,8 +182,9 @@
   TemporaryFolder folder;
   const std::string file =
       folder.Write("day.yaml", "length: 10s\npartners: {count: 6}\ntraffic: {shape: steady, clumps: 0}\n");
-  const Ran ran = RunLab({"search", file, "--seeds", "1", "--from", "0.1", "--to", "6", "--tolerance", "0.2",
-                          "--refused", "0.05", "--p99-ms", "8000", "--delivered", "0.95"});
+  const ProcessResult ran =
+      RunLab({"search", file, "--seeds", "1", "--from", "0.1", "--to", "6", "--tolerance", "0.2", "--refused",
+              "0.05", "--p99-ms", "8000", "--delivered", "0.95"});
   INFO(ran.out << ran.err);
   CHECK(ran.exit_code == 0);
   CHECK(ran.out.find("traffic.load=0.1 ") != std::string::npos);
--- a/tests/lab/results_test.cpp
+++ b/tests/lab/results_test.cpp
@@ -54,16 +54,16 @@
 }  // namespace
 
 TEST_CASE("sweep: parses seeds and variants", "[results]") {
-  CHECK(results::ReadSeeds("1-3,9") == std::vector<std::uint64_t>{1, 2, 3, 9});
+  CHECK(results::ParseSeeds("1-3,9") == std::vector<std::uint64_t>{1, 2, 3, 9});
   for (const char* bad : {"", "3-1", "a", "1-", "1,,2", "1-99999999999"}) {
-    CHECK_THROWS_AS(results::ReadSeeds(bad), std::runtime_error);
+    CHECK_THROWS_AS(results::ParseSeeds(bad), std::runtime_error);
   }
-  CHECK(results::ReadVariants({}) == std::vector<std::string>{""});
-  CHECK(results::ReadVariants({"a=1,2", "b.c=[3,4],5"}) ==
+  CHECK(results::ExpandVariants({}) == std::vector<std::string>{""});
+  CHECK(results::ExpandVariants({"a=1,2", "b.c=[3,4],5"}) ==
         std::vector<std::string>{"a=1 b.c=[3,4]", "a=1 b.c=5", "a=2 b.c=[3,4]", "a=2 b.c=5"});
-  CHECK(results::SettingsIn("a=1 b.c=[3,4]") == std::vector<std::string>{"a=1", "b.c=[3,4]"});
+  CHECK(results::SplitVariant("a=1 b.c=[3,4]") == std::vector<std::string>{"a=1", "b.c=[3,4]"});
   for (const char* bad : {"a", "=1", "a=", "a=1 2"}) {
-    CHECK_THROWS_AS(results::ReadVariants({bad}), std::runtime_error);
+    CHECK_THROWS_AS(results::ExpandVariants({bad}), std::runtime_error);
   }
 }
 
@@ -71,17 +71,17 @@
   TemporaryFile file;
   const Row row = MakeRow("now", "calm", 18'000'000'000'000'000'000ull, 0.9);
   {
-    results::Results stored(file.path());
-    CHECK_FALSE(stored.Has(row.key));
+    results::ResultStore stored(file.path());
+    CHECK_FALSE(stored.Contains(row.key));
     stored.Put(row);
     stored.Put(MakeRow("now", "calm", 2, 0.8));
   }
-  results::Results stored(file.path());
-  CHECK(stored.Has(row.key));
+  results::ResultStore stored(file.path());
+  CHECK(stored.Contains(row.key));
   Key other = row.key;
-  other.text = "t2";
-  CHECK_FALSE(stored.Has(other));
-  const auto rows = stored.All();
+  other.scenario_version = "t2";
+  CHECK_FALSE(stored.Contains(other));
+  const auto rows = stored.ReadAll();
   REQUIRE(rows.size() == 2);
   CHECK(rows[0].key.seed == 2);
   CHECK(rows[1].key == row.key);
@@ -106,7 +106,7 @@
   rows.push_back(broken);
   rows.push_back(MakeRow("new", "busy", 1, 1));
   const auto table =
-      results::Compare(rows, results::ReadSelector("old"), results::ReadSelector("new"), "figures/service");
+      results::Compare(rows, results::ParseSelector("old"), results::ParseSelector("new"), "figures/service");
   REQUIRE(table.size() == 2);
   CHECK(table[0].scenario == "calm");
   CHECK(table[0].pairs == 20);
@@ -129,7 +129,7 @@
   }
   const auto difference = [&](const char* a, const char* b) {
     const auto table =
-        results::Compare(rows, results::ReadSelector(a), results::ReadSelector(b), "figures/service");
+        results::Compare(rows, results::ParseSelector(a), results::ParseSelector(b), "figures/service");
     return std::pair(table.back().pairs, table.back().mean);
   };
   CHECK(difference("now:@sim", "now:relay.slots=1@sim").first == 3);
@@ -157,40 +157,40 @@
   const std::vector<Row> rows = {MakeRow("now", "calm", 1, 0.9),
                                  MakeRow("now", "calm", 1, 0.8, "relay.slots=1"),
                                  MakeRow("now", "calm", 1, 0.85, "relay.slots=2")};
-  const auto charts = results::ChartsOf(rows);
+  const auto charts = results::MakeCharts(rows);
   std::vector<std::string> names;
   for (const auto& chart : charts) names.push_back(chart.name);
   CHECK(names == std::vector<std::string>{"service", "curve-relay.slots-1", "time-calm", "latency-calm",
                                           "partners-calm"});
   std::vector<std::string> svg;
-  for (const auto& chart : charts) svg.push_back(results::Draw(chart));
+  for (const auto& chart : charts) svg.push_back(results::RenderSvg(chart));
   CHECK(svg[2].find("&lt;1") != std::string::npos);
   CHECK(svg[2].find("<1>") == std::string::npos);
-  const std::string page = results::Page(rows, charts, svg);
+  const std::string page = results::FormatPage(rows, charts, svg);
   std::size_t svg_count = 0;
   for (std::size_t at = page.find("<svg"); at != page.npos; at = page.find("<svg", at + 1)) ++svg_count;
   CHECK(svg_count == charts.size());
   CHECK(page.find("0.850") != std::string::npos);
   CHECK(page.find("http://") == page.find("http://www.w3.org"));  // the page loads nothing else
-  CHECK_THROWS_AS(results::Draw({"t", "n", "plot nonsense(\n"}), std::runtime_error);
+  CHECK_THROWS_AS(results::RenderSvg({"t", "n", "plot nonsense(\n"}), std::runtime_error);
 }
 
 TEST_CASE("child: returns output, errors and exit code, also of output larger than a pipe buffer",
           "[results]") {
-  const auto ran = results::RunToEnd({"/bin/sh", "-c", "yes x | head -c 300000; echo bad >&2; exit 3"});
+  const auto ran = results::RunProcess({"/bin/sh", "-c", "yes x | head -c 300000; echo bad >&2; exit 3"});
   CHECK(ran.exit_code == 3);
   CHECK(ran.out.size() == 300000);
   CHECK(ran.err == "bad\n");
-  CHECK(results::RunToEnd({"/bin/sh", "-c", "kill -9 $$"}).exit_code == -1);
-  CHECK_THROWS_AS(results::RunToEnd({"/no/such/program"}), std::runtime_error);
+  CHECK(results::RunProcess({"/bin/sh", "-c", "kill -9 $$"}).exit_code == -1);
+  CHECK_THROWS_AS(results::RunProcess({"/no/such/program"}), std::runtime_error);
 }
 
 TEST_CASE("search: finds the highest passing value within the tolerance, and none where none passes",
           "[results]") {
   const auto highest = [](double edge) {
     double best = -1;
-    const auto tried = results::Search(1, 5, 0.01, [&](double v) { return v <= edge; });
-    for (const results::Tried& attempt : tried) {
+    const auto tried = results::SearchHighest(1, 5, 0.01, [&](double v) { return v <= edge; });
+    for (const results::Trial& attempt : tried) {
       CHECK(attempt.good == (attempt.value <= edge));
       if (attempt.good) best = std::max(best, attempt.value);
     }
@@ -207,11 +207,11 @@
   Row row = MakeRow("now", "calm", 1, 0.9);
   row.report["figures"] = {{"asked", 1000},    {"delivered", 990}, {"deliver_p99_ms", 3000.0},
                            {"turned_away", 5}, {"unanswered", 3},  {"deferred", 2}};
-  CHECK(results::Within(row, {}));
+  CHECK(results::IsWithin(row, {}));
   const auto within_bounds = [&](const char* figure, double value) {
     Row other = row;
     other.report["figures"][figure] = value;
-    return results::Within(other, {});
+    return results::IsWithin(other, {});
   };
   CHECK_FALSE(within_bounds("delivered", 989));
   CHECK_FALSE(within_bounds("deliver_p99_ms", 3001));
@@ -220,5 +220,5 @@
   CHECK_FALSE(within_bounds("deferred", 3));
   CHECK_FALSE(within_bounds("asked", 0));
   row.report["breaches"].push_back({{"rule", "lost"}});
-  CHECK_FALSE(results::Within(row, {}));
+  CHECK_FALSE(results::IsWithin(row, {}));
 }
