--- a/tests/group/rig.hpp
+++ b/tests/group/rig.hpp
@@ -1,4 +1,5 @@
-// A group as processes: agents and relays of the real programs, with stand-ins for all else in this process.
+// Test rig that runs a whole group: the real agent and relay programs as child processes, with stand-ins for
+// every other service inside the test process.
 #pragma once
 
 #include <sys/types.h>
@@ -22,71 +23,87 @@
 using control::Json;
 using namespace std::chrono_literals;
 
+// Size, load and limits of the group under test.
 struct RigOptions {
   int instances = 5, agents = 3;
-  double rate = 60;
+  double load_rate_per_s = 60;
+  // The "limits" section of the group file, as YAML lines.
   std::string limits =
       "  most_out: 2\n  batch: 2\n  observe_for: 500ms\n  watch_for: 300ms\n  settle_within: 4s\n"
       "  ready_within: 20s\n  belief_age: 1500ms\n  most_deaths: 100\n";
   std::uint64_t seed = 1;
 };
 
+// Owns the group's temporary folder and its agent processes. Members that wait run the event loop meanwhile.
 class GroupRig {
  public:
   explicit GroupRig(const RigOptions& options = {});
-  // Ends every process that was started from its folder, by id.
+  // Kills by process id every agent and relay that runs from the folder, then removes the folder.
   ~GroupRig();
   GroupRig(const GroupRig&) = delete;
   GroupRig& operator=(const GroupRig&) = delete;
 
-  void StartAgent(const std::string& name, std::vector<std::string> more = {});
-  void StartAll();  // and waits until all instances serve and somebody leads
-  void Signal(const std::string& agent, int number);
-  bool AgentRuns(const std::string& name);
-  pid_t agent_pid(const std::string& name) const { return agents_.at(name); }
+  void StartAgent(const std::string& name, std::vector<std::string> extra_arguments = {});
+  // Starts all agents and waits until all instances serve and one agent leads.
+  void StartAll();
+  // Sends the signal to the agent; after SIGKILL and SIGTERM waits for its exit.
+  void SignalAgent(const std::string& agent, int signal_number);
+  bool IsAgentRunning(const std::string& name);
+  pid_t agent_pid(const std::string& name) const { return agent_pids_.at(name); }
 
-  // Runs the loop until it holds; false if it doesn't within the limit.
-  bool Until(const std::function<bool()>& holds, net::Time limit = 30s);
-  void Run(net::Time span);
+  // Runs the loop until the condition holds; returns false if it does not hold within the timeout.
+  bool WaitUntil(const std::function<bool()>& condition, net::Time timeout = 30s);
+  void RunFor(net::Time duration);
 
-  // An agent's answer; nothing if it gives none.
-  std::optional<Json> Ask(const std::string& agent, const Json& request);
-  // Without waiting; the answer, if one comes, is in `answer` while the loop runs.
-  void Send(const std::string& agent, const Json& request, std::optional<Json>* answer);
-  // By whoever leads, found by asking around.
-  Json AskLeader(const Json& request, net::Time limit = 20s);
+  // Sends a request to the agent and waits; returns no value if the agent does not answer within 2 s.
+  std::optional<Json> AskAgent(const std::string& agent, const Json& request);
+  // Sends a request without waiting. The response, if one arrives, is stored in `answer`, which has to
+  // outlive the call, while the loop runs.
+  void SendRequest(const std::string& agent, const Json& request, std::optional<Json>* answer);
+  // Sends the request to the leader, which it finds by asking the agents in turn. Returns an error answer if
+  // no leader answers within the timeout.
+  Json AskLeader(const Json& request, net::Time timeout = 20s);
+  // Name of the agent that leads; empty if none does.
   std::string Leader();
-  // Under a name of its own: one that is asked twice, its answer lost, is begun once.
-  Json Begin(const std::string& kind, std::vector<std::string> instances = {});
-  Json Apply(const std::map<std::string, Json>& configs);  // the others as they are on disk
-  Json Change() { return AskLeader({{"op", "change"}}); }
+  // Starts a change of all instances, or of those that are given. Each call has its own request id, so that a
+  // request that is repeated after a lost answer starts the change only once.
+  Json StartChange(const std::string& kind, std::vector<std::string> instances = {});
+  // Starts a reconfiguration with these configurations; the other instances get theirs as it is on disk.
+  Json StartReconfiguration(const std::map<std::string, Json>& configs);
+  Json GetChange() { return AskLeader({{"op", "change"}}); }
+  // State of the latest change; empty if there is none.
   std::string ChangeState();
-  bool UntilOver(net::Time limit = 60s);
-  // instance -> what its agent says of it; nothing of one that is unknown.
+  // Waits until the latest change is in a final state; returns false on timeout.
+  bool WaitUntilFinished(net::Time timeout = 60s);
+  // Belief of each instance as its agent reports it; an instance whose state is unknown has no entry.
   std::map<std::string, Json> Beliefs();
-  bool AllServe();
+  bool AllServing();
 
-  // Relay processes of this group that are alive, by instance; more than one id is a second copy.
-  std::map<std::string, std::vector<pid_t>> Relays() const;
+  // Ids of the group's live relay processes by instance; more than one id means a second copy.
+  std::map<std::string, std::vector<pid_t>> RelayProcesses() const;
+  // Id of the instance's first relay process; 0 if none runs.
   pid_t RelayPid(const std::string& instance) const;
-  // Why it is in no known state: agents, processes, locks and control sockets disagree. Empty if all agree.
-  std::string Disagreement();
+  // First inconsistency between agents, relay processes, folder locks and control sockets; empty if all
+  // agree.
+  std::string FindInconsistency();
+  // The instance's configuration on disk.
   Json ConfigOf(const std::string& instance) const;
-  // Stops the load and waits until nothing is owed; gives the sums.
-  standin::Totals Settle(net::Time limit = 25s);
+  // Stops the load, waits until no message is pending or the timeout has passed, and returns the totals.
+  standin::Totals StopLoadAndWait(net::Time timeout = 25s);
   std::string AgentLog(const std::string& name) const;
-  int Ctl(const std::vector<std::string>& words, std::string* output);
+  // Runs oxbowctl and returns its exit code, -1 if a signal ended it; `output` gets its output and errors.
+  int RunOxbowctl(const std::vector<std::string>& arguments, std::string* output);
 
   standin::Site site;
   std::string folder;
   net::Loop loop;
-  standin::MessageTracker ledger;
+  standin::MessageTracker tracker;
   std::unique_ptr<standin::StubPlatform> platform;
   std::unique_ptr<standin::LoadGenerator> load;
 
  private:
-  std::map<std::string, pid_t> agents_;
-  int requests_ = 0;
+  std::map<std::string, pid_t> agent_pids_;
+  int request_count_ = 0;
   std::optional<tls::Identity> identity_;
   std::map<std::string, std::unique_ptr<control::Caller>> callers_;
 };
