--- a/tests/group/engine_test.cpp
+++ b/tests/group/engine_test.cpp
@@ -355,7 +355,7 @@
   CHECK(model.record->reason.find("limits.sockets") != std::string::npos);
 }
 
-TEST_CASE("pause starts no further instance and resume continues and abort finishes the started instances") {
+TEST_CASE("pause changes no further instance and resume continues and abort finishes the started instances") {
   GroupModel model(4, ShortLimits());
   model.Tick({StartChange{model.MakeSpec(Kind::kRestart)}});
   while (model.engine->record()->progress[0].stage != Stage::kPausing) model.Tick();
@@ -398,7 +398,7 @@
 }
 
 TEST_CASE(
-    "freeze hours start no instance also past midnight and a clock jump leaves started instances alone") {
+    "a freeze takes no instance out also past midnight and a clock jump leaves started instances alone") {
   Limits limits = ShortLimits();
   limits.freezes = {{1u << 6, 22 * 60, 6 * 60, "sat 22:00 to 06:00"}};
   GroupModel model(2, limits);
@@ -415,8 +415,8 @@
   CHECK(model.orders.empty());
   model.minute = 6 * 60;
   while (model.engine->record()->progress[0].stage != Stage::kPausing) model.Tick();
-  model.weekday =
-      6;  // the clock jumps back into the freeze: the started instance finishes, no other one starts
+  // The clock jumps back into the freeze: the started instance finishes and no other instance is taken out.
+  model.weekday = 6;
   model.minute = 23 * 60;
   for (int i = 0; i < 100; ++i) model.Tick();
   CHECK(model.stage_count(Stage::kDone) == 1);
--- a/tests/group/keeper_test.cpp
+++ b/tests/group/keeper_test.cpp
@@ -1,4 +1,4 @@
-// The keeper of one relay against a model of a process, on a virtual clock.
+// Tests of the supervisor of one relay against a model of the relay's process, on a virtual clock.
 #include "supervise/keeper.hpp"
 
 #include <signal.h>
@@ -14,278 +14,282 @@
 using change::DesiredPhase;
 using Phase = Belief::Phase;
 
-// The process, its folder's lock, and the answers of its control socket.
-class Host {
+// Model of the relay process, the lock of its state folder and the answers of its control socket. Executes
+// the supervisor's actions and feeds the results back as events.
+class RelayModel {
  public:
-  explicit Host(Desired desired = {DesiredPhase::kServing, "v1@first", false}) : keeper(std::move(desired)) {}
+  explicit RelayModel(Desired desired = {DesiredPhase::kServing, "v1@first", false})
+      : supervisor(std::move(desired)) {}
 
-  void Run(Time span) {
-    for (const Time until = now + span; now < until;) {
+  void Run(Time duration) {
+    for (const Time end = now + duration; now < end;) {
       now += 10ms;
       std::vector<Event> events = std::exchange(pending, {});
       if (pid != 0 && phase == Phase::kStarting && now >= ready_at) phase = Phase::kServing;
-      if (pid != 0 && phase == Phase::kEnding && now >= end_at) End(0);
+      if (pid != 0 && phase == Phase::kEnding && now >= exits_at) Exit(0);
       Step(events);
     }
   }
   void Step(const std::vector<Event>& events) {
-    for (const Action& action : keeper.Step(now, events)) Do(action);
+    for (const Action& action : supervisor.Step(now, events)) Execute(action);
   }
-  void Do(const Action& action) {
+  void Execute(const Action& action) {
     if (std::holds_alternative<FindProcess>(action)) {
       if (pid != 0) pending.push_back(ProcessFound{pid});
-      if (pid == 0 && !unclear) pending.push_back(NoProcessFound{});
+      if (pid == 0 && !search_inconclusive) pending.push_back(NoProcessFound{});
     } else if (const auto* spawn = std::get_if<Spawn>(&action)) {
-      ++spawns;
-      spawned_at.push_back(now);
+      ++spawn_count;
+      spawn_times.push_back(now);
       if (spawn_fails) {
         pending.push_back(SpawnFailed{"no such file"});
         return;
       }
-      CHECK(pid == 0);  // never a second copy
-      pid = ++pids;
+      CHECK(pid == 0);  // a second copy must never be started
+      pid = ++last_pid;
       stamp = spawn->stamp;
       phase = Phase::kStarting;
       ready_at = now + 200ms;
       pending.push_back(Spawned{pid});
-      if (ends_at_once) End(*ends_at_once);
+      if (immediate_exit_code) Exit(*immediate_exit_code);
     } else if (std::holds_alternative<QueryStatus>(action)) {
-      if (pid == 0 || silent) {
+      if (pid == 0 || unresponsive) {
         pending.push_back(StatusUnavailable{});
       } else {
         pending.push_back(Status{phase, false, stamp, pid, 0, {}});
       }
-    } else if (const auto* ask = std::get_if<SendCommand>(&action)) {
-      asked.push_back(ask->op);
-      if (ask->op == "drain") phase = Phase::kPaused;
-      if (ask->op == "resume") phase = Phase::kServing;
-      if (ask->op == "reload") {
-        if (reload_fault.empty()) stamp = ask->stamp;
-        pending.push_back(ReloadAnswered{ask->stamp, reload_fault});
+    } else if (const auto* command = std::get_if<SendCommand>(&action)) {
+      commands.push_back(command->op);
+      if (command->op == "drain") phase = Phase::kPaused;
+      if (command->op == "resume") phase = Phase::kServing;
+      if (command->op == "reload") {
+        if (reload_fault.empty()) stamp = command->stamp;
+        pending.push_back(ReloadAnswered{command->stamp, reload_fault});
       }
     } else if (const auto* signal = std::get_if<SendSignal>(&action)) {
       signals.push_back(signal->signal_number);
-      if (signal->signal_number == SIGTERM && !deaf) {
+      if (signal->signal_number == SIGTERM && !ignores_sigterm) {
         phase = Phase::kEnding;
-        end_at = now + 300ms;
+        exits_at = now + 300ms;
       }
-      if (signal->signal_number == SIGKILL) End(-SIGKILL);
+      if (signal->signal_number == SIGKILL) Exit(-SIGKILL);
     }
   }
-  void End(int code) {
+  void Exit(int exit_code) {
     pid = 0;
-    pending.push_back(ProcessExited{code});
+    pending.push_back(ProcessExited{exit_code});
   }
-  Phase told() const {
-    const auto b = keeper.CurrentBelief("n1", now);
-    return b ? b->phase : Phase::kDown;
+  Phase reported_phase() const {
+    const auto belief = supervisor.CurrentBelief("n1", now);
+    return belief ? belief->phase : Phase::kDown;
   }
 
-  Supervisor keeper;
+  Supervisor supervisor;
   Time now{1'000'000'000};
   std::vector<Event> pending;
-  std::int64_t pid = 0, pids = 100;
+  std::int64_t pid = 0, last_pid = 100;
   std::string stamp, reload_fault;
   Phase phase = Phase::kDown;
-  Time ready_at{0}, end_at{0};
-  int spawns = 0;
-  std::vector<Time> spawned_at;
-  std::vector<std::string> asked;
+  Time ready_at{0}, exits_at{0};
+  int spawn_count = 0;
+  std::vector<Time> spawn_times;
+  std::vector<std::string> commands;
   std::vector<int> signals;
-  bool spawn_fails = false, silent = false, deaf = false, unclear = false;
-  std::optional<int> ends_at_once;
+  bool spawn_fails = false, unresponsive = false, ignores_sigterm = false, search_inconclusive = false;
+  std::optional<int> immediate_exit_code;
 };
 
-TEST_CASE("nobody runs: it is started once and told as serving") {
-  Host h;
-  h.Run(2s);
-  CHECK(h.spawns == 1);
-  CHECK(h.told() == Phase::kServing);
-  CHECK(h.keeper.CurrentBelief("n1", h.now)->stamp == "v1@first");
+TEST_CASE("a relay that does not run is started once and reported as serving") {
+  RelayModel model;
+  model.Run(2s);
+  CHECK(model.spawn_count == 1);
+  CHECK(model.reported_phase() == Phase::kServing);
+  CHECK(model.supervisor.CurrentBelief("n1", model.now)->stamp == "v1@first");
 }
 
-TEST_CASE("one that runs already is adopted, not started and not restarted") {
-  Host h;
-  h.pid = 77;
-  h.phase = Phase::kServing;
-  h.stamp = "v1@first";
-  h.Run(2s);
-  CHECK(h.spawns == 0);
-  CHECK(h.signals.empty());
-  CHECK(h.keeper.pid() == 77);
-  CHECK(h.told() == Phase::kServing);
+TEST_CASE("a relay that already runs is adopted and neither started nor restarted") {
+  RelayModel model;
+  model.pid = 77;
+  model.phase = Phase::kServing;
+  model.stamp = "v1@first";
+  model.Run(2s);
+  CHECK(model.spawn_count == 0);
+  CHECK(model.signals.empty());
+  CHECK(model.supervisor.pid() == 77);
+  CHECK(model.reported_phase() == Phase::kServing);
 }
 
-TEST_CASE("while it can't be told who runs, nothing is started and nothing is claimed") {
-  Host h;
-  h.unclear = true;
-  h.Run(20s);
-  CHECK(h.spawns == 0);
-  CHECK_FALSE(h.keeper.CurrentBelief("n1", h.now).has_value());
-  h.unclear = false;
-  h.Run(2s);
-  CHECK(h.spawns == 1);
+TEST_CASE("while a search finds no clear result nothing is started and no belief is reported") {
+  RelayModel model;
+  model.search_inconclusive = true;
+  model.Run(20s);
+  CHECK(model.spawn_count == 0);
+  CHECK_FALSE(model.supervisor.CurrentBelief("n1", model.now).has_value());
+  model.search_inconclusive = false;
+  model.Run(2s);
+  CHECK(model.spawn_count == 1);
 }
 
-TEST_CASE("one that dies is started at once, and again and again only with growing rests") {
-  Host h;
-  h.Run(1s);
-  h.End(-SIGKILL);
-  h.Run(500ms);
-  CHECK(h.spawns == 2);
-  CHECK(h.told() == Phase::kServing);
-  CHECK(h.keeper.unexpected_exits() == 1);
+TEST_CASE("a relay that exits is restarted at once and repeated exits delay the restart longer and longer") {
+  RelayModel model;
+  model.Run(1s);
+  model.Exit(-SIGKILL);
+  model.Run(500ms);
+  CHECK(model.spawn_count == 2);
+  CHECK(model.reported_phase() == Phase::kServing);
+  CHECK(model.supervisor.unexpected_exits() == 1);
   for (int i = 0; i < 5; ++i) {
-    h.End(-SIGKILL);
-    h.Run(5s);
+    model.Exit(-SIGKILL);
+    model.Run(5s);
   }
-  const int before = h.spawns;
-  CHECK(h.keeper.CurrentBelief("n1", h.now)->fault.find("died 6 times in a minute") == 0);
-  h.Run(20s);
-  CHECK(h.spawns == before);  // a crash loop rests for 30 s
-  h.Run(15s);
-  CHECK(h.spawns == before + 1);
+  const int spawns_before = model.spawn_count;
+  CHECK(model.supervisor.CurrentBelief("n1", model.now)->fault.find("died 6 times in a minute") == 0);
+  model.Run(20s);
+  CHECK(model.spawn_count == spawns_before);  // in a crash loop the delay is 30 s
+  model.Run(15s);
+  CHECK(model.spawn_count == spawns_before + 1);
 }
 
-TEST_CASE("one that never comes up is a fault that names the order and how it ended") {
-  Host h;
-  h.ends_at_once = 1;
-  h.Run(2s);
-  const auto b = h.keeper.CurrentBelief("n1", h.now);
-  REQUIRE(b);
-  CHECK(b->fault == "does not come up: it ended with code 1");
-  CHECK(b->fault_stamp == "v1@first");
-  CHECK(h.spawns >= 3);
-  CHECK(h.spawns <= 6);
-  // Another order makes a fresh start of it at once.
-  h.ends_at_once.reset();
-  h.Step({DesiredChanged{{DesiredPhase::kServing, "v0@c1.1u", false}}});
-  h.Run(1s);
-  CHECK(h.told() == Phase::kServing);
-  CHECK(h.keeper.CurrentBelief("n1", h.now)->fault.empty());
+TEST_CASE("a relay that never starts up is reported as a fault with the order and the exit code") {
+  RelayModel model;
+  model.immediate_exit_code = 1;
+  model.Run(2s);
+  const auto belief = model.supervisor.CurrentBelief("n1", model.now);
+  REQUIRE(belief);
+  CHECK(belief->fault == "does not come up: it ended with code 1");
+  CHECK(belief->fault_stamp == "v1@first");
+  CHECK(model.spawn_count >= 3);
+  CHECK(model.spawn_count <= 6);
+  // Another order clears the fault and starts the relay at once.
+  model.immediate_exit_code.reset();
+  model.Step({DesiredChanged{{DesiredPhase::kServing, "v0@c1.1u", false}}});
+  model.Run(1s);
+  CHECK(model.reported_phase() == Phase::kServing);
+  CHECK(model.supervisor.CurrentBelief("n1", model.now)->fault.empty());
 }
 
-TEST_CASE("a copy that finds the folder locked leads to a look, not to a count of deaths") {
-  Host h;
-  h.ends_at_once = kFolderLocked;
-  h.Run(150ms);
-  CHECK(h.keeper.unexpected_exits() == 0);
-  h.ends_at_once.reset();
-  h.pid = 55;
-  h.phase = Phase::kServing;
-  h.stamp = "v1@first";
-  h.Run(1s);
-  CHECK(h.keeper.pid() == 55);
+TEST_CASE("a process that finds the folder locked leads to a new search and is not counted as a crash") {
+  RelayModel model;
+  model.immediate_exit_code = kFolderLocked;
+  model.Run(150ms);
+  CHECK(model.supervisor.unexpected_exits() == 0);
+  model.immediate_exit_code.reset();
+  model.pid = 55;
+  model.phase = Phase::kServing;
+  model.stamp = "v1@first";
+  model.Run(1s);
+  CHECK(model.supervisor.pid() == 55);
 }
 
-TEST_CASE("another stamp restarts it by SIGTERM, and by SIGKILL only where that is not heeded") {
-  Host h;
-  h.Run(1s);
-  h.Step({DesiredChanged{{DesiredPhase::kServing, "v2@c1.1", false}}});
-  h.Run(2s);
-  CHECK(h.signals == std::vector<int>{SIGTERM});
-  CHECK(h.stamp == "v2@c1.1");
-  CHECK(h.keeper.unexpected_exits() == 0);
-  h.deaf = true;
-  h.Step({DesiredChanged{{DesiredPhase::kServing, "v3@c2.1", false}}});
-  h.Run(4s);
-  CHECK(h.signals.size() == 2);
-  h.Run(3s);
-  CHECK(h.signals.back() == SIGKILL);
-  CHECK(h.stamp == "v3@c2.1");
+TEST_CASE("a new stamp restarts the relay by SIGTERM and by SIGKILL only if SIGTERM is ignored") {
+  RelayModel model;
+  model.Run(1s);
+  model.Step({DesiredChanged{{DesiredPhase::kServing, "v2@c1.1", false}}});
+  model.Run(2s);
+  CHECK(model.signals == std::vector<int>{SIGTERM});
+  CHECK(model.stamp == "v2@c1.1");
+  CHECK(model.supervisor.unexpected_exits() == 0);
+  model.ignores_sigterm = true;
+  model.Step({DesiredChanged{{DesiredPhase::kServing, "v3@c2.1", false}}});
+  model.Run(4s);
+  CHECK(model.signals.size() == 2);
+  model.Run(3s);
+  CHECK(model.signals.back() == SIGKILL);
+  CHECK(model.stamp == "v3@c2.1");
 }
 
-TEST_CASE("a reload keeps the process: one that is refused is a fault and restarts nothing") {
-  Host h;
-  h.Run(1s);
-  const auto pid = h.pid;
-  h.Step({DesiredChanged{{DesiredPhase::kServing, "v2@c1.1", true}}});
-  h.Run(1s);
-  CHECK(h.pid == pid);
-  CHECK(h.stamp == "v2@c1.1");
-  h.reload_fault = "limits.sockets: must be at least 48";
-  h.Step({DesiredChanged{{DesiredPhase::kServing, "v3@c2.1", true}}});
-  h.Run(3s);
-  CHECK(h.pid == pid);
-  CHECK(h.keeper.CurrentBelief("n1", h.now)->fault ==
+TEST_CASE("a reload keeps the process and a rejected reload is a fault without a restart") {
+  RelayModel model;
+  model.Run(1s);
+  const auto pid = model.pid;
+  model.Step({DesiredChanged{{DesiredPhase::kServing, "v2@c1.1", true}}});
+  model.Run(1s);
+  CHECK(model.pid == pid);
+  CHECK(model.stamp == "v2@c1.1");
+  model.reload_fault = "limits.sockets: must be at least 48";
+  model.Step({DesiredChanged{{DesiredPhase::kServing, "v3@c2.1", true}}});
+  model.Run(3s);
+  CHECK(model.pid == pid);
+  CHECK(model.supervisor.CurrentBelief("n1", model.now)->fault ==
         "refused the configuration: limits.sockets: must be at least 48");
-  CHECK(std::count(h.asked.begin(), h.asked.end(), "reload") == 2);
+  CHECK(std::count(model.commands.begin(), model.commands.end(), "reload") == 2);
 }
 
-TEST_CASE("paused stays paused over a death, and resume serves") {
-  Host h({DesiredPhase::kPaused, "v1@first", false});
-  h.Run(1s);
-  CHECK(h.told() == Phase::kPaused);
-  h.End(-SIGKILL);
-  h.Run(2s);
-  CHECK(h.told() == Phase::kPaused);
-  h.Step({DesiredChanged{{DesiredPhase::kServing, "v1@first", false}}});
-  h.Run(1s);
-  CHECK(h.told() == Phase::kServing);
+TEST_CASE("a paused relay is paused again after a crash and serves after resume") {
+  RelayModel model({DesiredPhase::kPaused, "v1@first", false});
+  model.Run(1s);
+  CHECK(model.reported_phase() == Phase::kPaused);
+  model.Exit(-SIGKILL);
+  model.Run(2s);
+  CHECK(model.reported_phase() == Phase::kPaused);
+  model.Step({DesiredChanged{{DesiredPhase::kServing, "v1@first", false}}});
+  model.Run(1s);
+  CHECK(model.reported_phase() == Phase::kServing);
 }
 
-TEST_CASE("one that falls silent while it serves is unknown, and neither restarted nor ended") {
-  Host h;
-  h.Run(1s);
-  h.silent = true;
-  h.Run(30s);
-  CHECK_FALSE(h.keeper.CurrentBelief("n1", h.now).has_value());
-  CHECK(h.spawns == 1);
-  CHECK(h.signals.empty());
+TEST_CASE("a serving relay that stops answering is unknown and neither restarted nor killed") {
+  RelayModel model;
+  model.Run(1s);
+  model.unresponsive = true;
+  model.Run(30s);
+  CHECK_FALSE(model.supervisor.CurrentBelief("n1", model.now).has_value());
+  CHECK(model.spawn_count == 1);
+  CHECK(model.signals.empty());
 }
 
-TEST_CASE("one that says nothing after its start is ended and started anew") {
-  Host h;
-  h.silent = true;
-  h.Run(11s);
-  CHECK(h.signals == std::vector<int>{SIGKILL});
-  h.silent = false;
-  h.Run(2s);
-  CHECK(h.told() == Phase::kServing);
+TEST_CASE("a relay that does not answer after its start is killed and started again") {
+  RelayModel model;
+  model.unresponsive = true;
+  model.Run(11s);
+  CHECK(model.signals == std::vector<int>{SIGKILL});
+  model.unresponsive = false;
+  model.Run(2s);
+  CHECK(model.reported_phase() == Phase::kServing);
 }
 
-TEST_CASE("a program that can't be started is a fault, tried again at rest") {
-  Host h;
-  h.spawn_fails = true;
-  h.Run(25s);
-  CHECK(h.keeper.CurrentBelief("n1", h.now)->fault == "can't be started: no such file");
-  CHECK(h.spawns == 3);
+TEST_CASE("a program that can't be started is a fault and is retried after a delay") {
+  RelayModel model;
+  model.spawn_fails = true;
+  model.Run(25s);
+  CHECK(model.supervisor.CurrentBelief("n1", model.now)->fault == "can't be started: no such file");
+  CHECK(model.spawn_count == 3);
 }
 
-TEST_CASE("whatever is ordered and whoever dies, it ends where the last order wants it, over many seeds") {
+TEST_CASE("the relay reaches the state of the last order despite crashes and new orders over many seeds") {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     INFO("seed " << seed);
-    std::mt19937 dice(seed);
-    Host h;
-    Desired last = h.keeper.desired();
+    std::mt19937 random(seed);
+    RelayModel model;
+    Desired last_order = model.supervisor.desired();
     for (int i = 0; i < 40; ++i) {
-      h.Run(Time(static_cast<Time::rep>(dice() % 900'000)));
-      switch (dice() % 5) {
+      model.Run(Time(static_cast<Time::rep>(random() % 900'000)));
+      switch (random() % 5) {
         case 0:
-          if (h.pid != 0) h.End(-SIGKILL);
+          if (model.pid != 0) model.Exit(-SIGKILL);
           break;
         case 1:
-          last = {dice() % 2 == 0 ? DesiredPhase::kPaused : DesiredPhase::kServing, last.stamp, last.reload};
-          h.Step({DesiredChanged{last}});
+          last_order = {random() % 2 == 0 ? DesiredPhase::kPaused : DesiredPhase::kServing, last_order.stamp,
+                        last_order.reload};
+          model.Step({DesiredChanged{last_order}});
           break;
         case 2:
-          last = {DesiredPhase::kServing, "v" + std::to_string(i) + "@c" + std::to_string(i) + ".1",
-                  dice() % 2 == 0};
-          h.Step({DesiredChanged{last}});
+          last_order = {DesiredPhase::kServing, "v" + std::to_string(i) + "@c" + std::to_string(i) + ".1",
+                        random() % 2 == 0};
+          model.Step({DesiredChanged{last_order}});
           break;
-        case 3: {  // the agent dies: the next keeper knows what was ordered, and nothing else
-          h.pending.clear();
-          h.keeper = Supervisor(last);
+        case 3: {  // the agent restarts: the new supervisor knows only the last order
+          model.pending.clear();
+          model.supervisor = Supervisor(last_order);
           break;
         }
         default:
           break;
       }
     }
-    h.Run(60s);
-    REQUIRE(h.keeper.CurrentBelief("n1", h.now).has_value());
-    CHECK(h.told() == (last.want == DesiredPhase::kPaused ? Phase::kPaused : Phase::kServing));
-    CHECK(h.stamp == last.stamp);
+    model.Run(60s);
+    REQUIRE(model.supervisor.CurrentBelief("n1", model.now).has_value());
+    CHECK(model.reported_phase() ==
+          (last_order.want == DesiredPhase::kPaused ? Phase::kPaused : Phase::kServing));
+    CHECK(model.stamp == last_order.stamp);
   }
 }
 
