--- a/tests/group/group_process_test.cpp
+++ b/tests/group/group_process_test.cpp
@@ -425,8 +425,8 @@
   const std::string foreign_group_file = rig.folder + "/foreign.yaml";
   std::ofstream(foreign_group_file) << text.replace(text.find("keys: keys"), 10, "keys: otherkeys");
   std::string output;
-  const int code = rig.RunOxbowctl({"--group", foreign_group_file, "restart", "--all"}, &output);
-  CHECK(code != 0);
+  const int exit_code = rig.RunOxbowctl({"--group", foreign_group_file, "restart", "--all"}, &output);
+  CHECK(exit_code != 0);
   const auto local = rig.AskAgent(agent, {{"op", "local"}});
   REQUIRE(local);
   CHECK(local->at("refused_connections").get<int>() > 0);
@@ -444,8 +444,8 @@
   REQUIRE(rig.RunOxbowctl({"keys", "rotate", rig.folder + "/keys", agent}, &output) == 0);
   std::string status_output;
   REQUIRE(rig.WaitUntil([&] {
-    rig.RunOxbowctl({"status", "--json"},
-                    &status_output);  // opens a new connection, for which the agent checks its key files
+    // Opens a new connection, for which the agent checks its key files.
+    rig.RunOxbowctl({"status", "--json"}, &status_output);
     return rig.AskAgent(agent, {{"op", "local"}})->at("certificate") != before.at("certificate");
   }));
   REQUIRE(rig.StartChange("restart", {"n2"}).value("ok", false));
@@ -575,10 +575,10 @@
   rig.StartAll();
   std::string output;
   // Checks the exit code; the output of oxbowctl is shown with a failed check.
-  const auto check_exit_code = [&](const std::vector<std::string>& arguments, int code) {
-    const int response = rig.RunOxbowctl(arguments, &output);
+  const auto check_exit_code = [&](const std::vector<std::string>& arguments, int expected_code) {
+    const int exit_code = rig.RunOxbowctl(arguments, &output);
     INFO("oxbowctl " << arguments.front() << " printed: " << output);
-    CHECK(response == code);
+    CHECK(exit_code == expected_code);
   };
   check_exit_code({"group", "check"}, 0);
   CHECK(output.find("3 agents, 5 instances, can be used") != output.npos);
--- a/tests/group/rig.hpp
+++ b/tests/group/rig.hpp
@@ -43,16 +43,19 @@
   GroupRig(const GroupRig&) = delete;
   GroupRig& operator=(const GroupRig&) = delete;
 
+  // Starts an agent process with the usual arguments and the extra ones; its output goes to NAME.log.
   void StartAgent(const std::string& name, std::vector<std::string> extra_arguments = {});
   // Starts all agents and waits until all instances serve and one agent leads.
   void StartAll();
   // Sends the signal to the agent; after SIGKILL and SIGTERM waits for its exit.
   void SignalAgent(const std::string& agent, int signal_number);
+  // Reaps the agent if it has exited.
   bool IsAgentRunning(const std::string& name);
   pid_t agent_pid(const std::string& name) const { return agent_pids_.at(name); }
 
   // Runs the loop until the condition holds; returns false if it does not hold within the timeout.
   bool WaitUntil(const std::function<bool()>& condition, net::Time timeout = 30s);
+  // Runs the event loop for the duration.
   void RunFor(net::Time duration);
 
   // Sends a request to the agent and waits; returns no value if the agent does not answer within 2 s.
