--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -26,7 +26,7 @@
 constexpr net::Time kGroupFileInterval = 1s;
 // Added to belief_age: the time in which a new leader hears of every instance.
 constexpr net::Time kNewLeaderGrace = 1s;
-constexpr const char* kLeadKey = "lead";
+constexpr const char* kElectionKey = "lead";
 
 std::int64_t UnixMs() { return net::Loop::UnixNow() / 1ms; }
 
@@ -37,7 +37,7 @@
 }
 
 lead::DurableState ReadDurable(store::Store& store) {
-  const auto text = store.Get(kLeadKey);
+  const auto text = store.Get(kElectionKey);
   return text ? lead::DurableStateFromJson(control::Json::parse(*text)) : lead::DurableState();
 }
 
@@ -57,7 +57,7 @@
       group_text_(group::ReadFile(options.group_file)),
       log_(options.name, options.json_log),
       store_(std::make_unique<store::Store>(MakeFolders(options.folder) + "/agent.db", options.max_store_kb)),
-      lead_timer_(loop, [this] { StepLead({}); }),
+      election_timer_(loop, [this] { StepElection({}); }),
       collect_timer_(loop, [this] { CollectStatus(); }),
       group_file_timer_(loop, [this] { CheckGroupFile(); }),
       child_signal_(loop, SIGCHLD, [this] {
@@ -67,7 +67,7 @@
   if (own == nullptr) throw group::Error(group_.path + ": agents: none is named '" + options_.name + "'");
   if (!group_.keys_folder.empty()) identity_.emplace(group_.keys_folder, options_.name);
   std::random_device random;
-  lead_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), random());
+  election_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), random());
   for (const group::Agent& agent : group_.agents) {
     if (agent.name == options_.name) continue;
     const auto address = net::ParseAddress(agent.address);
@@ -98,8 +98,8 @@
   RecordEvent({}, {},
               "agent started, process " + std::to_string(getpid()) + ", " +
                   std::to_string(controllers_.size()) + " instances, epoch " +
-                  std::to_string(lead_->epoch()));
-  lead_timer_.After(net::Time(0));
+                  std::to_string(election_->epoch()));
+  election_timer_.After(net::Time(0));
   collect_timer_.After(kCollectInterval);
   group_file_timer_.After(kGroupFileInterval);
 }
@@ -122,7 +122,7 @@
 }
 
 std::optional<change::Record> Agent::StoredRecord() const {
-  const std::string& value = lead_->durable().accepted.value;
+  const std::string& value = election_->durable().accepted.value;
   if (value.empty()) return std::nullopt;
   return change::RecordFromJson(Json::parse(value));
 }
@@ -222,7 +222,7 @@
   const std::string op = TextOf(request, "op"), from = TextOf(request, "from");
   try {
     if (op == "local") return answer(LocalStatus());
-    if (op == "lead") return answer(HandleLeadMessage(from, request));
+    if (op == "lead") return answer(HandleElectionMessage(from, request));
     if (op == "order") return answer(HandleOrder(from, request));
     if (op == "offer") return answer(HandleOffer(request));
     if (op == "history") return answer(HistoryAnswer(request));
@@ -252,8 +252,8 @@
   Json local = {{"ok", true},
                 {"agent", options_.name},
                 {"unix_ms", UnixMs()},
-                {"epoch", lead_->epoch()},
-                {"leader", lead_->leader(now)},
+                {"epoch", election_->epoch()},
+                {"leader", election_->leader(now)},
                 {"group", group::VersionOfText(group_text_)},
                 {"group_fault", group_fault_},
                 {"refused_connections", refused_connections_},
@@ -267,17 +267,17 @@
   return local;
 }
 
-control::Json Agent::HandleLeadMessage(const std::string& from, const Json& request) {
+control::Json Agent::HandleElectionMessage(const std::string& from, const Json& request) {
   if (callers_.count(from) == 0) return ErrorAnswer("'" + from + "' is no other agent of the group");
   Json reply = ErrorAnswer("not on disk");
-  StepLead({lead::MessageReceived{from, lead::MessageFromJson(request.at("message"))}}, from, &reply);
+  StepElection({lead::MessageReceived{from, lead::MessageFromJson(request.at("message"))}}, from, &reply);
   return reply;
 }
 
 // Accepts orders only from the leader to which this agent promised the epoch. A leader that was cut off and
 // has been replaced is fenced.
 control::Json Agent::HandleOrder(const std::string& from, const Json& request) {
-  const lead::DurableState& durable = lead_->durable();
+  const lead::DurableState& durable = election_->durable();
   const auto epoch = request.at("epoch").get<lead::Epoch>();
   if (epoch != durable.promised_epoch || from != durable.promised_to) {
     ++fenced_orders_;
@@ -352,7 +352,8 @@
 }
 
 control::Json Agent::ChangeAnswer() {
-  Json answer = {{"ok", true}, {"leader", lead_->leader(net::Loop::Now())}, {"epoch", lead_->epoch()}};
+  Json answer = {
+      {"ok", true}, {"leader", election_->leader(net::Loop::Now())}, {"epoch", election_->epoch()}};
   if (engine_) {
     // The engine's own record may be ahead of the committed one, and a next leader may not know it.
     if (!committed_record_) return answer;
@@ -366,7 +367,7 @@
 }
 
 control::Json Agent::NotLeadingAnswer() {
-  const std::string leader = lead_->leader(net::Loop::Now());
+  const std::string leader = election_->leader(net::Loop::Now());
   Json answer = ErrorAnswer(leader.empty() ? "no agent leads just now" : leader + " leads");
   answer["leader"] = leader;
   return answer;
@@ -376,7 +377,7 @@
 
 void Agent::BeginChange(const Json& request, const control::Answer& answer,
                         const std::set<std::string>* unreachable) {
-  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
+  if (!engine_ || !election_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
   const std::string kind = TextOf(request, "kind");
   if (const std::string name = TextOf(request, "request"); !name.empty() && engine_->record()) {
     // The request was accepted before: its sender lost the answer of this leader or of an earlier one.
@@ -491,8 +492,8 @@
 }
 
 void Agent::StartChange(change::Spec spec, const Json& request, const control::Answer& answer) {
-  if (!lead_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
-  spec.id = "c" + std::to_string(lead_->epoch()) + "-" + std::to_string(lead_->proposed_seq() + 1);
+  if (!election_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
+  spec.id = "c" + std::to_string(election_->epoch()) + "-" + std::to_string(election_->proposed_seq() + 1);
   spec.requested_by = TextOf(request, "by");
   spec.request_id = TextOf(request, "request");
   if (const std::string from = TextOf(request, "from"); !from.empty()) spec.requested_by = from;
@@ -521,7 +522,7 @@
 }
 
 void Agent::HandleChangeCommand(const Json& request, const control::Answer& answer) {
-  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
+  if (!engine_ || !election_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
   const std::string command_name = TextOf(request, "word");
   const auto& record = engine_->record();
   if (!record || change::IsFinished(record->state)) return answer(ErrorAnswer("no change is running"));
@@ -541,23 +542,24 @@
 
 // ---- leading ----
 
-void Agent::StepLead(const std::vector<lead::Event>& events, const std::string& sender, Json* reply) {
+void Agent::StepElection(const std::vector<lead::Event>& events, const std::string& sender, Json* reply) {
   using Kind = lead::Message::Kind;
   const net::Time now = net::Loop::Now();
-  const auto actions = lead_->Step(now, events);
-  lead_timer_.At(lead_->wake_at());
+  const auto actions = election_->Step(now, events);
+  election_timer_.At(election_->wake_at());
   for (const lead::Action& action : actions) {
     if (const auto* persist = std::get_if<lead::Persist>(&action)) {
       try {
-        store_->Put(kLeadKey, ToJson(persist->durable).dump());
+        store_->Put(kElectionKey, ToJson(persist->durable).dump());
       } catch (const store::Error& e) {
         log_.Write(warn, {}, {}, e.what());
         // State that is not on disk must not be sent. The election state is reset to what the disk holds; a
         // later candidacy needs a successful write.
         StopLeading();
         std::random_device random;
-        lead_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), random());
-        lead_timer_.After(kCollectInterval);
+        election_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_),
+                          random());
+        election_timer_.After(kCollectInterval);
         return;
       }
     } else if (const auto* send = std::get_if<lead::Send>(&action)) {
@@ -572,7 +574,7 @@
                 [this, to = send->to](const Json* response, const std::string&) {
                   if (response == nullptr || !response->value("ok", false)) return;
                   try {
-                    StepLead({lead::MessageReceived{to, lead::MessageFromJson(response->at("message"))}});
+                    StepElection({lead::MessageReceived{to, lead::MessageFromJson(response->at("message"))}});
                   } catch (const Json::exception& e) {
                     log_.Write(warn, {}, {}, to + " sent an answer that can't be read: " + e.what());
                   }
@@ -632,11 +634,11 @@
 void Agent::ProcessQueue() {
   while (!queue_.empty()) {
     if (const auto* first = std::get_if<change::Action>(&queue_.front().content)) {
-      if (const auto* keep = std::get_if<change::PersistRecord>(first)) {
+      if (const auto* persist_record = std::get_if<change::PersistRecord>(first)) {
         if (queue_.front().seq != 0) return;  // proposed and not committed yet
-        queue_.front().seq = lead_->proposed_seq() + 1;
-        StepLead({lead::Propose{ToJson(keep->record).dump()}});
-        return;  // StepLead has called ProcessQueue if the record is committed already
+        queue_.front().seq = election_->proposed_seq() + 1;
+        StepElection({lead::Propose{ToJson(persist_record->record).dump()}});
+        return;  // StepElection has called ProcessQueue if the record is committed already
       }
     }
     // Removed from the queue first, because carrying it out may call this function again.
@@ -649,16 +651,16 @@
     const change::Action& action = std::get<change::Action>(head.content);
     if (const auto* order = std::get_if<change::Order>(&action)) {
       SendOrder(*order);
-    } else if (const auto* tell = std::get_if<change::AddHistory>(&action)) {
-      RecordEvent(engine_ && engine_->record() ? engine_->record()->spec.id : "", tell->instance, tell->text,
-                  tell->step);
+    } else if (const auto* history_entry = std::get_if<change::AddHistory>(&action)) {
+      RecordEvent(engine_ && engine_->record() ? engine_->record()->spec.id : "", history_entry->instance,
+                  history_entry->text, history_entry->step);
     }
   }
 }
 
 void Agent::SendOrder(const change::Order& order) {
   const group::Instance* const instance = group_.FindInstance(order.instance);
-  if (instance == nullptr || !lead_->IsLeader(net::Loop::Now())) return;
+  if (instance == nullptr || !election_->IsLeader(net::Loop::Now())) return;
   Json request = {{"op", "order"},
                   {"epoch", leading_epoch_},
                   {"instance", order.instance},
@@ -679,7 +681,7 @@
 
 void Agent::CollectStatus() {
   collect_timer_.After(kCollectInterval);
-  if (!engine_ || !lead_->IsLeader(net::Loop::Now())) return;
+  if (!engine_ || !election_->IsLeader(net::Loop::Now())) return;
   for (const group::Agent& agent : group_.agents) {
     if (std::exchange(status_requested_[agent.name], true)) continue;
     const net::Time requested_at = net::Loop::Now();
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -1,6 +1,6 @@
 // The agent of a host: supervises the host's relays, takes part in the election of the leader and, as leader,
 // carries out the group's change. It only does the I/O; the decisions are made by the state machines
-// lead::Lead, change::Engine and supervise::Supervisor.
+// lead::LeaderElection, change::Engine and supervise::Supervisor.
 #pragma once
 
 #include <deque>
@@ -52,8 +52,8 @@
     std::function<void(bool leading)> send;
   };
   // An entry of the queue of the engine's actions and pending replies, which are carried out in order. A
-  // change::Keep blocks the entries behind it until its record is committed. `seq` is the number of the
-  // proposal that holds the record, 0 before it is proposed.
+  // change::PersistRecord blocks the entries behind it until its record is committed. `seq` is the number of
+  // the proposal that holds the record, 0 before it is proposed.
   struct Queued {
     std::variant<change::Action, Reply> content;
     std::uint64_t seq = 0;
@@ -62,7 +62,7 @@
   // ---- requests; `from` is the name in the caller's certificate, empty for the local socket ----
   void HandleRequest(const Json& request, const control::Answer& answer);
   Json LocalStatus();
-  Json HandleLeadMessage(const std::string& from, const Json& request);
+  Json HandleElectionMessage(const std::string& from, const Json& request);
   Json HandleOrder(const std::string& from, const Json& request);
   Json HandleOffer(const Json& request);
   Json HistoryAnswer(const Json& request);
@@ -77,8 +77,8 @@
   Json NotLeadingAnswer();
 
   // ---- leading ----
-  void StepLead(const std::vector<lead::Event>& events, const std::string& sender = {},
-                Json* reply = nullptr);
+  void StepElection(const std::vector<lead::Event>& events, const std::string& sender = {},
+                    Json* reply = nullptr);
   void StepEngine(std::vector<change::Event> events);
   void ProcessQueue();
   void AnswerWhenCommitted(const control::Answer& answer);
@@ -114,7 +114,7 @@
   std::optional<tls::Identity> identity_;
   std::map<std::string, std::unique_ptr<RelayController>> controllers_;
   std::map<std::string, std::unique_ptr<control::Caller>> callers_;
-  std::optional<lead::LeaderElection> lead_;
+  std::optional<lead::LeaderElection> election_;
   std::optional<change::Engine> engine_;
   std::optional<change::Record>
       committed_record_;  // latest record that a majority has stored, while this agent leads
@@ -126,7 +126,7 @@
   std::map<std::string, bool> status_requested_;  // by agent: whether a status request is in progress
   std::uint64_t refused_connections_ = 0, fenced_orders_ = 0;
   std::string keys_fault_;
-  net::Timer lead_timer_, collect_timer_, group_file_timer_;
+  net::Timer election_timer_, collect_timer_, group_file_timer_;
   net::Signal child_signal_;
   std::unique_ptr<control::Server> local_server_, remote_server_;
 };
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -225,7 +225,7 @@
     const net::Time idle_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
     const bool empty = relay_.done() && relay_.in_flight() == 0 && idle_time >= kKeepAccepting;
     if (empty || elapsed >= kStopSendingAfter) phases_.Enter(Phase::kSettling);
-    // Waits until all clients have disconnected, at most until kStopAt: requests that they have begun are
+    // Waits until all clients have disconnected, at most until kExitAfter: requests that they have begun are
     // still answered, and the answers are still written.
     const bool settled =
         phases_.current() == Phase::kSettling && relay_.in_flight() == 0 && clients_->clients() == 0;
@@ -270,11 +270,11 @@
     return "the process that holds the state folder is " + std::string(relay::NameOf(phases_.current()));
   }
   relay::HandoverState PrepareHandover() override {
-    relay::HandoverState estate = relay_.PrepareHandover();
-    estate.host_waits = endpoints_.HostWaits();
-    estate.address_waits = endpoints_.AddressWaits();
-    estate.list_valid_until = discovery_.list_valid_until();
-    return estate;
+    relay::HandoverState handover_state = relay_.PrepareHandover();
+    handover_state.host_waits = endpoints_.HostWaits();
+    handover_state.address_waits = endpoints_.AddressWaits();
+    handover_state.list_valid_until = discovery_.list_valid_until();
+    return handover_state;
   }
   std::vector<client::ClientState> Clients() const override { return clients_->ExportState(); }
   int LockFd() const override { return start_.lock->fd(); }
--- a/src/client/clients.cpp
+++ b/src/client/clients.cpp
@@ -181,9 +181,9 @@
 }
 
 ClientState Client::ExportState() const {
-  net::Connection::HandoverState rest = connection_.handover_state();
-  return {rest.fd, parser_.PartialCommand(), std::move(rest.received), std::move(rest.unsent),
-          has_requested_};
+  net::Connection::HandoverState connection_state = connection_.handover_state();
+  return {connection_state.fd, parser_.PartialCommand(), std::move(connection_state.received),
+          std::move(connection_state.unsent), has_requested_};
 }
 
 void Client::RestoreState(const ClientState& state) {
--- a/src/endpoint/pool.cpp
+++ b/src/endpoint/pool.cpp
@@ -73,9 +73,9 @@
 
 std::vector<relay::AddressWait> Pool::AddressWaits() const { return hosts_.AddressWaits(net::Loop::Now()); }
 
-void Pool::RestoreWaits(const relay::HandoverState& estate) {
-  for (const relay::HostWait& wait : estate.host_waits) hosts_.RestoreWait(wait);
-  for (const relay::AddressWait& wait : estate.address_waits) hosts_.RestoreWait(wait);
+void Pool::RestoreWaits(const relay::HandoverState& handover_state) {
+  for (const relay::HostWait& wait : handover_state.host_waits) hosts_.RestoreWait(wait);
+  for (const relay::AddressWait& wait : handover_state.address_waits) hosts_.RestoreWait(wait);
 }
 
 void Pool::ReadNow() {
--- a/src/endpoint/pool.hpp
+++ b/src/endpoint/pool.hpp
@@ -35,7 +35,7 @@
   // The waits that hosts requested, as handed over to the next process, and as received from the previous
   // one.
   std::vector<relay::HostWait> HostWaits() const;
-  void RestoreWaits(const relay::HandoverState& estate);
+  void RestoreWaits(const relay::HandoverState& handover_state);
   std::vector<relay::AddressWait> AddressWaits() const;
   // Records that the host answered another process's call with a request to wait.
   void RecordRetryAfter(const std::string& host, net::Time wait);
--- a/src/lab/simulated_relay.cpp
+++ b/src/lab/simulated_relay.cpp
@@ -43,9 +43,9 @@
     Finish();
     return true;
   }
-  void OnRejected(relay::Time come_again) override {
+  void OnRejected(relay::Time retry_after) override {
     relay.environment_.Notify(
-        model::SubmissionAnswered{number, model::SubmissionAnswered::Result::kRejected, come_again});
+        model::SubmissionAnswered{number, model::SubmissionAnswered::Result::kRejected, retry_after});
     Finish();
   }
   // Erases itself later, since the relay core may still be in a call to this object.
@@ -140,18 +140,18 @@
 
 // ---- clients ----
 
-void SimulatedRelay::Submit(const model::SubmitMessage& in, const std::string& body) {
+void SimulatedRelay::Submit(const model::SubmitMessage& request, const std::string& body) {
   last_submission_at_ = environment_.Now();
   journal::Message message;
-  message.id = in.id;
-  message.key = in.key;
+  message.id = request.id;
+  message.key = request.key;
   message.class_name = "outbound";
-  message.destination = in.destination;
-  message.deadline = UnixNow() + in.time_left - TimeUnread();
-  message.resubmitted = in.refused_before || in.lost_before;
+  message.destination = request.destination;
+  message.deadline = UnixNow() + request.time_left - TimeUnread();
+  message.resubmitted = request.refused_before || request.lost_before;
   message.body = body;
   const auto [it, inserted] =
-      submissions_.emplace(in.submission, std::make_unique<Submission>(*this, in.submission));
+      submissions_.emplace(request.submission, std::make_unique<Submission>(*this, request.submission));
   relay_->Submit(std::move(message), *it->second);
 }
 
@@ -223,11 +223,11 @@
 void SimulatedRelay::Sweep() {
   RunAfter(kSweepInterval, [this] { Sweep(); });
   const Time now = Now();
-  const auto keep =
+  const auto max_idle_time =
       Time(static_cast<Time::rep>(kKeepaliveShare * static_cast<double>(options_.keepalive.count())));
   for (auto it = pools_.begin(); it != pools_.end();) {
     auto& idle = it->second.idle_since;
-    while (!idle.empty() && now - idle.front() > keep) {
+    while (!idle.empty() && now - idle.front() > max_idle_time) {
       idle.erase(idle.begin());
       counters_.idle_connections_closed += 1;
       CloseConnection(it->second.address);
@@ -394,7 +394,7 @@
 void SimulatedRelay::MoveDiscovery() {
   open_list_calls_.clear();
   if (list_.subscription() != 0) {
-    environment_.Notify(model::WatchEnded{options_.relay_index, ToWorldCall(list_.subscription())});
+    environment_.Notify(model::WatchEnded{options_.relay_index, ToEnvironmentCall(list_.subscription())});
   }
   UpdateLease(wheathub::ListLease::Moved{});
   StepList(wheathub::ListSubscription::Moved{});
@@ -417,17 +417,17 @@
   return static_cast<int>(call - list_call_offset_);
 }
 
-std::uint64_t SimulatedRelay::ToWorldCall(wheathub::ListSubscription::CallNumber number) const {
+std::uint64_t SimulatedRelay::ToEnvironmentCall(wheathub::ListSubscription::CallNumber number) const {
   return list_call_offset_ + static_cast<std::uint64_t>(number);
 }
 
 void SimulatedRelay::StepList(const wheathub::ListSubscription::Event& event) {
   for (const auto& call : list_.Step(Now(), event)) {
     if (call.replaced_call)
-      environment_.Notify(model::WatchEnded{options_.relay_index, ToWorldCall(*call.replaced_call)});
+      environment_.Notify(model::WatchEnded{options_.relay_index, ToEnvironmentCall(*call.replaced_call)});
     if (list_.subscription() != 0) UpdateLease(wheathub::ListLease::SubscriptionBroken{});
     open_list_calls_[call.number] = Now();
-    environment_.Notify(model::ListRequested{options_.relay_index, ToWorldCall(call.number), version_});
+    environment_.Notify(model::ListRequested{options_.relay_index, ToEnvironmentCall(call.number), version_});
   }
   const std::uint64_t alarm = ++list_alarm_generation_;
   if (list_.alarm() == Time::max()) return;
@@ -455,8 +455,8 @@
 void SimulatedRelay::CheckShutdown() {
   const Time since = environment_.Now() - terminated_at_;
   if (since >= kStopSendingAfter && !std::exchange(sending_stopped_, true)) relay_->StopSending();
-  const bool nothing_owed = relay_->done() && environment_.Now() - last_submission_at_ >= kKeepAccepting;
-  if (nothing_owed || since >= kExitAfter || (sending_stopped_ && relay_->in_flight() == 0))
+  const bool no_work_left = relay_->done() && environment_.Now() - last_submission_at_ >= kKeepAccepting;
+  if (no_work_left || since >= kExitAfter || (sending_stopped_ && relay_->in_flight() == 0))
     return environment_.OnExit(options_.relay_index);
   RunAfter(kPollInterval, [this] { CheckShutdown(); });
 }
--- a/src/lab/simulated_relay.hpp
+++ b/src/lab/simulated_relay.hpp
@@ -1,6 +1,6 @@
-// One process of a relay on a virtual clock: the real relay core, decision module, journal and host book. The
-// connections to hosts are numbers instead of sockets. Stands in for `client`, `endpoint::Pool`, `routing`
-// and `notice` of the relay program.
+// One process of a relay on a virtual clock: the real relay core, decision module, journal and
+// endpoint::Hosts. The connections to hosts are numbers instead of sockets. Stands in for `client`,
+// `endpoint::Pool`, `routing` and `notice` of the relay program.
 #pragma once
 
 #include <functional>
@@ -58,7 +58,7 @@
   // Acts as SIGKILL does: open calls lose their connection, and so do clients that wait for an answer.
   ~SimulatedRelay();
 
-  void Submit(const model::SubmitMessage& in, const std::string& body);
+  void Submit(const model::SubmitMessage& request, const std::string& body);
   void Withdraw(std::uint64_t number);
   void AnswerCall(const model::AnswerCall& answer);
   void BreakCall(std::uint64_t call);
@@ -102,7 +102,7 @@
   void OnListReceived(std::uint64_t call);
   void UpdateLease(const wheathub::ListLease::Event& event);
   wheathub::ListSubscription::CallNumber ToSubscriptionCall(std::uint64_t call) const;
-  std::uint64_t ToWorldCall(wheathub::ListSubscription::CallNumber number) const;
+  std::uint64_t ToEnvironmentCall(wheathub::ListSubscription::CallNumber number) const;
   void Post(const std::string& id, const journal::Ending& ending) override;
 
   void RunAfter(Time after, std::function<void()> callback);  // not once this process has ended
@@ -126,7 +126,7 @@
   std::uint64_t wake_generation_ = 0;
   bool suspended_ = false;
   Time unread_since_{-1};  // since when deferred input may have waited; below 0: none has
-  std::vector<std::function<void()>> deferred_;  // callbacks of the time of suspension
+  std::vector<std::function<void()>> deferred_;  // callbacks that fell due while the process was suspended
   std::int64_t version_ = 0;
   wheathub::ListSubscription list_;
   wheathub::ListLease lease_;
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -311,7 +311,7 @@
   fixture.stubs.Answer(call, "200 OK");
   fixture.WaitForCounter(client, "delivered", 1);
   auto replacement = fixture.stubs.ListEntry("a");
-  replacement["id"] = "taker";
+  replacement["id"] = "replacement-host";
   replacement["cell"] = 8;
   fixture.stubs.PushChange({{"version", 9}, {"servers", {replacement}}});
   fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });
