--- a/tests/group/leader_election_test.cpp
+++ b/tests/group/leader_election_test.cpp
@@ -1,5 +1,6 @@
-// Who leads, and the register that outlasts leaders: agents in one process, on a virtual clock, with a
-// network that loses, delays, cuts off one way or both, and processes that stop, die and come back from disk.
+// Tests of the leader election and its replicated register, with simulated agents on a virtual clock. The
+// network loses, delays and duplicates messages and can be cut in one or both directions; agents are
+// suspended, killed and restarted from their disk.
 #include "lead/leader_election.hpp"
 
 #include <catch2/catch.hpp>
--- a/tests/group/supervisor_test.cpp
+++ b/tests/group/supervisor_test.cpp
@@ -1,4 +1,4 @@
-// The keeper of one relay against a model of a process, on a virtual clock.
+// Tests of the supervisor of one relay against a model of the relay's process, on a virtual clock.
 #include "supervise/supervisor.hpp"
 
 #include <signal.h>
