--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -84,7 +84,7 @@
 
 TEST_CASE("a body of 64 KiB reaches a slow host whole after short writes") {
   RelayFixture fixture;
-  fixture.stubs.AddHost("tight", 8, "north-room", 4096);
+  fixture.stubs.AddHost("small-buffer", 8, "north-room", 4096);
   fixture.relay.Start();
   Client client(fixture.relay);
   std::string body;
@@ -284,19 +284,21 @@
 TEST_CASE("a full pool closes the connection that was idle longest and no other") {
   RelayFixture fixture;
   fixture.relay.config["limits"]["sockets"] = 64;  // 24 connections to hosts
-  for (int cell = 100; cell < 125; ++cell) fixture.stubs.AddHost("h" + std::to_string(cell), cell);
+  for (int destination = 100; destination < 125; ++destination)
+    fixture.stubs.AddHost("h" + std::to_string(destination), destination);
   fixture.relay.Start();
   Client client(fixture.relay);
   long delivered = 0;
-  const auto deliver = [&](int cell) {
-    client.Put("id-" + std::to_string(++delivered), "hello", 8000, ",k=key,dest=" + std::to_string(cell));
+  const auto deliver = [&](int destination) {
+    client.Put("id-" + std::to_string(++delivered), "hello", 8000,
+               ",k=key,dest=" + std::to_string(destination));
     REQUIRE(client.ReadLine() == "+OK");
     fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
     fixture.WaitForCounter(client, "delivered", delivered);
   };
-  for (int cell = 100; cell < 125; ++cell) deliver(cell);
+  for (int destination = 100; destination < 125; ++destination) deliver(destination);
   CHECK(client.Counters()["lines_evicted"] == 1);
-  for (int cell = 101; cell < 125; ++cell) deliver(cell);
+  for (int destination = 101; destination < 125; ++destination) deliver(destination);
   CHECK(client.Counters()["lines_opened"] == 25);
 }
 
@@ -457,15 +459,15 @@
   RelayFixture fixture;
   fixture.relay.Start();
   const auto started_at = Clock::now();
-  Client good(fixture.relay), silent(fixture.relay), half(fixture.relay), asked(fixture.relay);
-  half.socket().Send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00");
-  REQUIRE(asked.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
+  Client good(fixture.relay), silent(fixture.relay), partial(fixture.relay), idle(fixture.relay);
+  partial.socket().Send("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00");
+  REQUIRE(idle.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
   const HttpRequest call = fixture.PutAndAwaitCall(good, "id-1");
   CHECK(silent.ReadLine().substr(0, 4) == "-ERR");
   CHECK(silent.ReadLine().empty());
-  CHECK(half.ReadLine().substr(0, 4) == "-ERR");
+  CHECK(partial.ReadLine().substr(0, 4) == "-ERR");
   CHECK(Clock::now() - started_at < 3s);
-  CHECK(asked.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
+  CHECK(idle.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
   fixture.stubs.Answer(call, "200 OK");
   fixture.WaitForCounter(good, "delivered", 1);
 }
@@ -603,8 +605,8 @@
   Socket backlog_connection;
 
   explicit FullBacklogHost(StubServices& stubs) {
-    stubs.AddHost("narrow", 8);
-    stubs.SetPort("narrow", listener.port());
+    stubs.AddHost("small-backlog", 8);
+    stubs.SetPort("small-backlog", listener.port());
   }
   void FillBacklog() { backlog_connection = Socket::Connect(listener.port()); }
   // Accepts the connection in the backlog and then the attempt's, which the relay's kernel retries.
@@ -626,7 +628,7 @@
   REQUIRE(client.ReadLine() == "+OK");
   fixture.WaitForCounter(client, "legs", 1);
   const long changes = client.Counters()["list_changes"];
-  fixture.stubs.SetState("narrow", "Terminating");
+  fixture.stubs.SetState("small-backlog", "Terminating");
   fixture.WaitForCounter(client, "list_changes", changes + 1);
   fixture.stubs.CallArrivesWithin(150ms);  // longer than the grace period of a drain
   const Socket late = full_host.AcceptRelayConnection();
@@ -864,7 +866,7 @@
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   fixture.stubs.notice_status = 503;
   Client client(fixture.relay);
-  fixture.PutAndAwaitCall(client, "owed", "hello", 300);
+  fixture.PutAndAwaitCall(client, "unsent-notice", "hello", 300);
   fixture.stubs.WaitUntil([&] { return fixture.stubs.notices_refused >= 1; });
   const HttpRequest call = fixture.PutAndAwaitCall(client, "kept");
   fixture.stubs.MoveDiscovery();
@@ -875,7 +877,7 @@
   const auto requested_at = Clock::now();
   fixture.relay.Reload(config.dump());
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; });
-  CHECK(fixture.stubs.WaitForNotice("owed").at("status") == "undeliverable");
+  CHECK(fixture.stubs.WaitForNotice("unsent-notice").at("status") == "undeliverable");
   CHECK(Clock::now() - requested_at < 2s);
   const int before = fixture.stubs.notices_at_old_address;
   // Discovery has answered the watch, but its list may not have arrived yet.
