--- a/src/model/scenario.cpp
+++ b/src/model/scenario.cpp
@@ -22,47 +22,48 @@
                   double max, Range* to) const {
     const YAML::Node node = map[key];
     if (!node) return;
-    const auto one = [&](const YAML::Node& n) {
+    const auto parse_element = [&](const YAML::Node& element) {
       double value = NAN;
-      if (!n.IsScalar() || !YAML::convert<double>::decode(n, value) || !(value >= min && value <= max)) {
+      if (!element.IsScalar() || !YAML::convert<double>::decode(element, value) ||
+          !(value >= min && value <= max)) {
         char text[120];
         std::snprintf(text, sizeof text, "must be a number from %g to %g, or a list of two such", min, max);
-        Fail(n.Mark(), path_prefix + key, text);
+        Fail(element.Mark(), path_prefix + key, text);
       }
       return value;
     };
     if (!node.IsSequence()) {
-      to->low = to->high = one(node);
+      to->low = to->high = parse_element(node);
       return;
     }
     if (node.size() != 2) Fail(node.Mark(), path_prefix + key, "must be one number or a list of two");
-    const Range read{one(node[0]), one(node[1])};
-    if (read.low > read.high) Fail(node.Mark(), path_prefix + key, "must not begin above its end");
-    *to = read;
+    const Range range{parse_element(node[0]), parse_element(node[1])};
+    if (range.low > range.high) Fail(node.Mark(), path_prefix + key, "must not begin above its end");
+    *to = range;
   }
-  // The same with durations: "5ms", or [5ms, 15ms]. The result is in seconds.
-  void ParseDurations(const YAML::Node& map, const char* key, const std::string& path_prefix,
-                      Range* to) const {
+  // A duration, or a list of two: "5ms" or [5ms, 15ms]. The result is in seconds.
+  void ParseDurationRange(const YAML::Node& map, const char* key, const std::string& path_prefix,
+                          Range* to) const {
     const YAML::Node node = map[key];
     if (!node) return;
-    const auto one = [&](const YAML::Node& n) {
+    const auto parse_element = [&](const YAML::Node& element) {
       YAML::Node holder;
-      holder[key] = n;
+      holder[key] = element;
       return static_cast<double>(Span(holder, key, path_prefix, Time(0)).count()) / 1e6;
     };
     if (!node.IsSequence()) {
-      to->low = to->high = one(node);
+      to->low = to->high = parse_element(node);
       return;
     }
     if (node.size() != 2) Fail(node.Mark(), path_prefix + key, "must be one span or a list of two");
-    const Range read{one(node[0]), one(node[1])};
-    if (read.low > read.high) Fail(node.Mark(), path_prefix + key, "must not begin above its end");
-    *to = read;
+    const Range range{parse_element(node[0]), parse_element(node[1])};
+    if (range.low > range.high) Fail(node.Mark(), path_prefix + key, "must not begin above its end");
+    *to = range;
   }
   void ParseDuration(const YAML::Node& map, const char* key, const std::string& path_prefix,
                      double* seconds) const {
     Range range{*seconds, *seconds};
-    ParseDurations(map, key, path_prefix, &range);
+    ParseDurationRange(map, key, path_prefix, &range);
     *seconds = range.low;
   }
   // A map with the keys `large` and `small`, or one value for both. `to` has two elements.
@@ -74,10 +75,10 @@
     for (std::size_t k = 0; k < kKindNames.size(); ++k) {
       if (node.IsMap()) {
         Only(node, path_prefix + key + ".", {"large", "small"});
-        durations ? ParseDurations(node, kKindNames[k], path_prefix + key + ".", &to[k])
+        durations ? ParseDurationRange(node, kKindNames[k], path_prefix + key + ".", &to[k])
                   : ParseRange(node, kKindNames[k], path_prefix + key + ".", min, max, &to[k]);
       } else {
-        durations ? ParseDurations(map, key, path_prefix, &to[k])
+        durations ? ParseDurationRange(map, key, path_prefix, &to[k])
                   : ParseRange(map, key, path_prefix, min, max, &to[k]);
       }
     }
@@ -103,12 +104,12 @@
     }
     ParseRange(node, "swing", "traffic.", 0, 0.95, &traffic->amplitude);
     ParseRange(node, "clumps", "traffic.", 0, 1, &traffic->burst_share);
-    ParseDurations(node, "clump", "traffic.", &traffic->burst_size);
+    ParseDurationRange(node, "clump", "traffic.", &traffic->burst_size);
     traffic->body_bytes = Whole(node, "body", "traffic.", 0, 65536, traffic->body_bytes);
     ParseRange(node, "retries", "traffic.", 0, 100, &traffic->retries);
-    ParseDurations(node, "backoff", "traffic.", &traffic->backoff);
+    ParseDurationRange(node, "backoff", "traffic.", &traffic->backoff);
     ParseRange(node, "honour", "traffic.", 0, 1, &traffic->retry_after_compliance);
-    ParseDurations(node, "again", "traffic.", &traffic->resubmit_delay);
+    ParseDurationRange(node, "again", "traffic.", &traffic->resubmit_delay);
     traffic->local_client_chance = Number(node, "beside", "traffic.", 0, 1, traffic->local_client_chance);
     ParseRange(node, "times", "traffic.", 1, 1000, &traffic->local_client_factor);
   }
@@ -133,11 +134,11 @@
     ParseLargeAndSmall(node, "spread", prefix, false, 0, 10, partners->speed_spread);
     ParseLargeAndSmall(node, "queue", prefix, true, 0, 0, partners->queue_time);
     ParseRange(node, "spare", prefix, 1, 100, &partners->capacity_factor);
-    ParseDurations(node, "work", prefix, &partners->service_time);
+    ParseDurationRange(node, "work", prefix, &partners->service_time);
     ParseRange(node, "work_spread", prefix, 0, 10, &partners->service_time_cv);
     ParseRange(node, "errors", prefix, 0, 1, &partners->error_rate);
     ParseRange(node, "cold_from", prefix, 0.01, 1, &partners->warm_up_start_share);
-    ParseDurations(node, "cold", prefix, &partners->warm_up);
+    ParseDurationRange(node, "cold", prefix, &partners->warm_up);
     partners->collapse_load_factor =
         Number(node, "fall_multiple", prefix, 1, 1000, partners->collapse_load_factor);
     ParseDuration(node, "fall", prefix, &partners->collapse_after);
@@ -160,7 +161,7 @@
     const std::string prefix = "relay.";
     ParseRange(node, "slots", prefix, 0.01, 1000, &relay->slots_factor);
     relay->min_slots = Whole(node, "least_slots", prefix, 1, 100'000, relay->min_slots);
-    ParseDurations(node, "hold", prefix, &relay->open_messages_time);
+    ParseDurationRange(node, "hold", prefix, &relay->open_messages_time);
     relay->min_open_messages = Whole(node, "least_hold", prefix, 1, 1'000'000, relay->min_open_messages);
     ParseDuration(node, "tick", prefix, &relay->tick);
     ParseDuration(node, "deadline", prefix, &relay->deadline);
@@ -213,15 +214,15 @@
     fault.kind = kind->second.first;
     if (!map["at"]) Fail(node.Mark(), path_prefix + "at", "is missing");
     if (!map["for"]) Fail(node.Mark(), path_prefix + "for", "is missing");
-    ParseDurations(map, "at", path_prefix, &fault.at);
-    ParseDurations(map, "for", path_prefix, &fault.duration);
+    ParseDurationRange(map, "at", path_prefix, &fault.at);
+    ParseDurationRange(map, "for", path_prefix, &fault.duration);
     ParseRange(map, "share", path_prefix, 0, 1, &fault.share);
     ParseRange(map, "chance", path_prefix, 0, 1, &fault.failure_chance);
-    ParseDurations(map, "by", path_prefix, &fault.extra_lag);
-    ParseDurations(map, "each", path_prefix, &fault.time_per_call);
-    ParseDurations(map, "down", path_prefix, &fault.downtime);
-    ParseDurations(map, "refuses_after", path_prefix, &fault.refusal_delay);
-    ParseDurations(map, "drain", path_prefix, &fault.drain_time);
+    ParseDurationRange(map, "by", path_prefix, &fault.extra_lag);
+    ParseDurationRange(map, "each", path_prefix, &fault.time_per_call);
+    ParseDurationRange(map, "down", path_prefix, &fault.downtime);
+    ParseDurationRange(map, "refuses_after", path_prefix, &fault.refusal_delay);
+    ParseDurationRange(map, "drain", path_prefix, &fault.drain_time);
     fault.count = Whole(map, "count", path_prefix, 1, 100'000, fault.count);
     fault.batch_size = Whole(map, "at_once", path_prefix, 1, 100'000, fault.batch_size);
     if (const YAML::Node same = map["same_address"]) {
@@ -283,17 +284,17 @@
   scenario.name = std::filesystem::path(path).stem().string();
   reader.Only(root, "", {"about", "length", "relays", "traffic", "partners", "network", "relay", "troubles"});
   scenario.description = reader.Text(root, "about", "", false);
-  reader.ParseDurations(root, "length", "", &scenario.length);
+  reader.ParseDurationRange(root, "length", "", &scenario.length);
   if (scenario.length.low < 1) reader.Fail(root.Mark(), "length", "must be at least 1s");
   scenario.relays = reader.Whole(root, "relays", "", 1, 10'000, scenario.relays);
   reader.ParseTraffic(root["traffic"], &scenario.traffic);
   reader.ParsePartners(root["partners"], &scenario.partners);
   if (const YAML::Node n = root["network"]) {
     reader.Only(n, "network", {"one_way", "handshake", "front_notices", "list_lag"});
-    reader.ParseDurations(n, "one_way", "network.", &scenario.network.one_way);
+    reader.ParseDurationRange(n, "one_way", "network.", &scenario.network.one_way);
     reader.ParseRange(n, "handshake", "network.", 0, 100, &scenario.network.handshake_round_trips);
-    reader.ParseDurations(n, "front_notices", "network.", &scenario.network.failure_detection_delay);
-    reader.ParseDurations(n, "list_lag", "network.", &scenario.network.list_lag);
+    reader.ParseDurationRange(n, "front_notices", "network.", &scenario.network.failure_detection_delay);
+    reader.ParseDurationRange(n, "list_lag", "network.", &scenario.network.list_lag);
   }
   reader.ParseRelay(root["relay"], &scenario.relay);
   if (const YAML::Node troubles = root["troubles"]) {
