--- a/src/model/platform_model.cpp
+++ b/src/model/platform_model.cpp
@@ -160,6 +160,9 @@
     RelayState& relay = relays_[static_cast<std::size_t>(down->relay)];
     relay.up = relay.stopped = false;
     relay.watch_call = 0;
+    for (QueuedListCall& queued : list_queue_) {
+      if (queued.request.relay == down->relay) queued.caller_exited = true;
+    }
     relay.detected_down_at =
         now_ + Seconds(network_random_.UniformIn(scenario_.network.failure_detection_delay));
     trace::Event event = MakeEvent(Kind::kExited);
@@ -605,7 +608,7 @@
     case DiscoveryState::kSilent:
       return;
     case DiscoveryState::kSlow:
-      list_queue_.emplace_back(now_, request);
+      list_queue_.push_back({now_, request});
       list_free_at_ = std::max(list_free_at_, now_);
       if (list_queue_.size() == 1)
         Schedule(list_free_at_ + Seconds(list_call_time_s_), TaskKind::kServeListQueue, 0);
@@ -613,14 +616,17 @@
   }
 }
 
-// Serves one call after the other. Refusing one that has waited for too long takes no time.
+// Serves one call after the other. Refusing one takes no time: a call that has waited for too long, or whose
+// process has exited. Answering the latter would count as announcing the list to the relay's next process.
 void PlatformModel::ServeListQueue() {
-  while (!list_queue_.empty() && now_ - list_queue_.front().first >= kListQueueTimeout) {
-    effects_.push_back(RefuseList{list_queue_.front().second.relay, list_queue_.front().second.call});
+  while (!list_queue_.empty()) {
+    const QueuedListCall& queued = list_queue_.front();
+    if (!queued.caller_exited && now_ - queued.since < kListQueueTimeout) break;
+    effects_.push_back(RefuseList{queued.request.relay, queued.request.call});
     list_queue_.pop_front();
   }
   if (list_queue_.empty()) return;
-  const ListRequested request = list_queue_.front().second;
+  const ListRequested request = list_queue_.front().request;
   list_queue_.pop_front();
   list_free_at_ = now_;
   AnswerList(request);
@@ -667,8 +673,8 @@
   list_call_time_s_ = refused_share_ = scheduled.value;
   refusal_delay_ = Seconds(scheduled.value);
   if (discovery_ != DiscoveryState::kSlow) {
-    for (const auto& [since, request] : std::exchange(list_queue_, {})) {
-      effects_.push_back(RefuseList{request.relay, request.call});
+    for (const QueuedListCall& queued : std::exchange(list_queue_, {})) {
+      effects_.push_back(RefuseList{queued.request.relay, queued.request.call});
     }
   }
   for (int r = 0; r < day_.relays; ++r) {
--- a/src/model/platform_model.hpp
+++ b/src/model/platform_model.hpp
@@ -235,6 +235,13 @@
     std::size_t sent_version = 0;  // of the list
   };
 
+  // A call for the list that waits while discovery is slow.
+  struct QueuedListCall {
+    Time since{0};
+    ListRequested request;
+    bool caller_exited = false;  // the relay's process that made the call has exited
+  };
+
   void Schedule(Time at, TaskKind kind, std::uint64_t subject);
   void Execute(const Task& task);
   void Handle(const Input& input);
@@ -293,7 +300,7 @@
   double refused_share_ = 1;     // of the calls while discovery is overloaded
   std::map<std::uint64_t, ListRequested> delayed_refusals_;
   std::uint64_t delayed_refusal_count_ = 0;
-  std::deque<std::pair<Time, ListRequested>> list_queue_;
+  std::deque<QueuedListCall> list_queue_;
   Time list_free_at_{0};
   std::vector<RelayState> relays_;
   std::size_t next_relay_ = 0;
--- a/tests/lab/model_test.cpp
+++ b/tests/lab/model_test.cpp
@@ -402,3 +402,33 @@
   CHECK(open_at_exit.size() > 5);
   for (const std::string& id : open_at_exit) CHECK(ended.count(id) == 1);
 }
+
+TEST_CASE("platform model: a queued call for the list is not answered once its relay's process has exited",
+          "[model]") {
+  TemporaryFolder folder;
+  const model::Scenario scenario =
+      model::ReadScenario(folder.Write("day.yaml",
+                                       "length: 10s\nrelays: 2\npartners: {count: 1}\n"
+                                       "troubles:\n  - discovery_slow: {at: 1s, for: 5s, each: 500ms}\n"));
+  const model::Day day = model::DrawDay(scenario, 1);
+  int announcements_to_first = 0, announcements_to_second = 0;
+  model::PlatformModel platform(scenario, day, [&](const trace::Event& event) {
+    if (event.kind == trace::Event::Kind::kHostAnnounced)
+      ++(event.relay == 0 ? announcements_to_first : announcements_to_second);
+  });
+  platform.Step(Time(0), {model::RelayUp{0}, model::RelayUp{1}});
+  platform.Step(1s, {});  // discovery becomes slow
+  // Both calls wait in the queue of slow discovery when the process that made the first one exits.
+  platform.Step(1100ms, {model::ListRequested{0, 1, 0}, model::ListRequested{1, 2, 0}});
+  platform.Step(1200ms, {model::RelayDown{0}});
+  platform.Step(1300ms, {model::RelayUp{0}});
+  std::vector<std::uint64_t> answered_calls;
+  for (Time now = 1400ms; now <= 2800ms; now += 100ms) {
+    for (const model::Effect& effect : platform.Step(now, {})) {
+      if (const auto* list = std::get_if<model::SendList>(&effect)) answered_calls.push_back(list->call);
+    }
+  }
+  CHECK(answered_calls == std::vector<std::uint64_t>{2});
+  CHECK(announcements_to_first == 0);
+  CHECK(announcements_to_second > 0);
+}
