--- a/src/drill.cpp
+++ b/src/simulator_adapter.cpp
@@ -1,5 +1,5 @@
-// wheathub_drill: runs Deciders for the bench, which sends events on standard input and reads actions from
-// standard output. It only translates.
+// wheathub_drill: connects Deciders to the simulator, which sends events on standard input and reads actions
+// from standard output. Makes no decisions of its own.
 #include <exception>
 #include <iostream>
 #include <map>
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <set>
 
-#include "rig.hpp"
+#include "decider_harness.hpp"
 
 namespace wheathub::testing {
 namespace {
@@ -278,17 +278,17 @@
 
 // The state that is held must not grow with messages, destinations and keys that are no longer in use.
 TEST(HeldState, UnusedStateIsDropped) {
-  Rig rig;
+  DeciderHarness harness;
   for (int round = 0; round < 200; ++round) {
     const std::string number = std::to_string(round);
-    rig.UpdateList({MakeEndpoint("e" + number, round)}, ListScope::kAll);
-    Message message = rig.NewMessage("m" + number, 3, round);
+    harness.UpdateList({MakeEndpoint("e" + number, round)}, ListScope::kAll);
+    Message message = harness.NewMessage("m" + number, 3, round);
     message.key = "k" + number;
-    rig.Step({message});
-    rig.now += 50ms;
-    rig.Step({rig.AttemptEnd("m" + number, Outcome::kServed)});
+    harness.Step({message});
+    harness.now += 50ms;
+    harness.Step({harness.AttemptEnd("m" + number, Outcome::kServed)});
   }
-  const auto held = rig.decider.held();
+  const auto held = harness.decider.held();
   EXPECT_EQ(held.messages + held.calls + held.keys, 0u);
   EXPECT_EQ(held.endpoints, 1u);
   EXPECT_LE(held.routes, 1u);
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <stdexcept>
 
-#include "rig.hpp"
+#include "decider_harness.hpp"
 #include "wheathub/list_subscription.hpp"
 
 namespace wheathub::testing {
@@ -36,29 +36,29 @@
 TEST(Settings, ALimitOfZeroMeansNoLimit) {
   Settings settings;
   settings.classes = {MakeClass(Semantics::kIdempotent)};
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", 0)});
-  EXPECT_EQ(rig.SendCount("m1"), 1);
-  rig.Step({rig.AttemptEnd("m1", Outcome::kServed)});
-  EXPECT_EQ(rig.decider.held().messages, 0u);
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", 0)});
+  EXPECT_EQ(harness.SendCount("m1"), 1);
+  harness.Step({harness.AttemptEnd("m1", Outcome::kServed)});
+  EXPECT_EQ(harness.decider.held().messages, 0u);
 }
 
 TEST(Settings, NewSettingsApplyToNewAndHeldMessages) {
   Settings settings = BasicSettings();
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("held", 0)});
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("held", 0)});
   const int added = static_cast<int>(settings.classes.size());
   settings.classes.push_back(MakeClass(Semantics::kAtMostOnce));
   settings.max_attempts = 1;
-  rig.Step({NewSettings{settings}, rig.NewMessage("new", added)});
-  EXPECT_EQ(rig.SendCount("new"), 1);
-  rig.now += 100ms;
-  rig.Step({rig.AttemptEnd("new", Outcome::kError)});
-  EXPECT_TRUE(rig.Failed("new"));
-  rig.Step({rig.AttemptEnd("held", Outcome::kRefused)});
-  EXPECT_TRUE(rig.Refused("held")) << "the new limit allows one attempt, which is used up";
+  harness.Step({NewSettings{settings}, harness.NewMessage("new", added)});
+  EXPECT_EQ(harness.SendCount("new"), 1);
+  harness.now += 100ms;
+  harness.Step({harness.AttemptEnd("new", Outcome::kError)});
+  EXPECT_TRUE(harness.Failed("new"));
+  harness.Step({harness.AttemptEnd("held", Outcome::kRefused)});
+  EXPECT_TRUE(harness.Refused("held")) << "the new limit allows one attempt, which is used up";
 }
 
 // ---- repeats by semantics and outcome ----
@@ -73,24 +73,24 @@
 
 TEST_P(RepeatRule, OnlySafeRepeatsAreSent) {
   const RepeatCase repeat_case = GetParam();
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", repeat_case.message_class)});
-  ASSERT_EQ(rig.SendCount("m1"), 1);
-  rig.now += 200ms;
-  rig.Step({rig.AttemptEnd("m1", repeat_case.outcome)});
-  rig.Advance(12s);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", repeat_case.message_class)});
+  ASSERT_EQ(harness.SendCount("m1"), 1);
+  harness.now += 200ms;
+  harness.Step({harness.AttemptEnd("m1", repeat_case.outcome)});
+  harness.Advance(12s);
   if (repeat_case.outcome == Outcome::kServed) {
-    EXPECT_EQ(rig.decider.held().messages, 0u);
-    EXPECT_FALSE(rig.Failed("m1") || rig.Refused("m1"));
-    EXPECT_EQ(rig.SendCount("m1"), 1);
+    EXPECT_EQ(harness.decider.held().messages, 0u);
+    EXPECT_FALSE(harness.Failed("m1") || harness.Refused("m1"));
+    EXPECT_EQ(harness.SendCount("m1"), 1);
   } else if (repeat_case.may_repeat) {
-    EXPECT_EQ(rig.SendCount("m1"), 2);
-    EXPECT_FALSE(rig.Failed("m1") || rig.Refused("m1"));
+    EXPECT_EQ(harness.SendCount("m1"), 2);
+    EXPECT_FALSE(harness.Failed("m1") || harness.Refused("m1"));
   } else {
-    EXPECT_EQ(rig.SendCount("m1"), 1);
-    EXPECT_TRUE(rig.Failed("m1"));
-    EXPECT_FALSE(rig.Refused("m1"));
+    EXPECT_EQ(harness.SendCount("m1"), 1);
+    EXPECT_TRUE(harness.Failed("m1"));
+    EXPECT_FALSE(harness.Refused("m1"));
   }
 }
 
@@ -112,134 +112,135 @@
 TEST(Deduplicated, IsNotRepeatedAfterTheRepeatWindow) {
   Settings settings = BasicSettings();
   settings.classes[1].repeat_window = 1s;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", 1)});
-  rig.now += 1100ms;
-  rig.Step({rig.AttemptEnd("m1", Outcome::kError)});
-  EXPECT_TRUE(rig.Failed("m1"));
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", 1)});
+  harness.now += 1100ms;
+  harness.Step({harness.AttemptEnd("m1", Outcome::kError)});
+  EXPECT_TRUE(harness.Failed("m1"));
 }
 
 TEST(Deduplicated, ARepeatDelayedBeyondTheWindowIsNotSent) {
   Settings settings = BasicSettings();
   settings.classes[1].repeat_window = 1s;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", 1), rig.NewMessage("m2", 0)});
-  rig.now += 200ms;
-  rig.Step({rig.AttemptEnd("m2", Outcome::kRefused, 0, 2s), rig.AttemptEnd("m1", Outcome::kError)});
-  rig.Advance(5s);
-  EXPECT_EQ(rig.SendCount("m1"), 1);
-  EXPECT_TRUE(rig.Failed("m1"));
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", 1), harness.NewMessage("m2", 0)});
+  harness.now += 200ms;
+  harness.Step(
+      {harness.AttemptEnd("m2", Outcome::kRefused, 0, 2s), harness.AttemptEnd("m1", Outcome::kError)});
+  harness.Advance(5s);
+  EXPECT_EQ(harness.SendCount("m1"), 1);
+  EXPECT_TRUE(harness.Failed("m1"));
 }
 
 TEST(Deduplicated, IsRepeatedInTheSameZone) {
   Settings settings = BasicSettings();
   settings.classes[1].repeats_bound_to_zone = true;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7, 0, 0), MakeEndpoint("b", 7, 0, 1)});
-  rig.Step({rig.NewMessage("m1", 1)});
-  const EndpointId first = rig.sent[0].endpoint;
-  rig.now += 200ms;
-  rig.Step({rig.AttemptEnd("m1", Outcome::kError)});
-  rig.Advance(12s);
-  ASSERT_EQ(rig.SendCount("m1"), 2);
-  EXPECT_EQ(rig.sent[1].endpoint, first);
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7, 0, 0), MakeEndpoint("b", 7, 0, 1)});
+  harness.Step({harness.NewMessage("m1", 1)});
+  const EndpointId first = harness.sent[0].endpoint;
+  harness.now += 200ms;
+  harness.Step({harness.AttemptEnd("m1", Outcome::kError)});
+  harness.Advance(12s);
+  ASSERT_EQ(harness.SendCount("m1"), 2);
+  EXPECT_EQ(harness.sent[1].endpoint, first);
 }
 
 // ---- retry budget ----
 
 TEST(RetryBudget, IsFullAtTheStartAndThenLimitsRepeats) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   // Every attempt ends with an error, and each message is repeated until the budget denies it. The total of
   // repeats is the initial budget plus what the first attempts earn.
   int repeats = 0;
   const int messages = 12;
   for (int i = 0; i < messages; ++i) {
-    rig.Step({rig.NewMessage(Id(i), 0)});
-    for (int k = 0; k < 40 && !rig.Failed(Id(i)); ++k) {
-      rig.Advance(500ms);
-      if (rig.SendCount(Id(i)) == 0) continue;
-      const int attempt = rig.SendCount(Id(i)) - 1;
-      rig.Step({rig.AttemptEnd(Id(i), Outcome::kError, attempt)});
+    harness.Step({harness.NewMessage(Id(i), 0)});
+    for (int k = 0; k < 40 && !harness.Failed(Id(i)); ++k) {
+      harness.Advance(500ms);
+      if (harness.SendCount(Id(i)) == 0) continue;
+      const int attempt = harness.SendCount(Id(i)) - 1;
+      harness.Step({harness.AttemptEnd(Id(i), Outcome::kError, attempt)});
     }
-    repeats += std::max(0, rig.SendCount(Id(i)) - 1);
+    repeats += std::max(0, harness.SendCount(Id(i)) - 1);
   }
   EXPECT_GE(repeats, 3);
   EXPECT_LE(repeats, 5 + messages / 3);
 }
 
 TEST(RetryBudget, AMessageWithoutATokenIsAnsweredImmediately) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   std::vector<Event> batch;
-  for (int i = 0; i < 8; ++i) batch.push_back(rig.NewMessage(Id(i), 2));
-  rig.Step(batch);
-  ASSERT_EQ(rig.sent.size(), 8u);
-  rig.now += 100ms;
+  for (int i = 0; i < 8; ++i) batch.push_back(harness.NewMessage(Id(i), 2));
+  harness.Step(batch);
+  ASSERT_EQ(harness.sent.size(), 8u);
+  harness.now += 100ms;
   batch.clear();
-  for (int i = 0; i < 8; ++i) batch.push_back(rig.AttemptEnd(Id(i), Outcome::kRefused));
-  rig.Step(batch);
+  for (int i = 0; i < 8; ++i) batch.push_back(harness.AttemptEnd(Id(i), Outcome::kRefused));
+  harness.Step(batch);
   // The bucket is full with 5 tokens, so the 8 x 0.3 tokens earned are lost: 5 repeats, and 3 messages are
   // refused in the same step.
-  EXPECT_EQ(rig.refused.size(), 3u);
-  for (const auto& [id, retry_after] : rig.refused) {
+  EXPECT_EQ(harness.refused.size(), 3u);
+  for (const auto& [id, retry_after] : harness.refused) {
     EXPECT_GT(retry_after, 0s);
     EXPECT_LE(retry_after, 3s);
   }
 }
 
 TEST(RetryBudget, BelongsToTheRouteWhereRoutesAreSeparate) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7, 1)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7, 1)});
   std::vector<Event> batch;
-  for (int i = 0; i < 8; ++i) batch.push_back(rig.NewMessage(Id(i), 0));
-  rig.Step(batch);
+  for (int i = 0; i < 8; ++i) batch.push_back(harness.NewMessage(Id(i), 0));
+  harness.Step(batch);
   batch.clear();
-  rig.now += 100ms;
-  for (int i = 0; i < 8; ++i) batch.push_back(rig.AttemptEnd(Id(i), Outcome::kRefused));
-  rig.Step(batch);
-  EXPECT_EQ(rig.refused.size(), 3u);
-  rig.UpdateList({MakeEndpoint("b", 7, 1)}, ListScope::kChanges);
-  rig.Advance(100ms);
+  harness.now += 100ms;
+  for (int i = 0; i < 8; ++i) batch.push_back(harness.AttemptEnd(Id(i), Outcome::kRefused));
+  harness.Step(batch);
+  EXPECT_EQ(harness.refused.size(), 3u);
+  harness.UpdateList({MakeEndpoint("b", 7, 1)}, ListScope::kChanges);
+  harness.Advance(100ms);
   std::size_t to_b = 0;
-  for (const Send& send : rig.sent) to_b += send.endpoint == "b";
+  for (const Send& send : harness.sent) to_b += send.endpoint == "b";
   EXPECT_GT(to_b, 0u) << "the other route has no gap and a full budget";
 }
 
 // ---- gap between calls ----
 
 TEST(Gap, DoublesOnRefusalsAndShrinksOnServedCalls) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   const auto gap_after = [&](const std::string& first, const std::string& second) {
-    rig.Step({rig.NewMessage(first, 0), rig.NewMessage(second, 0)});
-    rig.Advance(1s);
-    return rig.last_sent_at[second] - rig.last_sent_at[first];
+    harness.Step({harness.NewMessage(first, 0), harness.NewMessage(second, 0)});
+    harness.Advance(1s);
+    return harness.last_sent_at[second] - harness.last_sent_at[first];
   };
   EXPECT_EQ(gap_after("a1", "a2"), 0s);
-  rig.Step({rig.AttemptEnd("a1", Outcome::kServed), rig.AttemptEnd("a2", Outcome::kServed)});
+  harness.Step({harness.AttemptEnd("a1", Outcome::kServed), harness.AttemptEnd("a2", Outcome::kServed)});
   Time longest = 0s;
   for (int i = 0; i < 3; ++i) {
     const std::string id = "r" + std::to_string(i);
-    rig.Step({rig.NewMessage(id, 2)});
-    rig.Advance(1s);
-    rig.Step({rig.AttemptEnd(id, Outcome::kRefused)});
-    rig.Advance(1s);
-    ASSERT_EQ(rig.SendCount(id), 2);
-    rig.Step({rig.AttemptEnd(id, Outcome::kServed, 1)});
-    rig.Advance(1s);
+    harness.Step({harness.NewMessage(id, 2)});
+    harness.Advance(1s);
+    harness.Step({harness.AttemptEnd(id, Outcome::kRefused)});
+    harness.Advance(1s);
+    ASSERT_EQ(harness.SendCount(id), 2);
+    harness.Step({harness.AttemptEnd(id, Outcome::kServed, 1)});
+    harness.Advance(1s);
     const Time gap = gap_after("x" + std::to_string(i), "y" + std::to_string(i));
     EXPECT_GT(gap, longest * 2 / 3) << "each gap is drawn from 0.5 to 1.5 times its mean";
     longest = std::max(gap, longest);
-    rig.Step({rig.AttemptEnd("x" + std::to_string(i), Outcome::kServed),
-              rig.AttemptEnd("y" + std::to_string(i), Outcome::kServed)});
+    harness.Step({harness.AttemptEnd("x" + std::to_string(i), Outcome::kServed),
+                  harness.AttemptEnd("y" + std::to_string(i), Outcome::kServed)});
   }
   for (int i = 0; i < 60; ++i) {
-    rig.Step({rig.NewMessage("z" + std::to_string(i), 0)});
-    rig.Advance(1s);
-    rig.Step({rig.AttemptEnd("z" + std::to_string(i), Outcome::kServed)});
+    harness.Step({harness.NewMessage("z" + std::to_string(i), 0)});
+    harness.Advance(1s);
+    harness.Step({harness.AttemptEnd("z" + std::to_string(i), Outcome::kServed)});
   }
   EXPECT_EQ(gap_after("e1", "e2"), 0s);
 }
@@ -247,18 +248,18 @@
 // Guards against counting each refusal of one burst separately, which raised the gap to its maximum at once
 // (incident i7301d2).
 TEST(Gap, ABurstOfRefusalsWidensItOnce) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   std::vector<Event> batch;
-  for (int i = 0; i < 5; ++i) batch.push_back(rig.NewMessage(Id(i), 0));
-  rig.Step(batch);
-  rig.now += 100ms;
+  for (int i = 0; i < 5; ++i) batch.push_back(harness.NewMessage(Id(i), 0));
+  harness.Step(batch);
+  harness.now += 100ms;
   batch.clear();
-  for (int i = 0; i < 5; ++i) batch.push_back(rig.AttemptEnd(Id(i), Outcome::kRefused));
-  rig.Step(batch);
-  const std::size_t before = rig.sent.size();
-  rig.Advance(800ms);
-  EXPECT_EQ(rig.sent.size() - before, 5u);
+  for (int i = 0; i < 5; ++i) batch.push_back(harness.AttemptEnd(Id(i), Outcome::kRefused));
+  harness.Step(batch);
+  const std::size_t before = harness.sent.size();
+  harness.Advance(800ms);
+  EXPECT_EQ(harness.sent.size() - before, 5u);
 }
 
 // With hundreds of senders a gap of milliseconds limits nothing, and all of them called at the end of the
@@ -270,19 +271,19 @@
     Settings settings = BasicSettings();
     settings.senders = 100;
     settings.weights = WeightMeaning::kNominal;
-    Rig rig(settings, seed);
+    DeciderHarness harness(settings, seed);
     EndpointInfo endpoint = MakeEndpoint("a", 7);
     endpoint.weight = 60;  // calls a second of all senders: this one may make one call in 1.7 s
-    rig.UpdateList({endpoint});
-    rig.Step({rig.NewMessage("m1", 0)});
-    while (rig.SendCount("m1") == 0) rig.Advance(20ms);
-    rig.now += 100ms;
-    rig.Step({rig.AttemptEnd("m1", Outcome::kRefused, 0, 200ms)});
-    const Time refused_at = rig.now;
-    rig.Advance(15s);
-    ASSERT_EQ(rig.SendCount("m1"), 2);
-    shortest = std::min(shortest, rig.last_sent_at["m1"] - refused_at);
-    longest = std::max(longest, rig.last_sent_at["m1"] - refused_at);
+    harness.UpdateList({endpoint});
+    harness.Step({harness.NewMessage("m1", 0)});
+    while (harness.SendCount("m1") == 0) harness.Advance(20ms);
+    harness.now += 100ms;
+    harness.Step({harness.AttemptEnd("m1", Outcome::kRefused, 0, 200ms)});
+    const Time refused_at = harness.now;
+    harness.Advance(15s);
+    ASSERT_EQ(harness.SendCount("m1"), 2);
+    shortest = std::min(shortest, harness.last_sent_at["m1"] - refused_at);
+    longest = std::max(longest, harness.last_sent_at["m1"] - refused_at);
   }
   EXPECT_GE(shortest, 400ms);
   EXPECT_GE(longest - shortest, 400ms);
@@ -306,13 +307,13 @@
 TEST(Pacing, ABurstOverAllSendersFollowsTheLimitAndNotTheirNumber) {
   std::size_t at_once = 0, in_4s = 0;
   for (int rank = 0; rank < 100; ++rank) {
-    Rig rig(SettingsForSenders(100), static_cast<std::uint64_t>(rank + 1));
-    rig.UpdateList({EndpointWithLimit(40)});
-    rig.Advance(3s);
-    rig.Step({rig.NewMessage("m1", 0)});
-    at_once += rig.sent.size();
-    rig.Advance(4s);
-    in_4s += rig.sent.size();
+    DeciderHarness harness(SettingsForSenders(100), static_cast<std::uint64_t>(rank + 1));
+    harness.UpdateList({EndpointWithLimit(40)});
+    harness.Advance(3s);
+    harness.Step({harness.NewMessage("m1", 0)});
+    at_once += harness.sent.size();
+    harness.Advance(4s);
+    in_4s += harness.sent.size();
   }
   EXPECT_LE(at_once, 40u) << "a limit of 40 a second";
   EXPECT_GE(at_once, 10u) << "a sender may use a call slot that has just become due";
@@ -327,15 +328,15 @@
     for (int rank = 0; rank < 100; ++rank) {
       Settings settings = SettingsForSenders(senders);
       settings.rank = rank;
-      Rig rig(settings, static_cast<std::uint64_t>(rank + 1));
-      rig.UpdateList({EndpointWithLimit(3)});
-      rig.Advance(15s);
-      rig.Step({rig.NewMessage("m1", 0)});
-      rig.Advance(300ms);
-      in_300ms += rig.sent.size();
-      rig.Step({rig.NewMessage("m2", 0)});
-      rig.Advance(300ms);
-      second_in_300ms += rig.sent.size();
+      DeciderHarness harness(settings, static_cast<std::uint64_t>(rank + 1));
+      harness.UpdateList({EndpointWithLimit(3)});
+      harness.Advance(15s);
+      harness.Step({harness.NewMessage("m1", 0)});
+      harness.Advance(300ms);
+      in_300ms += harness.sent.size();
+      harness.Step({harness.NewMessage("m2", 0)});
+      harness.Advance(300ms);
+      second_in_300ms += harness.sent.size();
     }
     EXPECT_GE(in_300ms, 95u) << senders;
     EXPECT_LE(second_in_300ms, in_300ms + 10) << "the second message has to wait";
@@ -346,27 +347,28 @@
 // as well, so it served nothing at all while that went on.
 TEST(Pacing, ASmallShareIsKeptOnceCallsAreRefused) {
   constexpr int kSenders = 300;
-  std::vector<Rig> rigs;
+  std::vector<DeciderHarness> harnesses;
   for (int rank = 0; rank < kSenders; ++rank) {
-    rigs.emplace_back(SettingsForSenders(kSenders), static_cast<std::uint64_t>(rank + 1));
-    rigs.back().UpdateList({EndpointWithLimit(20)});  // the share of each sender is one call in 15 s
+    harnesses.emplace_back(SettingsForSenders(kSenders), static_cast<std::uint64_t>(rank + 1));
+    harnesses.back().UpdateList({EndpointWithLimit(20)});  // the share of each sender is one call in 15 s
   }
   double tokens = 7;  // the true limit is 14 a second, less than announced; a refused call takes a token too
   int created = 0, calls = 0, served = 0;
-  std::vector<std::size_t> ended(rigs.size());
+  std::vector<std::size_t> ended(harnesses.size());
   for (int tick = 0; tick < 1500; ++tick) {
     tokens = std::min(7.0, tokens + 14 * 0.02);
-    Rig& next = rigs[static_cast<std::size_t>(created) % rigs.size()];
+    DeciderHarness& next = harnesses[static_cast<std::size_t>(created) % harnesses.size()];
     next.Step({next.NewMessage(Id(created++), 0)});  // 50 a second
-    for (std::size_t i = 0; i < rigs.size(); ++i) {
-      Rig& rig = rigs[i];
-      rig.Advance(20ms);
-      for (; ended[i] < rig.sent.size(); ++ended[i]) {
-        const MessageId id = rig.sent[ended[i]].id;
+    for (std::size_t i = 0; i < harnesses.size(); ++i) {
+      DeciderHarness& harness = harnesses[i];
+      harness.Advance(20ms);
+      for (; ended[i] < harness.sent.size(); ++ended[i]) {
+        const MessageId id = harness.sent[ended[i]].id;
         const bool serves = tokens >= 1;
         tokens = std::max(0.0, tokens - 1);
         if (tick >= 1000) ++calls, served += serves;
-        rig.Step({rig.AttemptEnd(id, serves ? Outcome::kServed : Outcome::kRefused, rig.SendCount(id) - 1)});
+        harness.Step({harness.AttemptEnd(id, serves ? Outcome::kServed : Outcome::kRefused,
+                                         harness.SendCount(id) - 1)});
       }
     }
   }
@@ -376,13 +378,13 @@
 TEST(Pacing, UnusedCallsDoNotAccumulate) {
   std::size_t in_10s = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Rig rig(SettingsForSenders(100), seed);
-    rig.UpdateList({EndpointWithLimit(40)});
-    rig.Advance(60s);
-    for (int i = 0; i < 20; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
-    EXPECT_LE(rig.sent.size(), 1u);
-    rig.Advance(10s);
-    in_10s += rig.sent.size();
+    DeciderHarness harness(SettingsForSenders(100), seed);
+    harness.UpdateList({EndpointWithLimit(40)});
+    harness.Advance(60s);
+    for (int i = 0; i < 20; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
+    EXPECT_LE(harness.sent.size(), 1u);
+    harness.Advance(10s);
+    in_10s += harness.sent.size();
   }
   EXPECT_GE(in_10s, 40u) << "no call is answered, so some senders stop calling";
   EXPECT_LE(in_10s, 110u)
@@ -393,24 +395,24 @@
   const auto sent_in_20s = [](Outcome earlier_outcome) {
     std::size_t sends = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-      Rig rig(SettingsForSenders(100), seed);
-      rig.UpdateList({EndpointWithLimit(40)});
-      for (int i = 0; i < 60; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
+      DeciderHarness harness(SettingsForSenders(100), seed);
+      harness.UpdateList({EndpointWithLimit(40)});
+      for (int i = 0; i < 60; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
       std::size_t ended = 0;
       const auto advance = [&](Time span, Outcome outcome) {
-        for (const Time until = rig.now + span; rig.now < until;) {
-          rig.Advance(20ms);
-          for (; ended < rig.sent.size(); ++ended) {
-            const MessageId id = rig.sent[ended].id;
-            rig.Step({rig.AttemptEnd(id, outcome, rig.SendCount(id) - 1)});
+        for (const Time until = harness.now + span; harness.now < until;) {
+          harness.Advance(20ms);
+          for (; ended < harness.sent.size(); ++ended) {
+            const MessageId id = harness.sent[ended].id;
+            harness.Step({harness.AttemptEnd(id, outcome, harness.SendCount(id) - 1)});
           }
         }
       };
       advance(10s, earlier_outcome);
-      const std::size_t sent_before = rig.sent.size();
-      for (int i = 60; i < 90; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
+      const std::size_t sent_before = harness.sent.size();
+      for (int i = 60; i < 90; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
       advance(8s, Outcome::kServed);
-      sends += rig.sent.size() - sent_before;
+      sends += harness.sent.size() - sent_before;
     }
     return sends;
   };
@@ -418,80 +420,80 @@
 }
 
 TEST(Pacing, DoesNotDelayABurstInASmallFleet) {
-  Rig rig(SettingsForSenders(3));
-  rig.UpdateList({EndpointWithLimit(40)});
-  rig.Advance(1s);
-  for (int i = 0; i < 5; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
-  rig.Advance(200ms);
-  EXPECT_EQ(rig.sent.size(), 5u);
+  DeciderHarness harness(SettingsForSenders(3));
+  harness.UpdateList({EndpointWithLimit(40)});
+  harness.Advance(1s);
+  for (int i = 0; i < 5; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
+  harness.Advance(200ms);
+  EXPECT_EQ(harness.sent.size(), 5u);
 }
 
 // ---- retry-after ----
 
 TEST(RetryAfter, StopsSendingToTheWholeDestination) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7), MakeEndpoint("c", 8)});
-  rig.Step({rig.NewMessage("m1", 0)});
-  rig.now += 100ms;
-  rig.Step({rig.AttemptEnd("m1", Outcome::kRefused, 0, 1500ms), rig.NewMessage("m2", 0),
-            rig.NewMessage("other", 0, 8)});
-  EXPECT_EQ(rig.SendCount("other"), 1);
-  const Time refused_at = rig.now;
-  rig.Advance(4s);
-  EXPECT_EQ(rig.SendCount("m2"), 1);
-  EXPECT_GE(rig.last_sent_at["m1"], refused_at + 1500ms);
-  EXPECT_GE(rig.last_sent_at["m2"], refused_at + 1500ms);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7), MakeEndpoint("c", 8)});
+  harness.Step({harness.NewMessage("m1", 0)});
+  harness.now += 100ms;
+  harness.Step({harness.AttemptEnd("m1", Outcome::kRefused, 0, 1500ms), harness.NewMessage("m2", 0),
+                harness.NewMessage("other", 0, 8)});
+  EXPECT_EQ(harness.SendCount("other"), 1);
+  const Time refused_at = harness.now;
+  harness.Advance(4s);
+  EXPECT_EQ(harness.SendCount("m2"), 1);
+  EXPECT_GE(harness.last_sent_at["m1"], refused_at + 1500ms);
+  EXPECT_GE(harness.last_sent_at["m2"], refused_at + 1500ms);
 }
 
 TEST(RetryAfter, AppliesToOneRouteWhereRoutesAreSeparate) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7, 1), MakeEndpoint("b", 7, 1)});
-  rig.Step({rig.NewMessage("m1", 0)});
-  const EndpointId first = rig.sent[0].endpoint;
-  rig.now += 100ms;
-  rig.Step({rig.AttemptEnd("m1", Outcome::kRefused, 0, 5s)});
-  rig.Advance(1s);
-  ASSERT_EQ(rig.SendCount("m1"), 2);
-  EXPECT_NE(rig.sent[1].endpoint, first);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7, 1), MakeEndpoint("b", 7, 1)});
+  harness.Step({harness.NewMessage("m1", 0)});
+  const EndpointId first = harness.sent[0].endpoint;
+  harness.now += 100ms;
+  harness.Step({harness.AttemptEnd("m1", Outcome::kRefused, 0, 5s)});
+  harness.Advance(1s);
+  ASSERT_EQ(harness.SendCount("m1"), 2);
+  EXPECT_NE(harness.sent[1].endpoint, first);
 }
 
 // ---- health and slow start ----
 
-// Sends `count` messages and ends all calls with `outcome` until the rig sends no more of them.
-void CauseOutage(Rig& rig, Outcome outcome, int count = 3) {
-  const std::size_t before = rig.sent.size();
-  for (int i = 0; i < count; ++i) rig.Step({rig.NewMessage("b" + std::to_string(i), 0)});
+// Sends `count` messages and ends all calls with `outcome` until the harness sends no more of them.
+void CauseOutage(DeciderHarness& harness, Outcome outcome, int count = 3) {
+  const std::size_t before = harness.sent.size();
+  for (int i = 0; i < count; ++i) harness.Step({harness.NewMessage("b" + std::to_string(i), 0)});
   // One of many senders has to wait until its share of the limit allows a call.
-  for (int i = 0; i < 1000 && rig.sent.size() == before; ++i) rig.Advance(20ms);
-  for (std::size_t answered = 0; answered < rig.sent.size(); ++answered) {
-    rig.now += 50ms;
-    const std::string id = rig.sent[answered].id;
-    rig.Step({rig.AttemptEnd(id, outcome, rig.SendCount(id) - 1)});
+  for (int i = 0; i < 1000 && harness.sent.size() == before; ++i) harness.Advance(20ms);
+  for (std::size_t answered = 0; answered < harness.sent.size(); ++answered) {
+    harness.now += 50ms;
+    const std::string id = harness.sent[answered].id;
+    harness.Step({harness.AttemptEnd(id, outcome, harness.SendCount(id) - 1)});
   }
 }
 
 TEST(Health, NewMessagesAreHeldWhileADestinationIsDown) {
   for (const Outcome outcome :
        {Outcome::kNoConnection, Outcome::kError, Outcome::kReset, Outcome::kTimedOut}) {
-    Rig rig;
-    rig.UpdateList({MakeEndpoint("a", 7)});
-    CauseOutage(rig, outcome);
-    const std::size_t before = rig.sent.size();
-    for (int i = 0; i < 10; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
-    rig.Advance(100ms);
-    EXPECT_EQ(rig.sent.size(), before) << static_cast<int>(outcome);
-    EXPECT_TRUE(rig.refused.empty());
+    DeciderHarness harness;
+    harness.UpdateList({MakeEndpoint("a", 7)});
+    CauseOutage(harness, outcome);
+    const std::size_t before = harness.sent.size();
+    for (int i = 0; i < 10; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
+    harness.Advance(100ms);
+    EXPECT_EQ(harness.sent.size(), before) << static_cast<int>(outcome);
+    EXPECT_TRUE(harness.refused.empty());
   }
 }
 
 TEST(Health, SilenceIsNoticedBeforeAnyTimeout) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", 2), rig.NewMessage("m2", 2)});
-  rig.Advance(2500ms);
-  rig.Step({rig.NewMessage("m3", 2)});
-  rig.Advance(400ms);
-  EXPECT_EQ(rig.SendCount("m3"), 0);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", 2), harness.NewMessage("m2", 2)});
+  harness.Advance(2500ms);
+  harness.Step({harness.NewMessage("m3", 2)});
+  harness.Advance(400ms);
+  EXPECT_EQ(harness.SendCount("m3"), 0);
 }
 
 // Idle connections of hundreds of senders filled the connection tables of the endpoints, and the connects
@@ -499,66 +501,67 @@
 TEST(Connections, IdleOnesAreClosedAfterAFailedConnectWhichIsNoOutage) {
   Settings settings = BasicSettings();
   settings.keepalive = 10s;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8)});
-  rig.Step({rig.NewMessage("m1", 0), rig.NewMessage("n1", 0, 8)});
-  rig.now += 50ms;
-  rig.Step({rig.AttemptEnd("m1", Outcome::kNoConnection), rig.AttemptEnd("n1", Outcome::kServed)});
-  EXPECT_EQ(rig.CountActions<CloseIdle>(), 0);
-  rig.Advance(2s);
-  ASSERT_EQ(rig.SendCount("m1"), 2) << "one failed connect is retried";
-  rig.Step({rig.AttemptEnd("m1", Outcome::kServed, 1)});
-  rig.Step({rig.NewMessage("n2", 0, 8)});
-  rig.now += 50ms;
-  rig.Step({rig.AttemptEnd("n2", Outcome::kServed)});
-  EXPECT_EQ(rig.CountActions<CloseIdle>(), 1)
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8)});
+  harness.Step({harness.NewMessage("m1", 0), harness.NewMessage("n1", 0, 8)});
+  harness.now += 50ms;
+  harness.Step(
+      {harness.AttemptEnd("m1", Outcome::kNoConnection), harness.AttemptEnd("n1", Outcome::kServed)});
+  EXPECT_EQ(harness.CountActions<CloseIdle>(), 0);
+  harness.Advance(2s);
+  ASSERT_EQ(harness.SendCount("m1"), 2) << "one failed connect is retried";
+  harness.Step({harness.AttemptEnd("m1", Outcome::kServed, 1)});
+  harness.Step({harness.NewMessage("n2", 0, 8)});
+  harness.now += 50ms;
+  harness.Step({harness.AttemptEnd("n2", Outcome::kServed)});
+  EXPECT_EQ(harness.CountActions<CloseIdle>(), 1)
       << "idle connections to other endpoints of the kind are closed, too";
-  rig.Step({rig.NewMessage("n3", 0, 8)});
-  rig.now += 50ms;
-  rig.Step({rig.AttemptEnd("n3", Outcome::kNoConnection), rig.NewMessage("n4", 0, 8)});
-  EXPECT_EQ(rig.SendCount("n4"), 1) << "not down";
+  harness.Step({harness.NewMessage("n3", 0, 8)});
+  harness.now += 50ms;
+  harness.Step({harness.AttemptEnd("n3", Outcome::kNoConnection), harness.NewMessage("n4", 0, 8)});
+  EXPECT_EQ(harness.SendCount("n4"), 1) << "not down";
 }
 
 // After a single failed connect and failed probes, the whole backlog was sent on the first successful probe.
 TEST(SlowStart, AppliesAfterFailedProbesThoughOnlyOneConnectFailed) {
   Settings settings = BasicSettings();
   settings.may_probe = true;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", 0)});
-  rig.now += 50ms;
-  rig.Step({rig.AttemptEnd("m1", Outcome::kNoConnection)});
-  for (int i = 0; i < 20; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", 0)});
+  harness.now += 50ms;
+  harness.Step({harness.AttemptEnd("m1", Outcome::kNoConnection)});
+  for (int i = 0; i < 20; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
   for (int answered = 0; answered < 2;) {
-    rig.Advance(20ms);
-    if (rig.CountActions<Probe>() == 0) continue;
+    harness.Advance(20ms);
+    if (harness.CountActions<Probe>() == 0) continue;
     ProbeEnded p;
     p.endpoint = "a";
     p.outcome = answered++ == 0 ? Outcome::kNoConnection : Outcome::kServed;
-    rig.now += 20ms;
-    rig.Step({p});
+    harness.now += 20ms;
+    harness.Step({p});
   }
-  rig.Advance(500ms);
-  EXPECT_LE(rig.sent.size(), 3u);
+  harness.Advance(500ms);
+  EXPECT_LE(harness.sent.size(), 3u);
 }
 
 // One endpoint failed a single message class, counted as healthy again for serving another, and so was sent
 // payment after payment that failed.
 TEST(Health, AClassThatFailsAtOneEndpointIsSentToTheOthers) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7)});
   int to_failing = 0;
   for (int i = 0; i < 40; ++i) {
     for (const int message_class : {0, 2}) {
       const std::string id = Id(i) + "c" + std::to_string(message_class);
-      rig.Step({rig.NewMessage(id, message_class)});
-      if (rig.SendCount(id) == 0) continue;
-      const bool fails = message_class == 2 && rig.sent.back().endpoint == "a";
+      harness.Step({harness.NewMessage(id, message_class)});
+      if (harness.SendCount(id) == 0) continue;
+      const bool fails = message_class == 2 && harness.sent.back().endpoint == "a";
       to_failing += fails;
-      rig.now += 50ms;
-      rig.Step({rig.AttemptEnd(id, fails ? Outcome::kError : Outcome::kServed)});
+      harness.now += 50ms;
+      harness.Step({harness.AttemptEnd(id, fails ? Outcome::kError : Outcome::kServed)});
     }
-    rig.Advance(200ms);
+    harness.Advance(200ms);
   }
   EXPECT_GE(to_failing, 1);
   EXPECT_LE(to_failing, 2) << "8 s pass, and a retry is due after 7 to 22 s";
@@ -566,58 +569,58 @@
 
 // Where calls are rare, a slow response was taken for silence.
 TEST(Health, OneSlowResponseDoesNotCountAsSilence) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("slow", 2)});
-  rig.Advance(2500ms);
-  rig.Step({rig.NewMessage("next", 2)});
-  EXPECT_EQ(rig.SendCount("next"), 1);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("slow", 2)});
+  harness.Advance(2500ms);
+  harness.Step({harness.NewMessage("next", 2)});
+  EXPECT_EQ(harness.SendCount("next"), 1);
 }
 
 // One call that never ends does not count as silence while calls sent later are served, however few they are.
 TEST(Health, OneHungCallAmongServedOnesDoesNotCountAsSilence) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("hung", 2)});
-  rig.Advance(1s);
-  rig.Step({rig.NewMessage("m1", 2)});
-  rig.Advance(100ms);
-  rig.Step({rig.AttemptEnd("m1", Outcome::kServed)});
-  rig.Advance(8s);
-  rig.Step({rig.NewMessage("m2", 2)});
-  EXPECT_EQ(rig.SendCount("m2"), 1);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("hung", 2)});
+  harness.Advance(1s);
+  harness.Step({harness.NewMessage("m1", 2)});
+  harness.Advance(100ms);
+  harness.Step({harness.AttemptEnd("m1", Outcome::kServed)});
+  harness.Advance(8s);
+  harness.Step({harness.NewMessage("m2", 2)});
+  EXPECT_EQ(harness.SendCount("m2"), 1);
 }
 
 TEST(Health, PersistentRefusalsCountAsAnOutage) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   for (int i = 0; i < 5; ++i) {
-    rig.Step({rig.NewMessage(Id(i), 2)});
-    rig.Advance(800ms);
-    rig.Step({rig.AttemptEnd(Id(i), Outcome::kRefused, rig.SendCount(Id(i)) - 1)});
+    harness.Step({harness.NewMessage(Id(i), 2)});
+    harness.Advance(800ms);
+    harness.Step({harness.AttemptEnd(Id(i), Outcome::kRefused, harness.SendCount(Id(i)) - 1)});
   }
-  const std::size_t before = rig.sent.size();
-  rig.Advance(400ms);
-  EXPECT_EQ(rig.sent.size(), before);
+  const std::size_t before = harness.sent.size();
+  harness.Advance(400ms);
+  EXPECT_EQ(harness.sent.size(), before);
 }
 
 TEST(Health, ADownEndpointIsProbedIfAllowedAndOtherwiseTriedWithOneMessage) {
   Settings settings = BasicSettings();
   settings.may_probe = true;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  CauseOutage(rig, Outcome::kNoConnection);
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  CauseOutage(harness, Outcome::kNoConnection);
   int probes = 0;
-  const std::size_t before = rig.sent.size();
-  rig.Step({rig.NewMessage("held", 0)});
+  const std::size_t before = harness.sent.size();
+  harness.Step({harness.NewMessage("held", 0)});
   for (int i = 0; i < 900; ++i) {
-    rig.Advance(20ms);
-    probes += rig.CountActions<Probe>();
+    harness.Advance(20ms);
+    probes += harness.CountActions<Probe>();
   }
   EXPECT_EQ(probes, 1) << "one probe at a time";
-  EXPECT_EQ(rig.sent.size(), before);
+  EXPECT_EQ(harness.sent.size(), before);
 
-  Rig other;
+  DeciderHarness other;
   other.UpdateList({MakeEndpoint("a", 7)});
   CauseOutage(other, Outcome::kNoConnection);
   const std::size_t sent = other.sent.size();
@@ -628,34 +631,34 @@
 }
 
 TEST(Health, AnAtMostOnceMessageIsNoTrialWhereFailuresMayHaveRun) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  CauseOutage(rig, Outcome::kTimedOut);
-  rig.Step({rig.NewMessage("u", 2)});
-  rig.Advance(1s);
-  EXPECT_EQ(rig.SendCount("u"), 0);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  CauseOutage(harness, Outcome::kTimedOut);
+  harness.Step({harness.NewMessage("u", 2)});
+  harness.Advance(1s);
+  EXPECT_EQ(harness.SendCount("u"), 0);
 }
 
 // While other endpoints were healthy, one that had been down was never tried again (incident i7301d2).
 TEST(Health, ADownEndpointIsTriedAgainThoughOthersAreHealthy) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7)});
   std::size_t to_a = 0;
   std::size_t answered = 0;
   for (int i = 0; i < 40; ++i) {
-    rig.Step({rig.NewMessage(Id(i), 0), rig.NewMessage("x" + Id(i), 0), rig.NewMessage("y" + Id(i), 0),
-              rig.NewMessage("z" + Id(i), 0), rig.NewMessage("v" + Id(i), 0),
-              rig.NewMessage("w" + Id(i), 0)});
-    for (; answered < rig.sent.size(); ++answered) {
-      rig.now += 20ms;
-      const Send send = rig.sent[answered];
-      AttemptEnded e =
-          rig.AttemptEnd(send.id, send.endpoint == "a" && i < 15 ? Outcome::kNoConnection : Outcome::kServed,
-                         rig.SendCount(send.id) - 1);
+    harness.Step({harness.NewMessage(Id(i), 0), harness.NewMessage("x" + Id(i), 0),
+                  harness.NewMessage("y" + Id(i), 0), harness.NewMessage("z" + Id(i), 0),
+                  harness.NewMessage("v" + Id(i), 0), harness.NewMessage("w" + Id(i), 0)});
+    for (; answered < harness.sent.size(); ++answered) {
+      harness.now += 20ms;
+      const Send send = harness.sent[answered];
+      AttemptEnded e = harness.AttemptEnd(
+          send.id, send.endpoint == "a" && i < 15 ? Outcome::kNoConnection : Outcome::kServed,
+          harness.SendCount(send.id) - 1);
       to_a += i >= 15 && send.endpoint == "a";
-      rig.Step({e});
+      harness.Step({e});
     }
-    rig.Advance(200ms);
+    harness.Advance(200ms);
   }
   EXPECT_GE(to_a, 1u);
 }
@@ -663,67 +666,68 @@
 // A quarter of all calls went unanswered, and two in a row were enough to count the destination as down
 // (incident i905726).
 TEST(Health, AFewFailuresInARowAreNoOutageWhereSomeCallsAlwaysFail) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   for (int i = 0; i < 80; ++i) {
-    rig.Step({rig.NewMessage(Id(i), 2)});
-    rig.now += 100ms;
-    rig.Step({rig.AttemptEnd(Id(i), i % 4 == 3 ? Outcome::kError : Outcome::kServed)});
+    harness.Step({harness.NewMessage(Id(i), 2)});
+    harness.now += 100ms;
+    harness.Step({harness.AttemptEnd(Id(i), i % 4 == 3 ? Outcome::kError : Outcome::kServed)});
   }
   for (int i = 80; i < 82; ++i) {
-    rig.Step({rig.NewMessage(Id(i), 2)});
-    rig.now += 100ms;
-    rig.Step({rig.AttemptEnd(Id(i), Outcome::kError)});
+    harness.Step({harness.NewMessage(Id(i), 2)});
+    harness.now += 100ms;
+    harness.Step({harness.AttemptEnd(Id(i), Outcome::kError)});
   }
-  rig.Step({rig.NewMessage("next", 2)});
-  EXPECT_EQ(rig.SendCount("next"), 1);
+  harness.Step({harness.NewMessage("next", 2)});
+  EXPECT_EQ(harness.SendCount("next"), 1);
 }
 
 TEST(SlowStart, TheFirstServedCallReleasesNoBurst) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  CauseOutage(rig, Outcome::kError);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  CauseOutage(harness, Outcome::kError);
   std::vector<Event> batch;
-  for (int i = 0; i < 40; ++i) batch.push_back(rig.NewMessage(Id(i), 0));
-  rig.Step(batch);
-  const std::size_t before = rig.sent.size();
-  for (int i = 0; i < 200 && rig.sent.size() == before; ++i) rig.Advance(20ms);
-  ASSERT_EQ(rig.sent.size(), before + 1);
-  const std::string trial = rig.sent.back().id;
-  rig.Step({rig.AttemptEnd(trial, Outcome::kServed, rig.SendCount(trial) - 1)});
-  std::size_t answered = rig.sent.size();
+  for (int i = 0; i < 40; ++i) batch.push_back(harness.NewMessage(Id(i), 0));
+  harness.Step(batch);
+  const std::size_t before = harness.sent.size();
+  for (int i = 0; i < 200 && harness.sent.size() == before; ++i) harness.Advance(20ms);
+  ASSERT_EQ(harness.sent.size(), before + 1);
+  const std::string trial = harness.sent.back().id;
+  harness.Step({harness.AttemptEnd(trial, Outcome::kServed, harness.SendCount(trial) - 1)});
+  std::size_t answered = harness.sent.size();
   for (int i = 0; i < 20; ++i) {
-    rig.Advance(100ms);
-    for (; answered < rig.sent.size(); ++answered) {
-      const std::string& id = rig.sent[answered].id;
-      rig.Step({rig.AttemptEnd(id, Outcome::kServed, rig.SendCount(id) - 1)});
+    harness.Advance(100ms);
+    for (; answered < harness.sent.size(); ++answered) {
+      const std::string& id = harness.sent[answered].id;
+      harness.Step({harness.AttemptEnd(id, Outcome::kServed, harness.SendCount(id) - 1)});
     }
   }
-  EXPECT_LE(rig.sent.size(), before + 6) << "2 s after the return";
+  EXPECT_LE(harness.sent.size(), before + 6) << "2 s after the return";
   for (int i = 0; i < 150; ++i) {
-    rig.Advance(100ms);
-    for (; answered < rig.sent.size(); ++answered) {
-      const std::string& id = rig.sent[answered].id;
-      rig.Step({rig.AttemptEnd(id, Outcome::kServed, rig.SendCount(id) - 1)});
+    harness.Advance(100ms);
+    for (; answered < harness.sent.size(); ++answered) {
+      const std::string& id = harness.sent[answered].id;
+      harness.Step({harness.AttemptEnd(id, Outcome::kServed, harness.SendCount(id) - 1)});
     }
   }
-  EXPECT_GE(rig.sent.size(), before + 20) << "at full capacity again; sent: " << rig.sent.size() - before;
+  EXPECT_GE(harness.sent.size(), before + 20)
+      << "at full capacity again; sent: " << harness.sent.size() - before;
 }
 
 // At a few calls a minute, waiting for a second failure takes too long.
 TEST(Health, OneFailureCountsAsAnOutageIfNoCallWasServedRecently) {
   for (const Time idle : {Time(500ms), Time(5s)}) {
-    Rig rig;
-    rig.UpdateList({MakeEndpoint("a", 7)});
-    rig.Step({rig.NewMessage("m1", 2)});
-    rig.now += 100ms;
-    rig.Step({rig.AttemptEnd("m1", Outcome::kServed)});
-    rig.now += idle;
-    rig.Step({rig.NewMessage("m2", 2)});
-    rig.now += 100ms;
-    rig.Step({rig.AttemptEnd("m2", Outcome::kError)});
-    rig.Step({rig.NewMessage("m3", 2)});
-    EXPECT_EQ(rig.SendCount("m3"), idle < 1s ? 1 : 0);
+    DeciderHarness harness;
+    harness.UpdateList({MakeEndpoint("a", 7)});
+    harness.Step({harness.NewMessage("m1", 2)});
+    harness.now += 100ms;
+    harness.Step({harness.AttemptEnd("m1", Outcome::kServed)});
+    harness.now += idle;
+    harness.Step({harness.NewMessage("m2", 2)});
+    harness.now += 100ms;
+    harness.Step({harness.AttemptEnd("m2", Outcome::kError)});
+    harness.Step({harness.NewMessage("m3", 2)});
+    EXPECT_EQ(harness.SendCount("m3"), idle < 1s ? 1 : 0);
   }
 }
 
@@ -737,22 +741,22 @@
     int sends = 0;
     for (int rank = 0; rank < senders; ++rank) {
       settings.rank = rank;
-      Rig rig(settings, static_cast<std::uint64_t>(rank + 1));
+      DeciderHarness harness(settings, static_cast<std::uint64_t>(rank + 1));
       EndpointInfo endpoint = MakeEndpoint("a", 7);
       endpoint.weight = 6;  // calls a second of all senders
-      rig.UpdateList({endpoint});
-      CauseOutage(rig, Outcome::kNoConnection, 2);
-      const std::size_t before = rig.sent.size();
-      for (int i = 0; i < 60 / senders; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
+      harness.UpdateList({endpoint});
+      CauseOutage(harness, Outcome::kNoConnection, 2);
+      const std::size_t before = harness.sent.size();
+      for (int i = 0; i < 60 / senders; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
       for (int i = 0; i < 100; ++i) {
-        const std::size_t answered = rig.sent.size();
-        rig.Advance(100ms);
-        for (std::size_t k = answered; k < rig.sent.size(); ++k) {
-          const std::string id = rig.sent[k].id;
-          rig.Step({rig.AttemptEnd(id, Outcome::kNoConnection, rig.SendCount(id) - 1)});
+        const std::size_t answered = harness.sent.size();
+        harness.Advance(100ms);
+        for (std::size_t k = answered; k < harness.sent.size(); ++k) {
+          const std::string id = harness.sent[k].id;
+          harness.Step({harness.AttemptEnd(id, Outcome::kNoConnection, harness.SendCount(id) - 1)});
         }
       }
-      sends += static_cast<int>(rig.sent.size() - before);
+      sends += static_cast<int>(harness.sent.size() - before);
     }
     return sends;
   };
@@ -765,20 +769,20 @@
 TEST(Slots, UnansweredCallsAreCancelledWhenOthersNeedTheirSlots) {
   Settings settings = BasicSettings();
   settings.slots = 4;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8), MakeEndpoint("c", 9)});
-  rig.Step({rig.NewMessage("s1", 2, 7), rig.NewMessage("s2", 2, 7), rig.NewMessage("t1", 2, 8),
-            rig.NewMessage("t2", 2, 8)});
-  ASSERT_EQ(rig.sent.size(), 4u);
-  rig.Advance(2500ms);
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8), MakeEndpoint("c", 9)});
+  harness.Step({harness.NewMessage("s1", 2, 7), harness.NewMessage("s2", 2, 7),
+                harness.NewMessage("t1", 2, 8), harness.NewMessage("t2", 2, 8)});
+  ASSERT_EQ(harness.sent.size(), 4u);
+  harness.Advance(2500ms);
   int cancels = 0;
-  rig.Step({rig.NewMessage("h", 0, 9)});
-  cancels += rig.CountActions<Cancel>();
-  EXPECT_EQ(rig.SendCount("h"), 0);
+  harness.Step({harness.NewMessage("h", 0, 9)});
+  cancels += harness.CountActions<Cancel>();
+  EXPECT_EQ(harness.SendCount("h"), 0);
   EXPECT_EQ(cancels, 1) << "as many as are needed, and no more";
-  rig.Step({rig.AttemptEnd("s1", Outcome::kCancelled)});
-  EXPECT_EQ(rig.SendCount("h"), 1);
-  EXPECT_TRUE(rig.Failed("s1"));
+  harness.Step({harness.AttemptEnd("s1", Outcome::kCancelled)});
+  EXPECT_EQ(harness.SendCount("h"), 1);
+  EXPECT_TRUE(harness.Failed("s1"));
 }
 
 // Calls whose response was lost held the slots, while their endpoints went on serving others (incident
@@ -786,15 +790,16 @@
 TEST(Slots, LostCallsToAServingEndpointAreCancelledLater) {
   Settings settings = BasicSettings();
   settings.slots = 3;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8), MakeEndpoint("c", 9)});
-  rig.Step({rig.NewMessage("lost1", 2, 7), rig.NewMessage("lost2", 2, 7), rig.NewMessage("lost3", 2, 9)});
-  ASSERT_EQ(rig.sent.size(), 3u);
-  rig.Step({rig.NewMessage("h", 0, 8)});
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8), MakeEndpoint("c", 9)});
+  harness.Step({harness.NewMessage("lost1", 2, 7), harness.NewMessage("lost2", 2, 7),
+                harness.NewMessage("lost3", 2, 9)});
+  ASSERT_EQ(harness.sent.size(), 3u);
+  harness.Step({harness.NewMessage("h", 0, 8)});
   int cancels = 0;
   for (int i = 0; i < 300; ++i) {
-    rig.Advance(20ms);
-    cancels += rig.CountActions<Cancel>();
+    harness.Advance(20ms);
+    cancels += harness.CountActions<Cancel>();
   }
   EXPECT_EQ(cancels, 1);
 }
@@ -804,62 +809,62 @@
 TEST(Slots, OneDestinationNeverHoldsAll) {
   Settings settings = BasicSettings();
   settings.slots = 10;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8)});
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8)});
   std::vector<Event> batch;
-  for (int i = 0; i < 30; ++i) batch.push_back(rig.NewMessage(Id(i), 0));
-  rig.Step(batch);
-  EXPECT_LT(rig.sent.size(), 10u);
-  rig.Step({rig.NewMessage("other", 0, 8)});
-  EXPECT_EQ(rig.SendCount("other"), 1);
+  for (int i = 0; i < 30; ++i) batch.push_back(harness.NewMessage(Id(i), 0));
+  harness.Step(batch);
+  EXPECT_LT(harness.sent.size(), 10u);
+  harness.Step({harness.NewMessage("other", 0, 8)});
+  EXPECT_EQ(harness.SendCount("other"), 1);
 }
 
 // ---- order ----
 
-Message OrderedMessage(const Rig& rig, const std::string& id, const std::string& key) {
-  Message message = rig.NewMessage(id, 3);
+Message OrderedMessage(const DeciderHarness& harness, const std::string& id, const std::string& key) {
+  Message message = harness.NewMessage(id, 3);
   message.key = key;
   return message;
 }
 
 TEST(Order, MessagesOfOneKeyAreSentInTurnAndAfterTheSettleTime) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({OrderedMessage(rig, "k1", "k"), OrderedMessage(rig, "k2", "k"), OrderedMessage(rig, "k3", "k"),
-            OrderedMessage(rig, "l1", "l")});
-  EXPECT_EQ(rig.SendCount("k1"), 1);
-  EXPECT_EQ(rig.SendCount("k2"), 0);
-  EXPECT_EQ(rig.SendCount("l1"), 1);
-  rig.now += 100ms;
-  rig.Step({rig.AttemptEnd("k1", Outcome::kServed)});
-  EXPECT_EQ(rig.SendCount("k2"), 1);
-  EXPECT_EQ(rig.SendCount("k3"), 0);
-  rig.now += 100ms;
-  rig.Step({rig.AttemptEnd("k2", Outcome::kReset)});
-  EXPECT_TRUE(rig.Failed("k2"));
-  const Time reset_at = rig.now;
-  rig.Advance(1s);
-  EXPECT_EQ(rig.SendCount("k3"), 1);
-  EXPECT_GE(rig.last_sent_at["k3"], reset_at + 300ms);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({OrderedMessage(harness, "k1", "k"), OrderedMessage(harness, "k2", "k"),
+                OrderedMessage(harness, "k3", "k"), OrderedMessage(harness, "l1", "l")});
+  EXPECT_EQ(harness.SendCount("k1"), 1);
+  EXPECT_EQ(harness.SendCount("k2"), 0);
+  EXPECT_EQ(harness.SendCount("l1"), 1);
+  harness.now += 100ms;
+  harness.Step({harness.AttemptEnd("k1", Outcome::kServed)});
+  EXPECT_EQ(harness.SendCount("k2"), 1);
+  EXPECT_EQ(harness.SendCount("k3"), 0);
+  harness.now += 100ms;
+  harness.Step({harness.AttemptEnd("k2", Outcome::kReset)});
+  EXPECT_TRUE(harness.Failed("k2"));
+  const Time reset_at = harness.now;
+  harness.Advance(1s);
+  EXPECT_EQ(harness.SendCount("k3"), 1);
+  EXPECT_GE(harness.last_sent_at["k3"], reset_at + 300ms);
 }
 
 TEST(Order, AWithdrawnMessageBlocksItsKeyUntilTheAttemptEnds) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({OrderedMessage(rig, "k1", "k"), OrderedMessage(rig, "k2", "k")});
-  rig.Step({Withdrawn{"k1"}});
-  EXPECT_EQ(rig.CountActions<Cancel>(), 1);
-  rig.Advance(1s);
-  EXPECT_EQ(rig.SendCount("k2"), 0);
-  AttemptEnded end = rig.AttemptEnd("k1", Outcome::kCancelled);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({OrderedMessage(harness, "k1", "k"), OrderedMessage(harness, "k2", "k")});
+  harness.Step({Withdrawn{"k1"}});
+  EXPECT_EQ(harness.CountActions<Cancel>(), 1);
+  harness.Advance(1s);
+  EXPECT_EQ(harness.SendCount("k2"), 0);
+  AttemptEnded end = harness.AttemptEnd("k1", Outcome::kCancelled);
   end.closed = true;
-  rig.Step({end});
-  EXPECT_EQ(rig.SendCount("k2"), 0);
-  rig.Advance(400ms);
-  EXPECT_EQ(rig.SendCount("k2"), 1);
-  rig.Step({rig.AttemptEnd("k2", Outcome::kServed)});
-  rig.Advance(1s);
-  EXPECT_EQ(rig.decider.held().keys, 0u);
+  harness.Step({end});
+  EXPECT_EQ(harness.SendCount("k2"), 0);
+  harness.Advance(400ms);
+  EXPECT_EQ(harness.SendCount("k2"), 1);
+  harness.Step({harness.AttemptEnd("k2", Outcome::kServed)});
+  harness.Advance(1s);
+  EXPECT_EQ(harness.decider.held().keys, 0u);
 }
 
 // One of many senders may rarely call; where a refusal costs little, waiting for the next call costs more.
@@ -869,19 +874,19 @@
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       Settings settings = SettingsForSenders(48);
       settings.refused_price = price;
-      Rig rig(settings, seed);
-      rig.UpdateList({EndpointWithLimit(48)});
-      for (int i = 0; i < 300; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
-      const Time until = rig.now + 12s;
-      for (std::size_t ended = 0; rig.now < until;) {
-        rig.Advance(20ms);
-        for (; ended < rig.sent.size(); ++ended) {
-          const MessageId id = rig.sent[ended].id;
-          rig.Step({rig.AttemptEnd(id, ended % 5 == 4 ? Outcome::kRefused : Outcome::kServed,
-                                   rig.SendCount(id) - 1)});
+      DeciderHarness harness(settings, seed);
+      harness.UpdateList({EndpointWithLimit(48)});
+      for (int i = 0; i < 300; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
+      const Time until = harness.now + 12s;
+      for (std::size_t ended = 0; harness.now < until;) {
+        harness.Advance(20ms);
+        for (; ended < harness.sent.size(); ++ended) {
+          const MessageId id = harness.sent[ended].id;
+          harness.Step({harness.AttemptEnd(id, ended % 5 == 4 ? Outcome::kRefused : Outcome::kServed,
+                                           harness.SendCount(id) - 1)});
         }
       }
-      total += rig.sent.size();
+      total += harness.sent.size();
     }
     return total;
   };
@@ -896,17 +901,17 @@
   const auto first_endpoint = [](int senders, int rank) {
     Settings settings = SettingsForSenders(senders);
     settings.rank = rank;
-    Rig rig(settings, 1);
+    DeciderHarness harness(settings, 1);
     std::vector<EndpointInfo> endpoints;
     for (const char* id : {"a", "b", "c", "d"}) {
       endpoints.push_back(MakeEndpoint(id, 7, 1));
       endpoints.back().weight = 4000;  // so that each endpoint may be called at any time
     }
-    rig.UpdateList(endpoints);
-    rig.Advance(15s);
-    rig.Step({rig.NewMessage("m1", 0)});
-    rig.Advance(15s);
-    return rig.sent.empty() ? EndpointId() : rig.sent[0].endpoint;
+    harness.UpdateList(endpoints);
+    harness.Advance(15s);
+    harness.Step({harness.NewMessage("m1", 0)});
+    harness.Advance(15s);
+    return harness.sent.empty() ? EndpointId() : harness.sent[0].endpoint;
   };
   std::map<EndpointId, int> senders_of;
   int moved = 0;
@@ -924,16 +929,16 @@
 
 TEST(List, NoNewCallsGoToADrainingOrRemovedEndpoint) {
   for (const Lifecycle lifecycle : {Lifecycle::kDraining, Lifecycle::kRemoved}) {
-    Rig rig;
-    rig.UpdateList({MakeEndpoint("a", 7)});
+    DeciderHarness harness;
+    harness.UpdateList({MakeEndpoint("a", 7)});
     EndpointInfo updated = MakeEndpoint("a", 7);
     updated.lifecycle = lifecycle;
-    rig.UpdateList({updated}, ListScope::kChanges);
-    rig.Step({rig.NewMessage("m1", 0)});
-    rig.Advance(1s);
-    EXPECT_EQ(rig.SendCount("m1"), 0);
-    rig.UpdateList({MakeEndpoint("b", 7)}, ListScope::kChanges);
-    EXPECT_EQ(rig.SendCount("m1"), 1);
+    harness.UpdateList({updated}, ListScope::kChanges);
+    harness.Step({harness.NewMessage("m1", 0)});
+    harness.Advance(1s);
+    EXPECT_EQ(harness.SendCount("m1"), 0);
+    harness.UpdateList({MakeEndpoint("b", 7)}, ListScope::kChanges);
+    EXPECT_EQ(harness.SendCount("m1"), 1);
   }
 }
 
@@ -943,19 +948,19 @@
     Settings settings = BasicSettings();
     settings.weights = WeightMeaning::kRough;
     settings.senders = 1;
-    Rig rig(settings);
+    DeciderHarness harness(settings);
     EndpointInfo endpoint = MakeEndpoint("a", 7);
     endpoint.weight = 2;
-    rig.UpdateList({endpoint});
+    harness.UpdateList({endpoint});
     endpoint.lifecycle = drained ? Lifecycle::kDraining : Lifecycle::kUp;
-    rig.UpdateList({endpoint}, ListScope::kChanges);
+    harness.UpdateList({endpoint}, ListScope::kChanges);
     endpoint.lifecycle = Lifecycle::kUp;
-    rig.UpdateList({endpoint}, ListScope::kChanges);
+    harness.UpdateList({endpoint}, ListScope::kChanges);
     int sent = 0;
     for (int i = 0; i < 20; ++i) {
-      rig.Step({rig.NewMessage(Id(i), 0)});
-      rig.Advance(100ms);
-      sent += rig.SendCount(Id(i));
+      harness.Step({harness.NewMessage(Id(i), 0)});
+      harness.Advance(100ms);
+      sent += harness.SendCount(Id(i));
     }
     return sent;
   };
@@ -963,27 +968,27 @@
 }
 
 TEST(List, AFullListReplacesTheOldOneAndItsState) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8)});
-  rig.UpdateList({MakeEndpoint("c", 9)}, ListScope::kAll);
-  EXPECT_EQ(rig.decider.held().endpoints, 1u);
-  rig.Step({rig.NewMessage("m1", 0)});
-  EXPECT_EQ(rig.SendCount("m1"), 0);
-  rig.Advance(20s);
-  EXPECT_TRUE(rig.Refused("m1")) << "refused before its deadline";
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 8)});
+  harness.UpdateList({MakeEndpoint("c", 9)}, ListScope::kAll);
+  EXPECT_EQ(harness.decider.held().endpoints, 1u);
+  harness.Step({harness.NewMessage("m1", 0)});
+  EXPECT_EQ(harness.SendCount("m1"), 0);
+  harness.Advance(20s);
+  EXPECT_TRUE(harness.Refused("m1")) << "refused before its deadline";
 }
 
 TEST(List, IsRequestedAgainAfterAFailure) {
   Settings settings = BasicSettings();
   settings.must_request_list = true;
-  Rig rig(settings);
-  rig.UpdateList({});
-  EXPECT_EQ(rig.CountActions<SubscribeToList>(), 1);
-  rig.Step({ListUpdate{ListScope::kFailed, 0, {}}});
-  int requests = rig.CountActions<SubscribeToList>();
+  DeciderHarness harness(settings);
+  harness.UpdateList({});
+  EXPECT_EQ(harness.CountActions<SubscribeToList>(), 1);
+  harness.Step({ListUpdate{ListScope::kFailed, 0, {}}});
+  int requests = harness.CountActions<SubscribeToList>();
   for (int i = 0; i < 100; ++i) {
-    rig.Advance(20ms);
-    requests += rig.CountActions<SubscribeToList>();
+    harness.Advance(20ms);
+    requests += harness.CountActions<SubscribeToList>();
   }
   EXPECT_EQ(requests, 1);
 }
@@ -1000,20 +1005,20 @@
       settings.senders = senders;
       settings.must_request_list = true;
       settings.list_request_within = 10s;
-      Rig rig(settings, static_cast<std::uint64_t>(seed));
-      rig.UpdateList({MakeEndpoint("a", 7)});
-      const auto requested_after = [&rig](bool requested) {
-        const Time since = rig.now;
-        while (!requested && rig.now < since + 60s) {
-          rig.Advance(20ms);
-          requested = rig.CountActions<SubscribeToList>() > 0;
+      DeciderHarness harness(settings, static_cast<std::uint64_t>(seed));
+      harness.UpdateList({MakeEndpoint("a", 7)});
+      const auto requested_after = [&harness](bool requested) {
+        const Time since = harness.now;
+        while (!requested && harness.now < since + 60s) {
+          harness.Advance(20ms);
+          requested = harness.CountActions<SubscribeToList>() > 0;
         }
-        return rig.now - since;
+        return harness.now - since;
       };
-      first.push_back(requested_after(rig.CountActions<SubscribeToList>() > 0));
-      rig.Step({ListUpdate{ListScope::kFailed, 0, {}}});
+      first.push_back(requested_after(harness.CountActions<SubscribeToList>() > 0));
+      harness.Step({ListUpdate{ListScope::kFailed, 0, {}}});
       second.push_back(requested_after(false));
-      rig.Step({ListUpdate{ListScope::kFailed, 0, {}}});
+      harness.Step({ListUpdate{ListScope::kFailed, 0, {}}});
       third.push_back(requested_after(false));
     }
     const auto most_in_a_second = [](std::vector<Time> times) {
@@ -1037,32 +1042,32 @@
 }
 
 TEST(List, ACallToARemovedEndpointFreesItsSlotWhenItEnds) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", 0)});
-  rig.UpdateList({}, ListScope::kAll);
-  EXPECT_EQ(rig.decider.held().calls, 1u);
-  rig.Step({Withdrawn{"m1"}});
-  AttemptEnded end = rig.AttemptEnd("m1", Outcome::kCancelled);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", 0)});
+  harness.UpdateList({}, ListScope::kAll);
+  EXPECT_EQ(harness.decider.held().calls, 1u);
+  harness.Step({Withdrawn{"m1"}});
+  AttemptEnded end = harness.AttemptEnd("m1", Outcome::kCancelled);
   end.closed = true;
-  rig.Step({end});
-  EXPECT_EQ(rig.decider.held().calls, 0u);
-  EXPECT_EQ(rig.decider.held().endpoints, 0u);
-  EXPECT_EQ(rig.decider.held().routes, 0u);
+  harness.Step({end});
+  EXPECT_EQ(harness.decider.held().calls, 0u);
+  EXPECT_EQ(harness.decider.held().endpoints, 0u);
+  EXPECT_EQ(harness.decider.held().routes, 0u);
 }
 
 // Replacements of endpoints that were down were sent the whole backlog at once (incident ie8b3d4).
 TEST(SlowStart, AppliesToAReplacementDuringAnOutage) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  CauseOutage(rig, Outcome::kNoConnection);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  CauseOutage(harness, Outcome::kNoConnection);
   std::vector<Event> batch;
-  for (int i = 0; i < 20; ++i) batch.push_back(rig.NewMessage(Id(i), 0));
-  rig.Step(batch);
-  const std::size_t before = rig.sent.size();
-  rig.UpdateList({MakeEndpoint("b", 7)}, ListScope::kAll);
-  rig.Advance(500ms);
-  EXPECT_LE(rig.sent.size(), before + 1);
+  for (int i = 0; i < 20; ++i) batch.push_back(harness.NewMessage(Id(i), 0));
+  harness.Step(batch);
+  const std::size_t before = harness.sent.size();
+  harness.UpdateList({MakeEndpoint("b", 7)}, ListScope::kAll);
+  harness.Advance(500ms);
+  EXPECT_LE(harness.sent.size(), before + 1);
 }
 
 // Nearly all senders see the outage of a busy destination, so none may send more than its share when it
@@ -1073,21 +1078,21 @@
     Settings settings = BasicSettings();
     settings.senders = 100;
     settings.weights = WeightMeaning::kNominal;
-    Rig rig(settings, seed);
+    DeciderHarness harness(settings, seed);
     EndpointInfo endpoint = MakeEndpoint("a", 7);
     endpoint.weight = 10;  // calls a second of all senders: the share of this one is a call in 10 s
-    rig.UpdateList({endpoint});
+    harness.UpdateList({endpoint});
     for (int i = 100; i < 150; ++i) {
-      rig.Step({rig.NewMessage(Id(i), 0)});
-      rig.now += 10ms;
-      rig.Step({rig.AttemptEnd(Id(i), Outcome::kServed)});
+      harness.Step({harness.NewMessage(Id(i), 0)});
+      harness.now += 10ms;
+      harness.Step({harness.AttemptEnd(Id(i), Outcome::kServed)});
     }
-    rig.now += 2s;
-    CauseOutage(rig, Outcome::kError, 1);
-    const std::size_t before = rig.sent.size();
-    for (int i = 0; i < 50; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
-    rig.Advance(12s);
-    sends += rig.sent.size() - before;
+    harness.now += 2s;
+    CauseOutage(harness, Outcome::kError, 1);
+    const std::size_t before = harness.sent.size();
+    for (int i = 0; i < 50; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
+    harness.Advance(12s);
+    sends += harness.sent.size() - before;
   }
   EXPECT_LE(sends, 4u)
       << "a third of the share is a trial in 33 s, and the first comes after at least half of that";
@@ -1109,34 +1114,34 @@
   settings.warm_up_start_share = kWarmUpStartShare;
   settings.warm_up = 10s;
   settings.classes[0].deadline = 60s;
-  std::vector<Rig> rigs;
+  std::vector<DeciderHarness> harnesses;
   for (int rank = 0; rank < senders; ++rank) {
     settings.rank = rank;
-    rigs.emplace_back(settings, static_cast<std::uint64_t>(rank + 1 + first_seed));
-    rigs.back().UpdateList({EndpointWithLimit(kLimit)});
+    harnesses.emplace_back(settings, static_cast<std::uint64_t>(rank + 1 + first_seed));
+    harnesses.back().UpdateList({EndpointWithLimit(kLimit)});
   }
   Recovery result;
   result.calls_per_second.resize((kWarmAt - kReturnAt) / 1s);
-  std::vector<std::size_t> ended(rigs.size());
+  std::vector<std::size_t> ended(harnesses.size());
   int created = 0;
   for (Time now = 100s; now < kWarmAt; now += 20ms) {
     // 40 messages a second arrive, and the senders receive them in turn.
     for (; created < (now - 100s) / 25ms; ++created) {
-      Rig& rig = rigs[static_cast<std::size_t>(created % senders)];
-      Message message = rig.NewMessage(Id(created), 0);
+      DeciderHarness& harness = harnesses[static_cast<std::size_t>(created % senders)];
+      Message message = harness.NewMessage(Id(created), 0);
       message.expires_in = 60s;
-      rig.Step({message});
+      harness.Step({message});
     }
-    for (std::size_t i = 0; i < rigs.size(); ++i) {
-      Rig& rig = rigs[i];
-      rig.Advance(20ms);
-      for (; ended[i] < rig.sent.size(); ++ended[i]) {
-        const MessageId id = rig.sent[ended[i]].id;
+    for (std::size_t i = 0; i < harnesses.size(); ++i) {
+      DeciderHarness& harness = harnesses[i];
+      harness.Advance(20ms);
+      for (; ended[i] < harness.sent.size(); ++ended[i]) {
+        const MessageId id = harness.sent[ended[i]].id;
         const bool is_down = now >= kDownAt && now < kReturnAt;
         if (now >= kReturnAt) result.calls_per_second[static_cast<std::size_t>((now - kReturnAt) / 1s)] += 1;
         const Time retry_after = is_down && down_outcome == Outcome::kRefused ? kReturnAt - now : 0us;
-        rig.Step({rig.AttemptEnd(id, is_down ? down_outcome : Outcome::kServed, rig.SendCount(id) - 1,
-                                 retry_after)});
+        harness.Step({harness.AttemptEnd(id, is_down ? down_outcome : Outcome::kServed,
+                                         harness.SendCount(id) - 1, retry_after)});
       }
     }
   }
@@ -1194,61 +1199,61 @@
 // taken for the return of the endpoint (the log said "returning"), which then counted as warm 5 s too early.
 // slow_start_test.cpp found this.
 TEST(SlowStart, ACallSentBeforeALongRetryAfterIsNoReturn) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", 0), rig.NewMessage("m2", 0)});
-  ASSERT_EQ(rig.sent.size(), 2u);
-  rig.now += 50ms;
-  rig.Step({rig.AttemptEnd("m1", Outcome::kRefused, 0, 5s)});
-  rig.now += 50ms;
-  rig.Step({rig.AttemptEnd("m2", Outcome::kServed)});
-  EXPECT_EQ(rig.CountActions<Log>(), 0) << "the endpoint is closed and has not returned";
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", 0), harness.NewMessage("m2", 0)});
+  ASSERT_EQ(harness.sent.size(), 2u);
+  harness.now += 50ms;
+  harness.Step({harness.AttemptEnd("m1", Outcome::kRefused, 0, 5s)});
+  harness.now += 50ms;
+  harness.Step({harness.AttemptEnd("m2", Outcome::kServed)});
+  EXPECT_EQ(harness.CountActions<Log>(), 0) << "the endpoint is closed and has not returned";
 }
 
 // The replacement of a drained endpoint was sent all held messages at once (incident ibe2512).
 TEST(SlowStart, AppliesToTheReplacementOfADrainedEndpoint) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   EndpointInfo updated = MakeEndpoint("a", 7);
   updated.lifecycle = Lifecycle::kRemoved;
-  rig.UpdateList({updated}, ListScope::kChanges);
-  for (int i = 0; i < 20; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
-  rig.UpdateList({MakeEndpoint("b", 7)}, ListScope::kChanges);
-  rig.Advance(500ms);
-  EXPECT_GE(rig.sent.size(), 1u);
-  EXPECT_LE(rig.sent.size(), 4u);
+  harness.UpdateList({updated}, ListScope::kChanges);
+  for (int i = 0; i < 20; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
+  harness.UpdateList({MakeEndpoint("b", 7)}, ListScope::kChanges);
+  harness.Advance(500ms);
+  EXPECT_GE(harness.sent.size(), 1u);
+  EXPECT_LE(harness.sent.size(), 4u);
 }
 
 TEST(RetryAfter, OutlivesTheEndpointThatSentIt) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("m1", 0)});
-  rig.now += 100ms;
-  rig.Step({rig.AttemptEnd("m1", Outcome::kRefused, 0, 1500ms)});
-  const Time refused_at = rig.now;
-  rig.UpdateList({}, ListScope::kAll);
-  rig.Advance(200ms);
-  rig.UpdateList({MakeEndpoint("b", 7)}, ListScope::kAll);
-  rig.Advance(5s);
-  ASSERT_EQ(rig.SendCount("m1"), 2);
-  EXPECT_GE(rig.last_sent_at["m1"], refused_at + 1500ms);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("m1", 0)});
+  harness.now += 100ms;
+  harness.Step({harness.AttemptEnd("m1", Outcome::kRefused, 0, 1500ms)});
+  const Time refused_at = harness.now;
+  harness.UpdateList({}, ListScope::kAll);
+  harness.Advance(200ms);
+  harness.UpdateList({MakeEndpoint("b", 7)}, ListScope::kAll);
+  harness.Advance(5s);
+  ASSERT_EQ(harness.SendCount("m1"), 2);
+  EXPECT_GE(harness.last_sent_at["m1"], refused_at + 1500ms);
 }
 
 // The message is held until the wait is over: an attempt that the embedder withholds because of the wait
 // would cost a retry token.
 TEST(RetryAfter, OfTheFormerEndpointAtAnAddressAppliesToTheNewOne) {
   for (const Time wait : {Time(1500ms), Time(5s)}) {
-    Rig rig;
-    rig.Step({ListUpdate{ListScope::kRemembered, 1, {MakeEndpoint("old", 7, 1)}}});
-    rig.Step({ListUpdate{ListScope::kAll, 2, {MakeEndpoint("new", 7, 1)}},
-              RetryAfterReceived{"new", rig.now + wait}, RetryAfterReceived{"none", rig.now + wait},
-              rig.NewMessage("m1", 0)});
-    const Time received_at = rig.now;
-    rig.Advance(wait - 20ms);
-    EXPECT_EQ(rig.SendCount("m1"), 0);
-    rig.Advance(10s);
-    ASSERT_EQ(rig.SendCount("m1"), 1);
-    EXPECT_GE(rig.last_sent_at["m1"], received_at + wait);
+    DeciderHarness harness;
+    harness.Step({ListUpdate{ListScope::kRemembered, 1, {MakeEndpoint("old", 7, 1)}}});
+    harness.Step({ListUpdate{ListScope::kAll, 2, {MakeEndpoint("new", 7, 1)}},
+                  RetryAfterReceived{"new", harness.now + wait},
+                  RetryAfterReceived{"none", harness.now + wait}, harness.NewMessage("m1", 0)});
+    const Time received_at = harness.now;
+    harness.Advance(wait - 20ms);
+    EXPECT_EQ(harness.SendCount("m1"), 0);
+    harness.Advance(10s);
+    ASSERT_EQ(harness.SendCount("m1"), 1);
+    EXPECT_GE(harness.last_sent_at["m1"], received_at + wait);
   }
 }
 
@@ -1257,36 +1262,36 @@
 TEST(Bundle, MessagesOfOneStepShareACall) {
   Settings settings = BasicSettings();
   settings.slots = 2;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7, 2)});
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7, 2)});
   std::vector<Event> batch;
-  for (int i = 0; i < 7; ++i) batch.push_back(rig.NewMessage(Id(i), 0));
-  rig.Step(batch);
-  EXPECT_EQ(rig.sent.size(), 6u) << "two calls of three messages each";
+  for (int i = 0; i < 7; ++i) batch.push_back(harness.NewMessage(Id(i), 0));
+  harness.Step(batch);
+  EXPECT_EQ(harness.sent.size(), 6u) << "two calls of three messages each";
   batch.clear();
   for (int i = 0; i < 3; ++i)
-    batch.push_back(rig.AttemptEnd(rig.sent[static_cast<std::size_t>(i)].id, Outcome::kServed));
-  rig.Step(batch);
-  EXPECT_EQ(rig.sent.size(), 7u);
+    batch.push_back(harness.AttemptEnd(harness.sent[static_cast<std::size_t>(i)].id, Outcome::kServed));
+  harness.Step(batch);
+  EXPECT_EQ(harness.sent.size(), 7u);
 }
 
 // Guards against a queue in the order of arrival, in which one delay makes all later messages late.
 TEST(Queue, MessagesThatCanStillMeetTheirAimGoBeforeLateOnes) {
   Settings settings = BasicSettings();
   settings.slots = 1;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({rig.NewMessage("busy", 0)});
-  Message old = rig.NewMessage("old", 0);
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({harness.NewMessage("busy", 0)});
+  Message old = harness.NewMessage("old", 0);
   old.expires_in = 18500ms;  // 0.5 s before its aim
-  rig.Step({old});
-  rig.Advance(1s);
-  rig.Step({rig.NewMessage("new", 0)});
-  rig.Step({rig.AttemptEnd("busy", Outcome::kServed)});
-  EXPECT_EQ(rig.SendCount("new"), 1);
-  EXPECT_EQ(rig.SendCount("old"), 0);
-  rig.Step({rig.AttemptEnd("new", Outcome::kServed)});
-  EXPECT_EQ(rig.SendCount("old"), 1);  // a late message is worth less, but not nothing
+  harness.Step({old});
+  harness.Advance(1s);
+  harness.Step({harness.NewMessage("new", 0)});
+  harness.Step({harness.AttemptEnd("busy", Outcome::kServed)});
+  EXPECT_EQ(harness.SendCount("new"), 1);
+  EXPECT_EQ(harness.SendCount("old"), 0);
+  harness.Step({harness.AttemptEnd("new", Outcome::kServed)});
+  EXPECT_EQ(harness.SendCount("old"), 1);  // a late message is worth less, but not nothing
 }
 
 TEST(MaxOpen, TheMessagesOfLeastWorthAreRefusedNearIt) {
@@ -1295,17 +1300,17 @@
   settings.slots = 1;
   settings.tenants = {Tenant{"t", 4}};
   settings.over_quota_worth_factor = 0.1;
-  Rig rig(settings);
-  rig.UpdateList({});
+  DeciderHarness harness(settings);
+  harness.UpdateList({});
   std::vector<Event> batch;
   for (int i = 0; i < 20; ++i) {
-    Message message = rig.NewMessage(Id(i), 0);
+    Message message = harness.NewMessage(Id(i), 0);
     message.tenant = i < 10 ? 0 : -1;
     batch.push_back(message);
   }
-  rig.Step(batch);
-  EXPECT_GE(rig.refused.size(), 1u);
-  for (const auto& [id, wait] : rig.refused)
+  harness.Step(batch);
+  EXPECT_GE(harness.refused.size(), 1u);
+  for (const auto& [id, wait] : harness.refused)
     EXPECT_LT(std::stoi(id.substr(1)), 10) << "only the tenant beyond its quota";
 }
 
@@ -1314,12 +1319,13 @@
 TEST(MaxOpen, AMessageThatCanBeSentAtOnceIsNotRefusedForHeldOnes) {
   Settings settings = BasicSettings();
   settings.max_open = 12;
-  Rig rig(settings);
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  for (int i = 0; i < 11; ++i) rig.Step({rig.NewMessage(Id(i), 0, 8)});  // destination 8 has no endpoint
-  rig.Step({rig.NewMessage("sendable", 0, 7)});
-  EXPECT_EQ(rig.SendCount("sendable"), 1);
-  EXPECT_FALSE(rig.Refused("sendable"));
+  DeciderHarness harness(settings);
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  for (int i = 0; i < 11; ++i)
+    harness.Step({harness.NewMessage(Id(i), 0, 8)});  // destination 8 has no endpoint
+  harness.Step({harness.NewMessage("sendable", 0, 7)});
+  EXPECT_EQ(harness.SendCount("sendable"), 1);
+  EXPECT_FALSE(harness.Refused("sendable"));
 }
 
 // With hundreds of senders the part of a quota that belongs to one of them is 0.3 messages a second, which
@@ -1330,14 +1336,14 @@
   settings.max_open = 12;
   settings.tenants = {Tenant{"small", 90}};
   settings.over_quota_worth_factor = 0.1;
-  Rig rig(settings);
-  rig.UpdateList({});
-  Message small = rig.NewMessage("small", 0);
+  DeciderHarness harness(settings);
+  harness.UpdateList({});
+  Message small = harness.NewMessage("small", 0);
   small.tenant = 0;
-  rig.Step({small});
-  for (int i = 0; i < 11; ++i) rig.Step({rig.NewMessage(Id(i), 0)});
-  EXPECT_FALSE(rig.Refused("small"));
-  EXPECT_GE(rig.refused.size(), 1u);
+  harness.Step({small});
+  for (int i = 0; i < 11; ++i) harness.Step({harness.NewMessage(Id(i), 0)});
+  EXPECT_FALSE(harness.Refused("small"));
+  EXPECT_GE(harness.refused.size(), 1u);
 }
 
 // ---- timers ----
@@ -1347,16 +1353,16 @@
   const auto timers = [](int held) {
     Settings settings = BasicSettings();
     settings.max_open = 0;
-    Rig rig(settings);
+    DeciderHarness harness(settings);
     std::vector<EndpointInfo> endpoints;
     for (int i = 0; i < held; ++i) endpoints.push_back(MakeEndpoint("e" + std::to_string(i), i));
     for (EndpointInfo& endpoint : endpoints) endpoint.lifecycle = Lifecycle::kDraining;
-    rig.UpdateList(endpoints);
-    for (int i = 0; i < held; ++i) rig.Step({rig.NewMessage(Id(i), 0, i)});
+    harness.UpdateList(endpoints);
+    for (int i = 0; i < held; ++i) harness.Step({harness.NewMessage(Id(i), 0, i)});
     int timers_set = 0;
     for (int i = 0; i < 500; ++i) {
-      rig.Advance(20ms);
-      timers_set += rig.CountActions<SetTimer>();
+      harness.Advance(20ms);
+      timers_set += harness.CountActions<SetTimer>();
     }
     return timers_set;
   };
@@ -1367,41 +1373,42 @@
 // ---- robustness ----
 
 TEST(Robustness, EventsAboutUnknownObjectsAreIgnored) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   AttemptEnded attempt;
   attempt.id = "unknown";
   attempt.endpoint = "unknown";
   ProbeEnded probe;
   probe.endpoint = "unknown";
-  Message invalid = rig.NewMessage("invalid", 99);
-  rig.Step({attempt, probe, Withdrawn{"unknown"}, TimerDue{"unknown"}, PeerData{3, "x"},
-            StreamStarted{"unknown", 0}, invalid});
-  EXPECT_TRUE(rig.Refused("invalid"));
-  EXPECT_TRUE(rig.sent.empty());
+  Message invalid = harness.NewMessage("invalid", 99);
+  harness.Step({attempt, probe, Withdrawn{"unknown"}, TimerDue{"unknown"}, PeerData{3, "x"},
+                StreamStarted{"unknown", 0}, invalid});
+  EXPECT_TRUE(harness.Refused("invalid"));
+  EXPECT_TRUE(harness.sent.empty());
 }
 
 TEST(Robustness, AMessageIsAnsweredBeforeItsDeadline) {
-  Rig rig;
-  rig.UpdateList({});
-  Message message = rig.NewMessage("m1", 2);
+  DeciderHarness harness;
+  harness.UpdateList({});
+  Message message = harness.NewMessage("m1", 2);
   message.expires_in = 700ms;
-  rig.Step({message});
-  rig.Advance(600ms);
-  EXPECT_FALSE(rig.Refused("m1"));
-  rig.Advance(100ms);
-  EXPECT_TRUE(rig.Refused("m1"));
+  harness.Step({message});
+  harness.Advance(600ms);
+  EXPECT_FALSE(harness.Refused("m1"));
+  harness.Advance(100ms);
+  EXPECT_TRUE(harness.Refused("m1"));
 }
 
 TEST(Robustness, SameEventsAndSeedGiveTheSameActions) {
   const auto sends_of_one_run = [] {
-    Rig rig(BasicSettings(), 42);
-    rig.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7)});
-    CauseOutage(rig, Outcome::kError);
-    for (int i = 0; i < 20; ++i) rig.Step({rig.NewMessage(Id(i), i % 3)});
-    rig.Advance(10s);
+    DeciderHarness harness(BasicSettings(), 42);
+    harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7)});
+    CauseOutage(harness, Outcome::kError);
+    for (int i = 0; i < 20; ++i) harness.Step({harness.NewMessage(Id(i), i % 3)});
+    harness.Advance(10s);
     std::string sends;
-    for (const Send& send : rig.sent) sends += send.id + send.endpoint + std::to_string(send.timeout.count());
+    for (const Send& send : harness.sent)
+      sends += send.id + send.endpoint + std::to_string(send.timeout.count());
     return sends;
   };
   EXPECT_EQ(sends_of_one_run(), sends_of_one_run());
--- a/tests/rig.hpp
+++ b/tests/decider_harness.hpp
@@ -61,9 +61,9 @@
 }
 
 // One sender: a Decider, its virtual clock `now`, and a record of its actions.
-class Rig {
+class DeciderHarness {
  public:
-  explicit Rig(Settings settings = BasicSettings(), std::uint64_t seed = 1)
+  explicit DeciderHarness(Settings settings = BasicSettings(), std::uint64_t seed = 1)
       : decider(std::move(settings), seed) {}
 
   // Passes the events to the Decider at the present time and records its actions. The clock does not advance.
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -2,14 +2,14 @@
 // class.
 #include <gtest/gtest.h>
 
-#include "rig.hpp"
+#include "decider_harness.hpp"
 
 namespace wheathub::testing {
 namespace {
 
 // Returns message "m1" as an earlier process left it.
-Message RestoredMessage(const Rig& rig, int message_class, const History& history) {
-  Message message = rig.NewMessage("m1", message_class);
+Message RestoredMessage(const DeciderHarness& harness, int message_class, const History& history) {
+  Message message = harness.NewMessage("m1", message_class);
   message.history = history;
   return message;
 }
@@ -22,88 +22,89 @@
 }
 
 TEST(History, AttemptNumbersContinue) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({RestoredMessage(rig, 0, {.sends = 3, .last_endpoint = "a"})});
-  ASSERT_EQ(rig.SendCount("m1"), 1);
-  rig.Step({rig.AttemptEnd("m1", Outcome::kServed, 3)});
-  EXPECT_EQ(rig.decider.held().messages, 0u);
-  EXPECT_EQ(rig.decider.held().calls, 0u);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({RestoredMessage(harness, 0, {.sends = 3, .last_endpoint = "a"})});
+  ASSERT_EQ(harness.SendCount("m1"), 1);
+  harness.Step({harness.AttemptEnd("m1", Outcome::kServed, 3)});
+  EXPECT_EQ(harness.decider.held().messages, 0u);
+  EXPECT_EQ(harness.decider.held().calls, 0u);
 }
 
 TEST(History, MaxAttemptsCountsAttemptsOfEarlierProcesses) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({RestoredMessage(rig, 0, {.sends = 8, .last_endpoint = "a"})});
-  EXPECT_EQ(rig.SendCount("m1"), 0);
-  EXPECT_TRUE(rig.Refused("m1"));
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({RestoredMessage(harness, 0, {.sends = 8, .last_endpoint = "a"})});
+  EXPECT_EQ(harness.SendCount("m1"), 0);
+  EXPECT_TRUE(harness.Refused("m1"));
 }
 
 TEST(History, AMessageThatMayHaveRunIsRepeatedInTheSameZone) {
-  Rig rig(ZoneBoundSettings());
-  rig.UpdateList({MakeEndpoint("a", 7, 0, 0), MakeEndpoint("b", 7, 0, 1)});
-  rig.Step({RestoredMessage(rig, 1, {.sends = 1, .may_have_run = true, .since_risk = 2s, .risk_zone = 1})});
-  ASSERT_EQ(rig.SendCount("m1"), 1);
-  EXPECT_EQ(rig.sent[0].endpoint, "b");
+  DeciderHarness harness(ZoneBoundSettings());
+  harness.UpdateList({MakeEndpoint("a", 7, 0, 0), MakeEndpoint("b", 7, 0, 1)});
+  harness.Step(
+      {RestoredMessage(harness, 1, {.sends = 1, .may_have_run = true, .since_risk = 2s, .risk_zone = 1})});
+  ASSERT_EQ(harness.SendCount("m1"), 1);
+  EXPECT_EQ(harness.sent[0].endpoint, "b");
 }
 
 TEST(History, AMessageThatMayHaveRunFailsAfterTheRepeatWindow) {
-  Rig rig(ZoneBoundSettings());
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({RestoredMessage(rig, 1, {.sends = 1, .may_have_run = true, .since_risk = 16s})});
-  EXPECT_EQ(rig.SendCount("m1"), 0);
-  EXPECT_TRUE(rig.Failed("m1"));
-  EXPECT_FALSE(rig.Refused("m1"));
+  DeciderHarness harness(ZoneBoundSettings());
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({RestoredMessage(harness, 1, {.sends = 1, .may_have_run = true, .since_risk = 16s})});
+  EXPECT_EQ(harness.SendCount("m1"), 0);
+  EXPECT_TRUE(harness.Failed("m1"));
+  EXPECT_FALSE(harness.Refused("m1"));
 }
 
 TEST(History, AnAtMostOnceMessageThatMayHaveRunFails) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({RestoredMessage(rig, 2, {.sends = 1, .may_have_run = true})});
-  EXPECT_EQ(rig.SendCount("m1"), 0);
-  EXPECT_TRUE(rig.Failed("m1"));
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({RestoredMessage(harness, 2, {.sends = 1, .may_have_run = true})});
+  EXPECT_EQ(harness.SendCount("m1"), 0);
+  EXPECT_TRUE(harness.Failed("m1"));
 }
 
 TEST(History, AnExpiredMessageFailsIfItMayHaveRunAndIsRefusedOtherwise) {
   for (const bool may_have_run : {false, true}) {
-    Rig rig;
-    Message message = RestoredMessage(rig, 0, {.sends = 1, .may_have_run = may_have_run});
+    DeciderHarness harness;
+    Message message = RestoredMessage(harness, 0, {.sends = 1, .may_have_run = may_have_run});
     message.expires_in = -1s;
-    rig.Step({message});
-    EXPECT_EQ(rig.Failed("m1"), may_have_run);
-    EXPECT_EQ(rig.Refused("m1"), !may_have_run);
+    harness.Step({message});
+    EXPECT_EQ(harness.Failed("m1"), may_have_run);
+    EXPECT_EQ(harness.Refused("m1"), !may_have_run);
   }
 }
 
 // A restart must not bypass the retry budget: each restored message that was sent before costs a token.
 TEST(History, RepeatsOfRestoredMessagesUseTheRetryBudget) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   std::vector<Event> events;
   for (int i = 0; i < 9; ++i) {
-    Message message = RestoredMessage(rig, 0, {.sends = 1, .may_have_run = true, .last_endpoint = "a"});
+    Message message = RestoredMessage(harness, 0, {.sends = 1, .may_have_run = true, .last_endpoint = "a"});
     message.id += std::to_string(i);
     events.push_back(message);
   }
-  rig.Step(events);
-  EXPECT_EQ(rig.failed.size(), 4u);
-  EXPECT_EQ(rig.sent.size(), 5u);
+  harness.Step(events);
+  EXPECT_EQ(harness.failed.size(), 4u);
+  EXPECT_EQ(harness.sent.size(), 5u);
 }
 
 // A refused message spent its retry token when it was refused. A restart must not take a second token and
 // then give up the messages for which none is left.
 TEST(History, AMessageThatNeverRanHasSpentItsRetryToken) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
   std::vector<Event> events;
   for (int i = 0; i < 9; ++i) {
-    Message message = RestoredMessage(rig, 0, {.recovered = true, .sends = 1, .last_endpoint = "a"});
+    Message message = RestoredMessage(harness, 0, {.recovered = true, .sends = 1, .last_endpoint = "a"});
     message.id += std::to_string(i);
     events.push_back(message);
   }
-  rig.Step(events);
-  EXPECT_TRUE(rig.refused.empty());
-  EXPECT_EQ(rig.decider.held().messages, 9u);
+  harness.Step(events);
+  EXPECT_TRUE(harness.refused.empty());
+  EXPECT_EQ(harness.decider.held().messages, 9u);
 }
 
 // Near max_open new messages are refused; messages that an earlier process accepted are still tried.
@@ -112,17 +113,17 @@
   settings.max_open = 10;
   settings.slots = 1;
   for (const bool recovered : {false, true}) {
-    Rig rig(settings);
-    rig.UpdateList({MakeEndpoint("a", 7)});
+    DeciderHarness harness(settings);
+    harness.UpdateList({MakeEndpoint("a", 7)});
     std::vector<Event> events;
     for (int i = 0; i < 30; ++i) {
-      Message message = RestoredMessage(rig, 0, {.recovered = recovered});
+      Message message = RestoredMessage(harness, 0, {.recovered = recovered});
       message.id += std::to_string(i);
       events.push_back(message);
     }
-    rig.Step(events);
-    EXPECT_EQ(rig.refused.empty(), recovered);
-    EXPECT_EQ(rig.decider.held().messages, recovered ? 30u : 9u);
+    harness.Step(events);
+    EXPECT_EQ(harness.refused.empty(), recovered);
+    EXPECT_EQ(harness.decider.held().messages, recovered ? 30u : 9u);
   }
 }
 
--- a/tests/list_lease_test.cpp
+++ b/tests/list_lease_test.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "rig.hpp"
+#include "decider_harness.hpp"
 
 namespace wheathub::testing {
 namespace {
@@ -124,29 +124,29 @@
 }
 
 TEST(Decider, HoldsMessagesWhileTheListIsExpiredAndSendsThemOnceItIsValid) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({ListValidity{rig.now + 2s}});
-  rig.Step({rig.NewMessage("in-time", 0)});
-  EXPECT_EQ(rig.SendCount("in-time"), 1);
-  rig.Advance(2s);
-  rig.Step({rig.AttemptEnd("in-time", Outcome::kServed)});
-  rig.Step({rig.NewMessage("late", 0)});
-  rig.Advance(3s);
-  EXPECT_EQ(rig.SendCount("late"), 0);
-  rig.Step({ListValidity{rig.now + 2s}});
-  rig.Advance(1s);
-  EXPECT_EQ(rig.SendCount("late"), 1);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({ListValidity{harness.now + 2s}});
+  harness.Step({harness.NewMessage("in-time", 0)});
+  EXPECT_EQ(harness.SendCount("in-time"), 1);
+  harness.Advance(2s);
+  harness.Step({harness.AttemptEnd("in-time", Outcome::kServed)});
+  harness.Step({harness.NewMessage("late", 0)});
+  harness.Advance(3s);
+  EXPECT_EQ(harness.SendCount("late"), 0);
+  harness.Step({ListValidity{harness.now + 2s}});
+  harness.Advance(1s);
+  EXPECT_EQ(harness.SendCount("late"), 1);
 }
 
 TEST(Decider, RefusesMessagesThatWaitForAValidListBeforeTheirDeadline) {
-  Rig rig;
-  rig.UpdateList({MakeEndpoint("a", 7)});
-  rig.Step({ListValidity{rig.now}});
-  rig.Step({rig.NewMessage("m", 1)});
-  rig.Advance(19'990ms);
-  EXPECT_EQ(rig.SendCount("m"), 0);
-  EXPECT_EQ(rig.refused.count("m"), 1u);
+  DeciderHarness harness;
+  harness.UpdateList({MakeEndpoint("a", 7)});
+  harness.Step({ListValidity{harness.now}});
+  harness.Step({harness.NewMessage("m", 1)});
+  harness.Advance(19'990ms);
+  EXPECT_EQ(harness.SendCount("m"), 0);
+  EXPECT_EQ(harness.refused.count("m"), 1u);
 }
 
 }  // namespace
--- a/tests/drill_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-struct DrillResult {
+struct RunResult {
   std::string out;
   std::string err;
   int exit_code = 0;
 };
 
-DrillResult RunDrill(const std::string& input) {
+RunResult RunAdapter(const std::string& input) {
   const auto base = std::filesystem::temp_directory_path() / ("wheathub_drill_" + std::to_string(::getpid()));
   const std::string in = base.string() + ".in";
   const std::string out = base.string() + ".out";
@@ -30,7 +30,7 @@
     std::ifstream file(path);
     return std::string(std::istreambuf_iterator<char>(file), {});
   };
-  DrillResult result{read_file(out), read_file(err), WIFEXITED(status) ? WEXITSTATUS(status) : -1};
+  RunResult result{read_file(out), read_file(err), WIFEXITED(status) ? WEXITSTATUS(status) : -1};
   for (const std::string& path : {in, out, err}) std::filesystem::remove(path);
   return result;
 }
@@ -62,8 +62,8 @@
   return lines;
 }
 
-TEST(Drill, SendsAMessageAndExitsAtTheEndOfInput) {
-  const DrillResult result = RunDrill("TURN wall-s=1 round=4\n" + Start("sender_0") +
+TEST(SimulatorAdapter, SendsAMessageAndExitsAtTheEndOfInput) {
+  const RunResult result = RunAdapter("TURN wall-s=1 round=4\n" + Start("sender_0") +
                                       Message("sender_0", "m1") + "FLUSH\n\nTURN wall-s=2 round=5\nFLUSH\n");
   EXPECT_EQ(result.exit_code, 0) << result.err;
   EXPECT_NE(result.out.find("SPEAKING i=sender_0\nASSIGN rid=m1 receiver=10.0.0.1:80"), std::string::npos)
@@ -71,7 +71,7 @@
   EXPECT_NE(result.out.find("END round=4\nEND round=5\n"), std::string::npos) << result.out;
 }
 
-TEST(Drill, InstancesInOneProcessDoNotAffectEachOther) {
+TEST(SimulatorAdapter, InstancesInOneProcessDoNotAffectEachOther) {
   const auto input = [](bool first, bool second) {
     std::string text = "TURN wall-s=1 round=1\n";
     if (first) text += Start("sender_0");
@@ -91,22 +91,22 @@
     if (second) text += "AT i=sender_1\nDEADLINE_HIT handle=sweep\n";
     return text + "FLUSH\n";
   };
-  const std::string together = RunDrill(input(true, true)).out;
+  const std::string together = RunAdapter(input(true, true)).out;
   EXPECT_GT(OutputOf(together, "sender_0").size(), 100u);
-  EXPECT_EQ(OutputOf(together, "sender_0"), OutputOf(RunDrill(input(true, false)).out, "sender_0"));
-  EXPECT_EQ(OutputOf(together, "sender_1"), OutputOf(RunDrill(input(false, true)).out, "sender_1"));
+  EXPECT_EQ(OutputOf(together, "sender_0"), OutputOf(RunAdapter(input(true, false)).out, "sender_0"));
+  EXPECT_EQ(OutputOf(together, "sender_1"), OutputOf(RunAdapter(input(false, true)).out, "sender_1"));
 }
 
-TEST(Drill, ARestartedInstanceStartsWithoutState) {
-  const DrillResult result =
-      RunDrill("TURN wall-s=1 round=1\n" + Start("sender_0") + Message("sender_0", "m1") +
-               "FLUSH\nTURN wall-s=2 round=2\nAT i=sender_0\nTEARDOWN\n" + Start("sender_0") +
-               Message("sender_0", "m2") + "FLUSH\n");
+TEST(SimulatorAdapter, ARestartedInstanceStartsWithoutState) {
+  const RunResult result =
+      RunAdapter("TURN wall-s=1 round=1\n" + Start("sender_0") + Message("sender_0", "m1") +
+                 "FLUSH\nTURN wall-s=2 round=2\nAT i=sender_0\nTEARDOWN\n" + Start("sender_0") +
+                 Message("sender_0", "m2") + "FLUSH\n");
   EXPECT_EQ(result.exit_code, 0) << result.err;
   EXPECT_NE(result.out.find("ASSIGN rid=m2"), std::string::npos);
 }
 
-TEST(Drill, InvalidInputIsReportedInOneLineWithoutOutput) {
+TEST(SimulatorAdapter, InvalidInputIsReportedInOneLineWithoutOutput) {
   const std::string invalid_inputs[] = {
       "TURN wall-s=1 round=1\nAT i=sender_0\nINBOUND rid=m category=0 expires-in-s=1 to-exchange=5\nFLUSH\n",
       "TURN wall-s=1 round=1\nWHAT\nFLUSH\n",
@@ -114,7 +114,7 @@
       "TURN wall-s=1 round=1\nAT i=sender_0\nLAUNCH salt=1 facts={\"services\":[]}\nFLUSH\n",
   };
   for (const std::string& input : invalid_inputs) {
-    const DrillResult result = RunDrill(input);
+    const RunResult result = RunAdapter(input);
     EXPECT_NE(result.exit_code, 0);
     EXPECT_TRUE(result.out.empty()) << result.out;
     EXPECT_EQ(std::count(result.err.begin(), result.err.end(), '\n'), 1) << result.err;
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -12,7 +12,7 @@
 #include <random>
 #include <set>
 
-#include "rig.hpp"
+#include "decider_harness.hpp"
 
 namespace wheathub::testing {
 namespace {
