--- a/include/wheathub/decide.hpp
+++ b/include/wheathub/decide.hpp
@@ -26,7 +26,7 @@
 #include <variant>
 #include <vector>
 
-#include "wheathub/beliefs.hpp"
+#include "wheathub/learned_state.hpp"
 
 namespace wheathub {
 
@@ -231,7 +231,7 @@
 };
 
 using Event = std::variant<ListUpdate, Message, Withdrawn, StreamStarted, AttemptEnded, ProbeEnded, PeerData,
-                           TimerDue, NewSettings, Belief, ListValidity, RetryAfterReceived>;
+                           TimerDue, NewSettings, LearnedState, ListValidity, RetryAfterReceived>;
 
 // ---- actions ----
 
@@ -308,7 +308,7 @@
 
   // What is known of each endpoint. A new Decider that gets these as events, right after a list that names
   // the endpoints and before any message, continues from there.
-  std::vector<Belief> beliefs() const;
+  std::vector<LearnedState> learned_states() const;
 
  private:
   class Impl;
--- a/include/wheathub/beliefs.hpp
+++ b/include/wheathub/learned_state.hpp
@@ -11,10 +11,10 @@
 
 namespace wheathub {
 
-enum class State { kUp, kDown, kCold };  // kCold: back after an outage, with reduced capacity
+enum class HealthState { kUp, kDown, kCold };  // kCold: back after an outage, with reduced capacity
 
 // What is known of a route: a destination, or one endpoint where DestinationKind::separate_routes is set.
-struct RouteBelief {
+struct RouteState {
   using Time = std::chrono::microseconds;
   double tokens = 0;           // retry budget: repeats that may be sent
   Time gap{0},                 // mean span between calls; refusals widen it, served calls shrink it
@@ -32,14 +32,14 @@
 };
 
 // What is known of the health of one endpoint.
-struct EndpointBelief {
+struct EndpointHealth {
   using Time = std::chrono::microseconds;
   static constexpr Time kNever = Time::min() / 2;
   double latency_s = 0;               // moving mean over served calls
   Time last_served_at = kNever,       // when the last served call ended
       connect_failed_at = kNever;     // when the last attempt to connect failed
   Time last_served_sent_at = kNever;  // latest send time of a call that was served
-  State state = State::kUp;
+  HealthState state = HealthState::kUp;
   int consecutive_failures = 0;
   double failure_rate = 0;  // share of calls that failed while not down, moving mean
   // The last failure may have processed the message, so messages that must not be repeated are kept away.
@@ -50,10 +50,10 @@
   Time warm_at{0};         // the full capacity is back by then, however late the return was noticed
 };
 
-struct Belief {
+struct LearnedState {
   std::string endpoint;
-  RouteBelief route;
-  EndpointBelief health;
+  RouteState route;
+  EndpointHealth health;
 };
 
 }  // namespace wheathub
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -105,7 +105,7 @@
 // large fleets, where one sender sees few messages of a tenant.
 constexpr double kQuotaBurstS = 2, kQuotaBurstMessages = 2;
 
-constexpr Time kNever = EndpointBelief::kNever;
+constexpr Time kNever = EndpointHealth::kNever;
 double Seconds(Time time) { return static_cast<double>(time.count()) * 1e-6; }
 Time Micros(double seconds) { return Time(static_cast<std::int64_t>(std::llround(seconds * 1e6))); }
 
@@ -124,7 +124,7 @@
 
 // A destination, or one of its endpoints where routes are separate: it has one limit, pacing and retry
 // budget.
-struct Route : RouteBelief {
+struct Route : RouteState {
   int endpoints = 0, calls_in_flight = 0;
   Time gap_drawn{0}, interval_kept{0};  // random gap after the last call; how long an unused call may be made
   double interval_jitter = 1;           // random factor on the interval after the last call
@@ -159,7 +159,7 @@
   Time RememberedUntil() const { return endpoints > 0 ? Time::max() : std::max(wait_until, cold_until); }
 };
 
-struct Endpoint : EndpointBelief {
+struct Endpoint : EndpointHealth {
   EndpointInfo info;
   Destination* destination = nullptr;
   Route* route = nullptr;
@@ -210,7 +210,7 @@
   std::vector<std::map<SortKey, PendingMessage*>> queues;
   int held = 0, waiting = 0;  // messages that have not ended; those of them in queues
   double weight = 0;          // sum over its endpoints
-  Time refused_at = EndpointBelief::kNever, pause{0};      // the last refusal, and the pause after it
+  Time refused_at = EndpointHealth::kNever, pause{0};      // the last refusal, and the pause after it
   std::optional<std::pair<SortKey, DestinationId>> ready;  // its entry in ready_
   bool touched = false;
   DecayingCount arrivals;
@@ -297,8 +297,8 @@
     return std::move(actions_);
   }
 
-  std::vector<Belief> beliefs() const {
-    std::vector<Belief> all;
+  std::vector<LearnedState> learned_states() const {
+    std::vector<LearnedState> all;
     for (const auto& [id, endpoint] : endpoints_) all.push_back({id, *endpoint.route, endpoint});
     return all;
   }
@@ -456,7 +456,7 @@
   void RecordServed(Endpoint& endpoint, Time latency, bool probe) {
     // Calls to a cold endpoint are paced by its capacity, not by the interval, so they say nothing about the
     // interval.
-    const bool backlogged = endpoint.state == State::kUp && endpoint.destination->waiting > 0;
+    const bool backlogged = endpoint.state == HealthState::kUp && endpoint.destination->waiting > 0;
     endpoint.route->OnServed(backlogged);
     if (!probe && backlogged) pace_ = std::max(kMinPace, pace_ * (1 - kPaceShrink));
     endpoint.last_served_at = now_;
@@ -465,11 +465,12 @@
       endpoint.failure_rate -= kFailureRateWeight * endpoint.failure_rate;
       endpoint.latency_s += kLatencyWeight * (Seconds(latency) - endpoint.latency_s);
     }
-    if (endpoint.state == State::kDown && endpoint.single_connect_failure) endpoint.state = State::kUp;
+    if (endpoint.state == HealthState::kDown && endpoint.single_connect_failure)
+      endpoint.state = HealthState::kUp;
     // A call that is served before the end of a long wait was sent before the wait was asked for, so it does
     // not show that the endpoint is back.
-    if (endpoint.state == State::kDown && now_ >= endpoint.failed_at) {
-      endpoint.state = State::kCold;
+    if (endpoint.state == HealthState::kDown && now_ >= endpoint.failed_at) {
+      endpoint.state = HealthState::kCold;
       // In a large fleet a sender notices the return late: it came at some time since the last failure here.
       // The endpoint is paced by the capacity that it has if it came back half way between. But it is paced
       // until the latest time at which it can be cold: if pacing ended earlier, all waiting messages would be
@@ -509,7 +510,7 @@
     endpoint.consecutive_failures += 1;
     endpoint.failed_at = now_;
     endpoint.failure_may_have_run = MayHaveRun(outcome);
-    if (endpoint.state == State::kDown) return;
+    if (endpoint.state == HealthState::kDown) return;
     endpoint.failure_rate += kFailureRateWeight * (1 - endpoint.failure_rate);
     endpoint.single_connect_failure = outcome == Outcome::kNoConnection &&
                                       endpoint.consecutive_failures == 1 &&
@@ -554,20 +555,20 @@
     Route& route = *endpoint.route;
     route.wait_until = std::max(route.wait_until, now_ + retry_after);
     SlowDown(endpoint, sent_at);
-    if (endpoint.state == State::kDown) ScheduleTrial(endpoint);
+    if (endpoint.state == HealthState::kDown) ScheduleTrial(endpoint);
     if (retry_after > kGapMax) GoDownUntilWaitEnds(route, *endpoint.destination);
   }
   // A long wait was asked for: the route is down until its end, and cold then.
   void GoDownUntilWaitEnds(const Route& route, const Destination& destination) {
     for (Endpoint* other : destination.endpoints) {
-      if (other->route != &route || other->state == State::kDown) continue;
+      if (other->route != &route || other->state == HealthState::kDown) continue;
       other->failure_may_have_run = false;
       other->failed_at = route.wait_until;  // down until then
       GoDown(*other, "a long requested wait");
     }
   }
   void GoDown(Endpoint& endpoint, const char* why) {
-    endpoint.state = State::kDown;
+    endpoint.state = HealthState::kDown;
     if (endpoint.route->cold_until < now_) endpoint.route->down_since = now_;
     endpoint.route->cold_until = now_ + settings_.warm_up;
     endpoint.route->backoff = kFirstBackoff / 2;
@@ -657,7 +658,7 @@
     const auto& all = endpoint.destination->endpoints;
     return FailedRecently(endpoint, pending) &&
            std::any_of(all.begin(), all.end(), [&](const Endpoint* other) {
-             return other->Usable() && other->state == State::kUp && InAllowedZone(*other, pending) &&
+             return other->Usable() && other->state == HealthState::kUp && InAllowedZone(*other, pending) &&
                     !FailedRecently(*other, pending);
            });
   }
@@ -666,8 +667,9 @@
     Endpoint& endpoint = *attempt.endpoint;
     ClearAlarm(attempt.alarm);
     if (++attempt.overdue_count == 1) SetAlarm(attempt.alarm, now_ + attempt.overdue_after, &attempt);
-    if (attempt.overdue_count > 1 || endpoint.state == State::kDown) MarkCancellable(attempt);
-    if (endpoint.state == State::kDown || now_ - endpoint.last_served_at < OverdueAfter(endpoint)) return;
+    if (attempt.overdue_count > 1 || endpoint.state == HealthState::kDown) MarkCancellable(attempt);
+    if (endpoint.state == HealthState::kDown || now_ - endpoint.last_served_at < OverdueAfter(endpoint))
+      return;
     int count = endpoint.consecutive_failures;
     for (const Attempt* other : endpoint.attempts)
       count += other->sent_at > endpoint.last_served_sent_at
@@ -680,15 +682,16 @@
   }
   // A cold endpoint is slow, so it gets more time; else it would be taken to be down again.
   Time OverdueAfter(const Endpoint& endpoint) const {
-    double factor = endpoint.state == State::kDown ? kMaxColdFactor : 1;
-    if (endpoint.state == State::kCold) factor = std::clamp(1 / ColdCapacity(endpoint), 1.0, kMaxColdFactor);
+    double factor = endpoint.state == HealthState::kDown ? kMaxColdFactor : 1;
+    if (endpoint.state == HealthState::kCold)
+      factor = std::clamp(1 / ColdCapacity(endpoint), 1.0, kMaxColdFactor);
     return Micros(factor * std::max(Seconds(kMinOverdue), kOverdueLatencies * endpoint.latency_s));
   }
   // By a list that is too old no endpoint may be called; see ListLease.
   bool ListValid() const { return now_ < list_valid_until_; }
   void SendProbe(Endpoint& endpoint) {
-    if (!ListValid() || !settings_.may_probe || endpoint.state != State::kDown || endpoint.trial_in_flight ||
-        !endpoint.Usable() || now_ < OpensAt(endpoint))
+    if (!ListValid() || !settings_.may_probe || endpoint.state != HealthState::kDown ||
+        endpoint.trial_in_flight || !endpoint.Usable() || now_ < OpensAt(endpoint))
       return;
     endpoint.trial_in_flight = true;
     ScheduleTrial(endpoint);
@@ -716,14 +719,14 @@
       return false;
     const bool trial_allowed =
         Repeatable(pending) || !endpoint.failure_may_have_run || endpoint.route->backoff >= kMaxBackoff;
-    return endpoint.state != State::kDown || (!settings_.may_probe && trial_allowed);
+    return endpoint.state != HealthState::kDown || (!settings_.may_probe && trial_allowed);
   }
   double Cost(const Endpoint& endpoint, const PendingMessage& pending) const {
     double cost = endpoint.latency_s * (endpoint.calls_in_flight + 1);
     // Without this bonus, a down endpoint is never tried beside healthy ones. Drawback: a token is lost if it
     // is still down.
-    if (endpoint.state == State::kDown) cost += Repeatable(pending) ? -kTrialCostS : kTrialCostS;
-    if (endpoint.state == State::kCold) cost += kColdCostS;
+    if (endpoint.state == HealthState::kDown) cost += Repeatable(pending) ? -kTrialCostS : kTrialCostS;
+    if (endpoint.state == HealthState::kCold) cost += kColdCostS;
     const double mean_weight =
         endpoint.destination->weight / static_cast<double>(endpoint.destination->endpoints.size());
     cost += FleetFactor() * kRendezvousCostS * endpoint.rendezvous_cost * mean_weight /
@@ -746,9 +749,9 @@
     return !Repeatable(pending) || now_ + timeout >= pending.ends_at ? 0us : timeout;
   }
   void StartCall(PendingMessage& pending, Endpoint& endpoint) {
-    const bool trial = endpoint.state == State::kDown;
+    const bool trial = endpoint.state == HealthState::kDown;
     if (trial) ScheduleTrial(endpoint);
-    if (endpoint.state == State::kCold)
+    if (endpoint.state == HealthState::kCold)
       endpoint.route->next_trial_at = now_ + ColdInterval(endpoint, ColdCapacity(endpoint));
     Route& route = *endpoint.route;
     route.gap_drawn = Jittered(route.gap);
@@ -827,7 +830,8 @@
   // Sends the first message of a destination that can be sent, or sets the alarm for when one can.
   void ServeDestination(Destination& destination) {
     for (Endpoint* endpoint : destination.endpoints) {
-      if (endpoint->state == State::kCold && now_ >= endpoint->warm_at) endpoint->state = State::kUp;
+      if (endpoint->state == HealthState::kCold && now_ >= endpoint->warm_at)
+        endpoint->state = HealthState::kUp;
       SendProbe(*endpoint);
     }
     for (PendingMessage* pending : QueueHeads(destination)) {
@@ -851,12 +855,12 @@
   }
   Time OpensAt(const Endpoint& endpoint) const {
     const Route& route = *endpoint.route;
-    if (endpoint.state == State::kDown) return std::max(route.wait_until, route.next_trial_at);
+    if (endpoint.state == HealthState::kDown) return std::max(route.wait_until, route.next_trial_at);
     const double backlog = std::pow(std::max(1, endpoint.destination->waiting), FleetFactor());
     const Time paused =
         endpoint.destination->refused_at + Micros(Seconds(endpoint.destination->pause) / backlog);
     const Time free = std::max(route.NextCallAt(now_, pace_, backlog), paused);
-    if (endpoint.state == State::kUp) return free;
+    if (endpoint.state == HealthState::kUp) return free;
     return std::max(free, std::min(route.next_trial_at, endpoint.warm_at));
   }
   void MarkCancellable(Attempt& attempt) {
@@ -947,7 +951,7 @@
     // cold; else it would get the whole backlog at once. The same holds for one that drained and is up again.
     // Drawback: a healthy endpoint gets calls slowly.
     if (back || (is_new && (destination.waiting > 0 || now_ < endpoint.route->cold_until)))
-      endpoint.state = State::kCold;
+      endpoint.state = HealthState::kCold;
     if (is_new || back) endpoint.cold_since = now_;
     if (is_new || back) endpoint.warm_at = now_ + settings_.warm_up;
     Touch(destination);
@@ -1088,7 +1092,7 @@
     } else if (outcome == Outcome::kRefused) {
       RecordRefusal(endpoint, ended.retry_after, sent_at);
     } else if (!probe && outcome != Outcome::kCancelled && outcome != Outcome::kNotSent) {
-      if (endpoint.state != State::kDown || trial) RecordFailure(endpoint, outcome);
+      if (endpoint.state != HealthState::kDown || trial) RecordFailure(endpoint, outcome);
     }
     if (endpoint.calls_in_flight == 0 && ConnectionsExhausted(endpoint))
       actions_.push_back(CloseIdle{endpoint.info.id});
@@ -1118,13 +1122,13 @@
     if (received.until - now_ > kGapMax) GoDownUntilWaitEnds(*endpoint.route, *endpoint.destination);
     Touch(*endpoint.destination);
   }
-  void On(const Belief& belief) {
-    const auto it = endpoints_.find(belief.endpoint);
+  void On(const LearnedState& learned) {
+    const auto it = endpoints_.find(learned.endpoint);
     if (it == endpoints_.end()) return;
-    static_cast<EndpointBelief&>(it->second) = belief.health;
+    static_cast<EndpointHealth&>(it->second) = learned.health;
     // An older process does not give warm_at.
-    if (belief.health.warm_at == 0us) it->second.warm_at = belief.health.cold_since + settings_.warm_up;
-    static_cast<RouteBelief&>(*it->second.route) = belief.route;
+    if (learned.health.warm_at == 0us) it->second.warm_at = learned.health.cold_since + settings_.warm_up;
+    static_cast<RouteState&>(*it->second.route) = learned.route;
     Touch(*it->second.destination);
   }
   void On(const auto&) {}  // data of peers and timers is not used
@@ -1190,6 +1194,6 @@
   return impl_->Step(now, events);
 }
 Decider::Held Decider::held() const { return impl_->held(); }
-std::vector<Belief> Decider::beliefs() const { return impl_->beliefs(); }
+std::vector<LearnedState> Decider::learned_states() const { return impl_->learned_states(); }
 
 }  // namespace wheathub
--- a/src/handover/record.cpp
+++ b/src/handover/record.cpp
@@ -32,7 +32,7 @@
   return host;
 }
 
-Json ToJson(const wheathub::Belief& belief) {
+Json ToJson(const wheathub::LearnedState& belief) {
   const auto& route = belief.route;
   const auto& health = belief.health;
   return {belief.endpoint,
@@ -62,8 +62,8 @@
           health.failed_at.count(),
           health.warm_at.count()};
 }
-wheathub::Belief BeliefFromJson(const Json& j) {
-  wheathub::Belief belief;
+wheathub::LearnedState BeliefFromJson(const Json& j) {
+  wheathub::LearnedState belief;
   auto& route = belief.route;
   auto& health = belief.health;
   std::size_t index = 0;
@@ -80,7 +80,7 @@
   health.latency_s = next();
   for (Time* time : {&health.last_served_at, &health.connect_failed_at, &health.last_served_sent_at})
     *time = TimeFromJson(next());
-  health.state = static_cast<wheathub::State>(next().get<int>());
+  health.state = static_cast<wheathub::HealthState>(next().get<int>());
   health.consecutive_failures = next();
   health.failure_rate = next();
   health.failure_may_have_run = next();
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -109,7 +109,7 @@
       routing_table.hosts.push_back(removed_host);
     }
     RoutingChanged(routing_table);
-    for (const wheathub::Belief& belief : handed_over_state->beliefs) Queue(belief);
+    for (const wheathub::LearnedState& belief : handed_over_state->beliefs) Queue(belief);
   }
   for (const auto& [id, entry] : journal_.entries()) {
     if (entry.ending) {
@@ -267,7 +267,7 @@
   if (!pending_.empty()) Step(ports_.clock.Now());
   HandoverState state;
   state.routing_table = table_.Listed();
-  state.beliefs = decider_.beliefs();
+  state.beliefs = decider_.learned_states();
   for (const auto& [attempt, attempt_state] : in_flight_) {
     if (!attempt_state.written) continue;
     const auto held = held_.find(attempt.id);
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -81,12 +81,12 @@
   host.info = {"a", 7, 1, 2, 3.5, wheathub::Lifecycle::kDraining};
   host.address = "127.0.0.1:1";
   estate.routing_table = {wheathub::ListScope::kRemembered, 41, {host}};
-  wheathub::Belief belief;
+  wheathub::LearnedState belief;
   belief.endpoint = "a";
   belief.route.tokens = 2.5;
   belief.route.wait_until = 12345s;
   belief.health.warm_at = 54321s;
-  belief.health.state = wheathub::State::kDown;
+  belief.health.state = wheathub::HealthState::kDown;
   belief.health.failure_rate = 0.25;
   estate.beliefs = {belief};
   estate.in_flight = {{"m1", "a", 77s, 88s}};
@@ -100,8 +100,8 @@
   CHECK(decoded.routing_table.hosts.at(0).address == "127.0.0.1:1");
   CHECK(decoded.beliefs.at(0).route.wait_until == 12345s);
   CHECK(decoded.beliefs.at(0).health.warm_at == 54321s);
-  CHECK(decoded.beliefs.at(0).health.state == wheathub::State::kDown);
-  CHECK(decoded.beliefs.at(0).health.failed_at == wheathub::EndpointBelief::kNever);
+  CHECK(decoded.beliefs.at(0).health.state == wheathub::HealthState::kDown);
+  CHECK(decoded.beliefs.at(0).health.failed_at == wheathub::EndpointHealth::kNever);
   CHECK(decoded.in_flight.at(0).started_at == 77s);
   CHECK(decoded.in_flight.at(0).message_deadline == 88s);
   CHECK(decoded.host_waits.at(0).until == 2s);
