--- a/include/wheathub/decide.hpp
+++ b/include/wheathub/decide.hpp
@@ -6,7 +6,7 @@
 // out the returned actions in order before the next call.
 // - Time is a count of microseconds since any fixed origin. It never goes back: a smaller value is read as
 //   the latest one seen. The module reads no clock; it asks for timers with SetTimer and is told by TimerDue.
-// - Each Message ends exactly once: by an AttemptEnded with `closed`, or by a Refuse or Fail action.
+// - Each Message ends exactly once: by an AttemptEnded with `message_ended`, or by a Refuse or Fail action.
 // - Each Send and each Probe is followed by exactly one AttemptEnded or ProbeEnded. The first Send of a
 //   message is attempt 0, the next one attempt 1.
 // - The first event of a new Decider should be a ListUpdate with the remembered list, which may be empty.
@@ -96,9 +96,9 @@
   std::vector<double> zone_fee;  // by zone: fee of a message delivered there over a separate route
   Decay decay = Decay::kLinear;
   WeightMeaning weights = WeightMeaning::kNone;
-  double over_quota_worth_factor = 1;  // on the worth of messages beyond their tenant's quota
-  bool must_request_list = false;      // the list comes only after SubscribeToList
-  bool reports_allowance = false;      // AttemptEnded carries an Allowance
+  double over_quota_worth_factor = 1;   // on the worth of messages beyond their tenant's quota
+  bool must_request_list = false;       // the list comes only after SubscribeToList
+  bool endpoints_report_limit = false;  // AttemptEnded carries a ReportedLimit
   // Limits; 0 means that there is none.
   int slots = 0;         // calls in flight at once
   int max_open = 0;      // messages held at once
@@ -146,8 +146,8 @@
   bool recovered = false;  // accepted by an earlier process: it is never refused to make room for others
   int sends = 0;  // attempts begun; if none may have run, the retry token of the next is already spent
   bool may_have_run = false;
-  Time since_risk{0};  // since the send of the first attempt that may have run
-  int risk_zone = 0;   // zone of that attempt
+  Time since_first_uncertain{0};  // since the send of the first attempt that may have run
+  int first_uncertain_zone = 0;   // zone of that attempt
   EndpointId last_endpoint{};
   bool in_flight = false;  // the last attempt is still in flight: an AttemptEnded will come for it
   Time since_sent{0};      // since the send of that attempt
@@ -177,9 +177,9 @@
 };
 
 // What an endpoint reports of its limit.
-struct Allowance {
-  double left_share = 0;   // share of the limit that is unused at present
-  double limit_per_s = 0;  // calls a second; 0: no limit
+struct ReportedLimit {
+  double unused_share = 0;  // share of the limit that is unused at present
+  double limit_per_s = 0;   // calls a second; 0: no limit
 };
 
 struct AttemptEnded {
@@ -188,9 +188,9 @@
   EndpointId endpoint;
   Outcome outcome = Outcome::kServed;
   Time latency{0};
-  bool closed = false;  // the message has ended
+  bool message_ended = false;
   Time retry_after{0};  // with kRefused: how long the endpoint asks to wait; 0: not given
-  std::optional<Allowance> allowance;
+  std::optional<ReportedLimit> reported_limit;
 };
 
 struct ProbeEnded {
@@ -198,7 +198,7 @@
   Outcome outcome = Outcome::kServed;
   Time latency{0};
   Time retry_after{0};
-  std::optional<Allowance> allowance;
+  std::optional<ReportedLimit> reported_limit;
 };
 
 // Bytes from another sender.
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -180,10 +180,11 @@
   SortKey sort_key;  // within its queue: the smallest is sent first
   Time aim_at{0}, ends_at{0};
   double worth = 1;
-  int sends = 0, risk_zone = 0;
+  int sends = 0, first_uncertain_zone = 0;
   bool queued = false, in_flight = false, may_have_run = false, streaming = false;
-  bool late = false;      // can no longer be served within its aim
-  Time first_risk_at{0};  // when the first attempt that may have run was sent; risk_zone is its zone
+  bool late = false;  // can no longer be served within its aim
+  Time first_uncertain_at{
+      0};  // when the first attempt that may have run was sent; first_uncertain_zone is its zone
   Alarm alarm;
 
   SortKey SheddingKey() const { return {worth, -sequence}; }  // the later of two equals is refused first
@@ -355,7 +356,7 @@
     const MessageClass& message_class = ClassOf(pending.message);
     const Time end = pending.ends_at - kAnswerMargin;
     if (!pending.may_have_run || message_class.semantics != Semantics::kDeduplicated) return end;
-    return std::min(end, pending.first_risk_at + message_class.repeat_window);
+    return std::min(end, pending.first_uncertain_at + message_class.repeat_window);
   }
   // After a failed attempt: takes a token for the repeat at once, or ends the message at once if its class
   // does not allow a repeat or no token is left.
@@ -708,7 +709,7 @@
   // A message that may have run is repeated only in the zone in which its repeats are recognised.
   bool InAllowedZone(const Endpoint& endpoint, const PendingMessage& pending) const {
     return !pending.may_have_run || !ClassOf(pending.message).repeats_bound_to_zone ||
-           endpoint.info.zone == pending.risk_zone;
+           endpoint.info.zone == pending.first_uncertain_zone;
   }
   bool CanTake(const Endpoint& endpoint, const PendingMessage& pending) const {
     if (!ListValid() || !endpoint.Usable() || !InAllowedZone(endpoint, pending) ||
@@ -999,8 +1000,8 @@
     const History& history = pending.message.history;
     pending.sends = history.sends;
     pending.may_have_run = history.may_have_run;
-    pending.first_risk_at = now_ - history.since_risk;
-    pending.risk_zone = history.risk_zone;
+    pending.first_uncertain_at = now_ - history.since_first_uncertain;
+    pending.first_uncertain_zone = history.first_uncertain_zone;
     Route unlisted;
     const auto last = endpoints_.find(history.last_endpoint);
     // The earlier process has sent it: everything is recorded here, but the Send action is taken back.
@@ -1046,11 +1047,11 @@
     if (it == messages_.end()) return;
     PendingMessage& pending = it->second;
     pending.in_flight = false;
-    if (ended.closed || pending.streaming) return RemoveMessage(ended.id);
+    if (ended.message_ended || pending.streaming) return RemoveMessage(ended.id);
     if (MayHaveRun(outcome) && !pending.may_have_run) {
       pending.may_have_run = true;
-      pending.first_risk_at = attempt.sent_at;
-      pending.risk_zone = endpoint.info.zone;
+      pending.first_uncertain_at = attempt.sent_at;
+      pending.first_uncertain_zone = endpoint.info.zone;
     }
     RetryOrEnd(pending, *endpoint.route);
   }
@@ -1074,8 +1075,8 @@
   }
   template <typename Ended>
   void RecordOutcome(Endpoint& endpoint, const Ended& ended, Time sent_at, bool trial, bool probe) {
-    if (ended.allowance && ended.allowance->limit_per_s > 0) {
-      endpoint.route->announced_limit_per_s = ended.allowance->limit_per_s;
+    if (ended.reported_limit && ended.reported_limit->limit_per_s > 0) {
+      endpoint.route->announced_limit_per_s = ended.reported_limit->limit_per_s;
     }
     const Outcome outcome = ended.outcome;
     if (trial) endpoint.trial_in_flight = false;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -147,8 +147,9 @@
   event.history.last_endpoint = entry.last_host;
   if (entry.first_uncertain) {
     event.history.may_have_run = true;
-    event.history.since_risk = std::max(Time(0), ports_.clock.UnixNow() - entry.first_uncertain->started_at);
-    event.history.risk_zone = entry.first_uncertain->zone;
+    event.history.since_first_uncertain =
+        std::max(Time(0), ports_.clock.UnixNow() - entry.first_uncertain->started_at);
+    event.history.first_uncertain_zone = entry.first_uncertain->zone;
   }
   return event;
 }
@@ -367,8 +368,8 @@
   const auto it = held_.find(send.id);
   if (it == held_.end()) {
     wheathub::AttemptEnded ended{
-        .id = send.id, .endpoint = send.endpoint, .outcome = Outcome::kNotSent, .allowance = {}};
-    ended.closed = true;
+        .id = send.id, .endpoint = send.endpoint, .outcome = Outcome::kNotSent, .reported_limit = {}};
+    ended.message_ended = true;
     return Queue(std::move(ended));
   }
   counters_.attempts += 1;
@@ -446,7 +447,7 @@
   ended.endpoint = state.host;
   ended.outcome = result.outcome;
   ended.latency = ports_.clock.Now() - state.started_at;
-  ended.closed = closed;
+  ended.message_ended = closed;
   ended.retry_after = result.retry_after;
   Queue(std::move(ended));
 }
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -128,10 +128,10 @@
 }
 
 // The fields `x0` and `x1` of the comma-separated figures hold the unused share of the limit, and the limit.
-std::optional<Allowance> ReadAllowance(const Line& line, const std::vector<std::string>& names) {
+std::optional<ReportedLimit> ReadReportedLimit(const Line& line, const std::vector<std::string>& names) {
   const std::string* figures = line.Find("pressure");
   if (figures == nullptr || figures->empty() || *figures == "-") return std::nullopt;
-  Allowance allowance;
+  ReportedLimit reported_limit;
   bool reported = false;
   std::string_view rest = *figures;
   for (std::size_t i = 0; !rest.empty(); ++i) {
@@ -140,11 +140,11 @@
     rest.remove_prefix(comma == rest.npos ? rest.size() : comma + 1);
     const double value = figure.empty() ? 0 : line.ParseNumber("pressure", figure);
     if (i >= names.size()) continue;
-    if (names[i] == "x0") allowance.left_share = value;
-    if (names[i] == "x1") allowance.limit_per_s = value;
+    if (names[i] == "x0") reported_limit.unused_share = value;
+    if (names[i] == "x1") reported_limit.limit_per_s = value;
     reported = reported || names[i] == "x0" || names[i] == "x1";
   }
-  return reported ? std::optional(allowance) : std::nullopt;
+  return reported ? std::optional(reported_limit) : std::nullopt;
 }
 
 Time ReadRetryAfter(const Line& line, Outcome outcome) {
@@ -191,9 +191,9 @@
   ended.endpoint = line.Text("receiver");
   ended.outcome = ReadOutcome(line);
   ended.latency = line.SecondsOr("delay-seen-s", Time(0));
-  ended.closed = line.Flag("closed");
+  ended.message_ended = line.Flag("closed");
   ended.retry_after = ReadRetryAfter(line, ended.outcome);
-  ended.allowance = ReadAllowance(line, names);
+  ended.reported_limit = ReadReportedLimit(line, names);
   return ended;
 }
 
@@ -203,7 +203,7 @@
   ended.outcome = ReadOutcome(line);
   ended.latency = line.SecondsOr("delay-seen-s", Time(0));
   ended.retry_after = ReadRetryAfter(line, ended.outcome);
-  ended.allowance = ReadAllowance(line, names);
+  ended.reported_limit = ReadReportedLimit(line, names);
   return ended;
 }
 
@@ -369,7 +369,7 @@
     const Json report = root.value("report", empty_object);
     *report_fields = report.value("fields", std::vector<std::string>());
     for (const std::string& field : *report_fields)
-      settings.reports_allowance |= field == "x0" || field == "x1";
+      settings.endpoints_report_limit |= field == "x0" || field == "x1";
     return settings;
   } catch (const Json::exception& error) {
     throw std::invalid_argument(std::string("the settings can't be read: ") + error.what());
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -52,7 +52,7 @@
   void OnAttemptEnd(const AttemptEnded& attempt, Time now) {
     MessageState& state = messages.at(attempt.id);
     state.in_flight = false;
-    if (attempt.closed) state.ended = true;
+    if (attempt.message_ended) state.ended = true;
     const bool never_ran = attempt.outcome == Outcome::kRefused ||
                            attempt.outcome == Outcome::kNoConnection || attempt.outcome == Outcome::kNotSent;
     if (!never_ran && !state.may_have_run) {
@@ -203,7 +203,7 @@
                         : outcome_draw < 9 ? Outcome::kNoConnection
                                            : Outcome::kReset;
         if (ended.latency == timeout) ended.outcome = Outcome::kTimedOut;
-        ended.closed = ended.outcome == Outcome::kServed;
+        ended.message_ended = ended.outcome == Outcome::kServed;
         if (ended.outcome == Outcome::kRefused && draw(2) == 0)
           ended.retry_after = Time(1000 * (1 + draw(1500)));
         due_ends.emplace(now + ended.latency, ended);
@@ -213,7 +213,7 @@
           if (it->second.id != cancel->id) continue;
           AttemptEnded ended = it->second;
           ended.outcome = Outcome::kCancelled;
-          ended.closed = auditor.messages.at(ended.id).ended;
+          ended.message_ended = auditor.messages.at(ended.id).ended;
           ended.retry_after = 0s;
           due_ends.erase(it);
           due_ends.emplace(now + 20ms, ended);
@@ -228,7 +228,7 @@
     std::vector<Event> events;
     while (!due_ends.empty() && due_ends.begin()->first <= now) {
       AttemptEnded ended = due_ends.begin()->second;
-      ended.closed = ended.closed || auditor.messages.at(ended.id).ended;
+      ended.message_ended = ended.message_ended || auditor.messages.at(ended.id).ended;
       events.push_back(ended);
       due_ends.erase(due_ends.begin());
     }
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -857,7 +857,7 @@
   harness.Advance(1s);
   EXPECT_EQ(harness.SendCount("k2"), 0);
   AttemptEnded end = harness.AttemptEnd("k1", Outcome::kCancelled);
-  end.closed = true;
+  end.message_ended = true;
   harness.Step({end});
   EXPECT_EQ(harness.SendCount("k2"), 0);
   harness.Advance(400ms);
@@ -1049,7 +1049,7 @@
   EXPECT_EQ(harness.decider.held().calls, 1u);
   harness.Step({Withdrawn{"m1"}});
   AttemptEnded end = harness.AttemptEnd("m1", Outcome::kCancelled);
-  end.closed = true;
+  end.message_ended = true;
   harness.Step({end});
   EXPECT_EQ(harness.decider.held().calls, 0u);
   EXPECT_EQ(harness.decider.held().endpoints, 0u);
--- a/tests/decider_harness.hpp
+++ b/tests/decider_harness.hpp
@@ -107,7 +107,7 @@
     ended.attempt = attempt;
     ended.outcome = outcome;
     ended.latency = 100ms;
-    ended.closed = outcome == Outcome::kServed;
+    ended.message_ended = outcome == Outcome::kServed;
     ended.retry_after = retry_after;
     for (const Send& send : sent) {
       if (send.id == id) ended.endpoint = send.endpoint;
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -42,8 +42,9 @@
 TEST(History, AMessageThatMayHaveRunIsRepeatedInTheSameZone) {
   DeciderHarness harness(ZoneBoundSettings());
   harness.UpdateList({MakeEndpoint("a", 7, 0, 0), MakeEndpoint("b", 7, 0, 1)});
-  harness.Step(
-      {RestoredMessage(harness, 1, {.sends = 1, .may_have_run = true, .since_risk = 2s, .risk_zone = 1})});
+  harness.Step({RestoredMessage(
+      harness, 1,
+      {.sends = 1, .may_have_run = true, .since_first_uncertain = 2s, .first_uncertain_zone = 1})});
   ASSERT_EQ(harness.SendCount("m1"), 1);
   EXPECT_EQ(harness.sent[0].endpoint, "b");
 }
@@ -51,7 +52,8 @@
 TEST(History, AMessageThatMayHaveRunFailsAfterTheRepeatWindow) {
   DeciderHarness harness(ZoneBoundSettings());
   harness.UpdateList({MakeEndpoint("a", 7)});
-  harness.Step({RestoredMessage(harness, 1, {.sends = 1, .may_have_run = true, .since_risk = 16s})});
+  harness.Step(
+      {RestoredMessage(harness, 1, {.sends = 1, .may_have_run = true, .since_first_uncertain = 16s})});
   EXPECT_EQ(harness.SendCount("m1"), 0);
   EXPECT_TRUE(harness.Failed("m1"));
   EXPECT_FALSE(harness.Refused("m1"));
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -177,7 +177,7 @@
       ended.endpoint = "a";
       ended.outcome = outcome;
       ended.latency = now_ - sent_at;
-      ended.closed = outcome == Outcome::kServed;
+      ended.message_ended = outcome == Outcome::kServed;
       ended.retry_after = retry_after;
       Step(sender, {ended});
     });
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -58,7 +58,7 @@
   EXPECT_EQ(settings.max_retry_after, 2500ms);
   EXPECT_EQ(settings.warm_up, 9s);
   EXPECT_EQ(settings.drain_grace, 250ms);
-  EXPECT_TRUE(settings.reports_allowance);
+  EXPECT_TRUE(settings.endpoints_report_limit);
   const MessageClass& message_class = settings.classes.at(0);
   EXPECT_EQ(message_class.semantics, Semantics::kDeduplicated);
   EXPECT_TRUE(message_class.repeats_bound_to_zone && message_class.ordered);
@@ -92,10 +92,10 @@
   const auto ended = EventAt<AttemptEnded>(batch, 3);
   EXPECT_EQ(ended.outcome, Outcome::kRefused);
   EXPECT_EQ(ended.retry_after, 250ms);
-  ASSERT_TRUE(ended.allowance.has_value());
-  EXPECT_EQ(ended.allowance->left_share, 0.4);
-  EXPECT_EQ(ended.allowance->limit_per_s, 12.5);
-  EXPECT_FALSE(ended.closed);
+  ASSERT_TRUE(ended.reported_limit.has_value());
+  EXPECT_EQ(ended.reported_limit->unused_share, 0.4);
+  EXPECT_EQ(ended.reported_limit->limit_per_s, 12.5);
+  EXPECT_FALSE(ended.message_ended);
   EXPECT_EQ(EventAt<AttemptEnded>(batch, 4).retry_after, 0s)
       << "wait-ms of a stale send is not a retry-after";
   EXPECT_EQ(EventAt<ProbeEnded>(batch, 5).outcome, Outcome::kServed);
