--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1,6 +1,6 @@
-// The decision module; its interface and contract are in include/wheathub/decide.hpp. In this order:
-// constants; the state that is kept; retries and final answers; order by key; health and slow start; the
-// choice of endpoints; events. A step only visits what its events and alarms concern.
+// Implements the decision module; include/wheathub/decide.hpp defines its interface and contract. The
+// sections are, in order: constants; state; retries and final answers; ordering by key; health and slow
+// start; choice of endpoints; events. A step visits only objects that its events and expired alarms concern.
 #include "wheathub/decide.hpp"
 
 #include <algorithm>
@@ -21,88 +21,96 @@
 
 // ---- constants ----
 
-// Retry budget in tokens, one for each repeat. Repeats stay below a third of the first attempts, except for
-// the initial stock, which is spent once.
+// Retry budget of a route. A repeat costs one token, and a first attempt earns kTokensPerFirstSend, so
+// repeats stay below a third of the first attempts. In addition, the initial kMaxTokens of a route are spent
+// once.
 constexpr double kTokensPerFirstSend = 0.3;
 constexpr double kMaxTokens = 5;
-// Up to this number of senders the values for a small fleet hold; see FleetFactor().
+// A fleet of up to this many senders uses the values for a small fleet; see FleetFactor().
 constexpr double kSmallFleet = 4;
-// Gap between calls after refusals, for one waiting message. In a small fleet a sender soon learns the limit;
-// in a large one a burst that all senders hold drains slowly, so the gap is longer.
-constexpr Time kGapStep = 60ms, kGapStepLargeFleet = 2s, kGapMax = 2s, kGapMaxLargeFleet = 20s;
-constexpr double kGapShrink = 0.12;  // share of the gap that a served call takes off
-// In a large fleet, a refusal pauses the other endpoints of the destination for up to so long.
+// Mean gap between calls after refusals while one message waits: after the first refusal, and at most. A
+// sender in a small fleet learns the limit quickly. In a large fleet, where each sender holds a part of a
+// burst, the burst drains slowly, so the gap is longer.
+constexpr Time kFirstGap = 60ms, kFirstGapLargeFleet = 2s, kMaxGap = 2s, kMaxGapLargeFleet = 20s;
+constexpr double kGapShrink = 0.12;  // share by which a served call reduces the gap
+// Longest mean pause of the other endpoints of a destination after a refusal, in a large fleet.
 constexpr Time kSiblingPause = 1500ms;
-// Interval between calls of this sender to an endpoint. It starts from the sender's share of the announced
-// limit, times 1 + kSmallFleetBonus / senders, and is adjusted by what is served and refused. The longest
-// intervals, in seconds, at the start and in use: with longer ones messages would be served too late.
+// Interval between calls of this sender to a route. It is first set from the sender's share of the announced
+// limit, times 1 + kSmallFleetBonus / senders, and then adjusted by served and refused calls. An announced
+// interval above kMaxAnnouncedIntervalS is shortened at first, and no interval in use is longer than
+// kMaxIntervalS: with longer intervals messages would be served too late.
 constexpr double kSmallFleetBonus = 10, kMaxAnnouncedIntervalS = 8, kMaxIntervalS = 12;
-// A call that was not made when its interval ended may be made for at least the first time; after that it has
-// to wait for the next interval, but no longer than the second time.
-constexpr double kMinUnusedIntervalS = 0.4, kMaxIntervalWaitS = 2;
-// Shrunk by a served call, widened by a refusal, within these factors of the announced interval.
+// A call that is not made at the end of its interval remains available for at least kMinUnusedCallLifetimeS.
+// After that the sender has to wait for the end of the next interval, which takes at most kMaxIntervalWaitS.
+constexpr double kMinUnusedCallLifetimeS = 0.4, kMaxIntervalWaitS = 2;
+// A served call shortens the interval by the share kIntervalShrink, and a refusal multiplies it by
+// kIntervalWiden, between kMinIntervalFactor and kMaxIntervalFactor times the announced interval.
 constexpr double kIntervalShrink = 0.08, kIntervalWiden = 3, kMinIntervalFactor = 0.3, kMaxIntervalFactor = 3;
-// Pace: a factor on all intervals, learned from all calls. It holds the share of refused calls at a level
-// that depends on their price.
+// Pace: a factor on the intervals of all routes. Served calls lower it and refused calls raise it, so that
+// the share of refused calls stays near a target that depends on the price of a refusal.
 constexpr double kPaceShrink = 0.025, kMinPace = 0.2, kMaxPace = 1.4;
-// That level: the least one holds at the reference price and above, the largest one where refusals are cheap.
+// The target: kMinRefusedShare at kReferenceRefusedPrice and above, up to kMaxRefusedShare at lower prices.
 constexpr double kMinRefusedShare = 0.05, kReferenceRefusedPrice = 0.1, kMaxRefusedShare = 0.3;
 
 // Health.
 
-// Consecutive failures count as an outage if they are less likely than this by chance.
+// Consecutive failures count as an outage if their probability without an outage is below this.
 constexpr double kMaxChanceOfFalseOutage = 0.02;
-constexpr int kMaxFailuresToGoDown = 5;      // an outage, whatever share of calls fails anyway
+constexpr int kMaxFailuresToMarkDown = 5;    // always count as an outage, even at a high failure rate
 constexpr double kFailureRateWeight = 0.05;  // of a new outcome in the moving mean
-constexpr int kMinFailuresToGoDown = 2;      // a single failure may be chance
-constexpr Time kRecentlyServed = 1s;         // a call that was served so recently speaks against an outage
-constexpr Time kClassAvoidTime = 15s;        // for a class and an endpoint that failed one of its messages
+constexpr int kMinFailuresToMarkDown = 2;    // a single failure may be chance
+constexpr Time kRecentlyServed = 1s;         // one failure is no outage if a call was served within this time
+constexpr Time kClassAvoidTime = 15s;        // mean time for which a class avoids an endpoint that failed it
 constexpr Time kFirstBackoff = 500ms, kMaxBackoff = 2500ms;  // between trials of a down endpoint, doubling
 constexpr double kOverdueLatencies = 5;  // a call is overdue after this multiple of the usual latency
 constexpr Time kMinOverdue = 1500ms;
 // Repeatable messages time out after this multiple of the overdue time; it is above 1 because a repeat costs
 // a token.
 constexpr int kTimeoutFactor = 2;
-constexpr double kMaxColdFactor = 2.5;   // on the overdue time of a cold endpoint
+constexpr double kMaxColdFactor = 2.5;   // largest factor on the overdue time of a down or cold endpoint
 constexpr double kLatencyWeight = 0.15;  // of a new latency in the moving mean
 constexpr Time kInitialLatency = 400ms;  // assumed before any call was served
 
 // Slow start.
 
-constexpr double kMinDestinationRate = 2;  // calls a second that any destination takes from all senders
+constexpr double kMinDestinationRate = 2;  // calls a second that any destination accepts from all senders
 constexpr double kTrialShare = 0.3;  // of this sender's share of the rate, for trials of a down endpoint
-// An endpoint that is found up again is taken to be up for this share of the time since its last failure.
-constexpr double kReturnEstimate = 0.5;
-// Seconds over which arrivals are counted. The second value is added so that a short burst is not taken for a
-// rate.
+// When a down endpoint serves a call again, it is assumed to have been up for this share of the time since
+// its last failure.
+constexpr double kAssumedUpShare = 0.5;
+// Time constant of the decaying counts of arrivals, in seconds. kMinArrivalWindowS is added to the observed
+// time so that a short burst after the start is not taken for a lasting rate.
 constexpr double kArrivalWindowS = 30, kMinArrivalWindowS = 5;
-constexpr double kUnseenOutageS = 5;  // from the start of an outage to this sender's first failure
+constexpr double kUnseenOutageS =
+    5;  // assumed time between the start of an outage and the first failure here
 
-// Choice of endpoints: costs, in seconds of call time.
+// Choice of endpoints: costs, in seconds, that are added to the expected duration of a call.
 
-// The trial of a down endpoint counts as a gain for messages that may be repeated, and as a cost for others.
+// kTrialCostS for the trial of a down endpoint is subtracted for messages that may be repeated, and added for
+// all others.
 constexpr double kColdCostS = 1, kTrialCostS = 10;
 constexpr double kFeeCostS = 5;  // for each unit of fee
-// Weight of the preference of each sender for certain endpoints; see RendezvousCost().
+// Weight of a sender's preference for certain endpoints; see RendezvousCost().
 constexpr double kRendezvousCostS = 1;
-// A message that loses e times as much worth in a second is sent before one whose aim is so much earlier.
+// Head start of a message that loses e times as much worth per second: its aim counts as this much earlier.
 constexpr double kWorthHeadStartS = 4;
-// A message is late from this multiple of the usual latency before its aim; above 1 because latencies vary.
+// A waiting message counts as late when less than this multiple of the usual latency is left until its aim;
+// it is above 1 because latencies vary.
 constexpr double kLateLatencies = 1.5;
-// A call that is served within this time after this number of failed connects at most shows that connections
-// are exhausted, not that the endpoint is down. From this decaying count of such calls on, the connections of
-// a kind of destination are taken to be exhausted.
+// If a call is served within kServedSoonAfterConnectFailure after at most kMaxConnectFailures failed
+// connects, the endpoint had too few connections left and was not down. When the decaying count of such calls
+// reaches kConnectionsExhaustedCount, the connections of that kind of destination are taken to be exhausted.
 constexpr Time kServedSoonAfterConnectFailure = 3s;
 constexpr int kMaxConnectFailures = 2;
 constexpr double kConnectionsExhaustedCount = 0.9;
-constexpr Time kConnectRecheck = 1s;   // until the next trial after a single failed connect
+constexpr Time kConnectRecheck = 1s;   // mean time until the next trial after a single failed connect
 constexpr double kMaxSlotShare = 0.4;  // of all slots, for one route
-// Above this share of max_open the waiting messages of least worth are refused.
+// Above this share of max_open the waiting messages of the least worth are refused.
 constexpr double kSheddingThreshold = 0.92;
-constexpr Time kAnswerMargin = 60ms;     // an unsent message is answered this long before its time ends
-constexpr Time kDefaultRetryAfter = 1s;  // advice to a refused client where nothing better is known
-// A tenant's quota may be used in bursts of this many seconds plus this many messages. The second is for
-// large fleets, where one sender sees few messages of a tenant.
+constexpr Time kAnswerMargin = 60ms;     // a waiting message is answered this long before its deadline
+constexpr Time kDefaultRetryAfter = 1s;  // shortest retry-after for a client; used if no call time is known
+// Burst size of a tenant's quota: the messages of kQuotaBurstS seconds plus kQuotaBurstMessages. The latter
+// is for large fleets, where one sender receives few messages of a tenant.
 constexpr double kQuotaBurstS = 2, kQuotaBurstMessages = 2;
 
 constexpr Time kNever = EndpointHealth::kNever;
@@ -114,47 +122,51 @@
 struct Destination;
 struct PendingMessage;
 struct Attempt;
-// What an alarm is for: the list (monostate), a destination that may take a message, a message that is late
-// or has to be answered, an overdue attempt, or an order key that is blocked no more.
+// The object that an alarm concerns: the list subscription (monostate), a destination that may be called, a
+// message that becomes late or has to be answered, an attempt that becomes overdue, or an order key that is
+// no longer blocked.
 using AlarmTarget = std::variant<std::monostate, Destination*, PendingMessage*, Attempt*, std::string>;
 using Schedule = std::multimap<Time, AlarmTarget>;
 using Alarm = std::optional<Schedule::iterator>;
 using AttemptKey = std::pair<MessageId, int>;
-using SortKey = std::pair<double, std::int64_t>;  // of messages: a number, then the order of arrival
+using SortKey = std::pair<double, std::int64_t>;  // sorts messages by a number, then by order of arrival
 
-// A destination, or one of its endpoints where routes are separate: it has one limit, pacing and retry
-// budget.
+// A destination, or a single endpoint if its kind has separate routes. Each route has its own limit, pacing
+// and retry budget.
 struct Route : RouteState {
   int endpoints = 0, calls_in_flight = 0;
-  Time gap_drawn{0}, interval_kept{0};  // random gap after the last call; how long an unused call may be made
-  double interval_jitter = 1;           // random factor on the interval after the last call
+  Time current_gap{0},          // random gap after the last call
+      unused_call_lifetime{0};  // a call that is not made when due remains available for this time
+  double interval_jitter = 1;   // random factor on the interval after the last call
 
   Route() { tokens = kMaxTokens; }
 
-  bool TakeToken() {
+  bool SpendToken() {
     if (tokens < 1) return false;
     tokens -= 1;
     return true;
   }
-  void OnServed(bool waiting) {
-    if (waiting) ScaleInterval(1 - kIntervalShrink);
+  void OnServed(bool has_backlog) {
+    if (has_backlog) ScaleInterval(1 - kIntervalShrink);
     gap = Micros(Seconds(gap) * (1 - kGapShrink));
-    if (gap < kGapStep / 4) gap = 0us;
+    if (gap < kFirstGap / 4) gap = 0us;
   }
   void ScaleInterval(double factor) {
     const double announced_s = Seconds(announced_interval),
-                 least = std::min(announced_s, kMaxAnnouncedIntervalS / 2) * kMinIntervalFactor;
+                 least_s = std::min(announced_s, kMaxAnnouncedIntervalS / 2) * kMinIntervalFactor;
     call_interval =
-        Micros(std::clamp(Seconds(call_interval) * factor, least, announced_s * kMaxIntervalFactor));
+        Micros(std::clamp(Seconds(call_interval) * factor, least_s, announced_s * kMaxIntervalFactor));
   }
-  // The earliest time of the next call. The larger the backlog of waiting messages, the shorter are the
-  // interval and the gap after a refusal.
+  // Returns the earliest time of the next call. The larger the backlog of waiting messages (1 or more), the
+  // shorter are the interval and the gap after a refusal. A call that is no longer available is lost: the
+  // next one is due at the end of the current interval.
   Time NextCallAt(Time now, double pace, double backlog) const {
     const Time interval = Micros(std::min(kMaxIntervalS, pace * Seconds(call_interval) / std::sqrt(backlog)));
-    Time at = last_call_at + Micros(interval_jitter * Seconds(interval));
-    const Time lapsed = now - interval_kept - at;
-    if (lapsed > 0us && interval > 0us) at += interval * (lapsed / interval + 1);
-    return std::max({wait_until, next_send_at - gap_drawn + Micros(Seconds(gap_drawn) / backlog), at});
+    Time due_at = last_call_at + Micros(interval_jitter * Seconds(interval));
+    const Time expired_for = now - unused_call_lifetime - due_at;
+    if (expired_for > 0us && interval > 0us) due_at += interval * (expired_for / interval + 1);
+    return std::max(
+        {wait_until, next_send_at - current_gap + Micros(Seconds(current_gap) / backlog), due_at});
   }
   Time RememberedUntil() const { return endpoints > 0 ? Time::max() : std::max(wait_until, cold_until); }
 };
@@ -165,29 +177,31 @@
   Route* route = nullptr;
   bool listed = false, trial_in_flight = false;  // a probe or a trial message is in flight
   int calls_in_flight = 0;
-  std::vector<Attempt*> attempts;     // in flight; a call holds one for each message
-  double rendezvous_cost = 0;         // of this sender for this endpoint; see RendezvousCost()
+  std::vector<Attempt*> attempts;     // in flight; one for each message of a call
+  double rendezvous_cost = 0;         // for this sender; see RendezvousCost()
   std::map<int, Time> avoided_until;  // by class of messages that failed here
 
   Endpoint() { latency_s = Seconds(kInitialLatency); }
   bool Usable() const { return listed && info.lifecycle == Lifecycle::kUp; }
 };
 
+// A message that has not ended: it waits or is in flight.
 struct PendingMessage {
   Message message;
   std::int64_t sequence = 0;
   Destination* destination = nullptr;
   SortKey sort_key;  // within its queue: the smallest is sent first
-  Time aim_at{0}, ends_at{0};
+  Time aim_at{0}, deadline_at{0};
   double worth = 1;
   int sends = 0, first_uncertain_zone = 0;
   bool queued = false, in_flight = false, may_have_run = false, streaming = false;
   bool late = false;  // can no longer be served within its aim
-  Time first_uncertain_at{
-      0};  // when the first attempt that may have run was sent; first_uncertain_zone is its zone
+  // When the first attempt that may have run was sent; first_uncertain_zone is its zone.
+  Time first_uncertain_at{0};
   Alarm alarm;
 
-  SortKey SheddingKey() const { return {worth, -sequence}; }  // the later of two equals is refused first
+  // The smallest is refused first; of two messages with equal worth it is the later one.
+  SortKey SheddingKey() const { return {worth, -sequence}; }
   std::size_t QueueIndex() const {
     return static_cast<std::size_t>(message.message_class) * 2 + may_have_run;
   }
@@ -202,14 +216,14 @@
   void Add(Time now) { *this = {At(now) + 1, now}; }
 };
 
-// Each queue holds messages of one class that may go to the same endpoints: if its first message can't be
-// sent, none of them can.
+// Each queue holds the messages of one class that may be sent to the same endpoints: if the first message of
+// a queue can't be sent, none of them can.
 struct Destination {
   DestinationId id = 0;
   std::vector<Endpoint*> endpoints;  // by id
   std::map<EndpointId, Route> routes;
   std::vector<std::map<SortKey, PendingMessage*>> queues;
-  int held = 0, waiting = 0;  // messages that have not ended; those of them in queues
+  int held = 0, waiting = 0;  // number of messages that have not ended, and of those in queues
   double weight = 0;          // sum over its endpoints
   Time refused_at = EndpointHealth::kNever, pause{0};      // the last refusal, and the pause after it
   std::optional<std::pair<SortKey, DestinationId>> ready;  // its entry in ready_
@@ -224,14 +238,14 @@
   int message_class = 0;
   Endpoint* endpoint = nullptr;
   std::string order_key;
-  std::uint64_t bundle_id = 0;
-  Time sent_at{0}, overdue_after{0};        // after sent_at
-  int overdue_count = 0;                    // 1: overdue; 2: twice the time has passed
-  bool trial = false, cancellable = false;  // may be cancelled to free its slot
+  std::uint64_t call_id = 0;
+  Time sent_at{0}, overdue_after{0};           // overdue_after is a span that begins at sent_at
+  int overdue_count = 0;                       // 1: overdue; 2: twice the overdue time has passed
+  bool is_trial = false, cancellable = false;  // cancellable: to free its slot
   Alarm alarm;
 };
 
-// This sender's share of the quota of a tenant, as a token bucket.
+// This sender's share of a tenant's quota, as a token bucket.
 struct TenantQuota {
   double per_s = 0;
   double tokens = 0;
@@ -247,10 +261,10 @@
   }
 };
 
-// The messages of one order key, in order; the first one may be sent.
+// The messages of one order key, in order. Only the first one may be sent.
 struct KeyQueue {
   std::deque<MessageId> messages;
-  Time blocked_until{0};
+  Time blocked_until{0};  // end of the settle time after an attempt that may still run
   Alarm alarm;
 };
 
@@ -271,9 +285,10 @@
       const bool valid_window =
           message_class.semantics != Semantics::kDeduplicated || message_class.repeat_window > 0us;
       if (!valid_times)
-        throw std::invalid_argument(message_class.name + ": the aim must lie between 0 and the deadline");
+        throw std::invalid_argument(message_class.name + ": the aim must be between 0 and the deadline");
       if (!valid_window)
-        throw std::invalid_argument(message_class.name + ": deduplicated needs a repeat window above 0");
+        throw std::invalid_argument(message_class.name +
+                                    ": deduplicated messages need a repeat window above 0");
     }
     for (const Tenant& tenant : settings_.tenants) {
       const double per_s = tenant.quota_per_s / settings_.senders;
@@ -299,9 +314,9 @@
   }
 
   std::vector<LearnedState> learned_states() const {
-    std::vector<LearnedState> all;
-    for (const auto& [id, endpoint] : endpoints_) all.push_back({id, *endpoint.route, endpoint});
-    return all;
+    std::vector<LearnedState> states;
+    for (const auto& [id, endpoint] : endpoints_) states.push_back({id, *endpoint.route, endpoint});
+    return states;
   }
   Decider::Held held() const {
     std::size_t routes = 0;
@@ -341,7 +356,7 @@
   void OnAlarm(PendingMessage* pending) { now_ < AnswerBy(*pending) ? MarkLate(*pending) : GiveUp(*pending); }
   void OnAlarm(Attempt* attempt) { CheckOverdue(*attempt); }
   void OnAlarm(const std::string& key) { AdvanceKeyQueue(key); }
-  // Asks for one timer, for the next alarm. Timers that were asked for before can't be cancelled.
+  // Requests one timer, for the next alarm. Timers that were requested earlier can't be cancelled.
   void SetTimerForNext() {
     if (timer_at_ <= now_) timer_at_ = Time::max();
     if (schedule_.empty() || schedule_.begin()->first >= timer_at_) return;
@@ -350,22 +365,22 @@
   }
 
   // ---- retries and final answers ----
-  // When a waiting message has to be answered: shortly before its time ends, or, for a deduplicated message
-  // that may have run, at the end of the repeat window.
+  // Returns when a waiting message has to be answered: shortly before its deadline, or at the end of the
+  // repeat window if that is earlier and the message is deduplicated and may have run.
   Time AnswerBy(const PendingMessage& pending) const {
     const MessageClass& message_class = ClassOf(pending.message);
-    const Time end = pending.ends_at - kAnswerMargin;
+    const Time end = pending.deadline_at - kAnswerMargin;
     if (!pending.may_have_run || message_class.semantics != Semantics::kDeduplicated) return end;
     return std::min(end, pending.first_uncertain_at + message_class.repeat_window);
   }
-  // After a failed attempt: takes a token for the repeat at once, or ends the message at once if its class
-  // does not allow a repeat or no token is left.
+  // Handles a failed attempt: spends a retry token and lets the message wait for its repeat, or ends the
+  // message if no repeat is allowed or no token is left.
   void RetryOrEnd(PendingMessage& pending, Route& route) {
     const bool no_retry_left =
         (settings_.max_attempts > 0 && pending.sends >= settings_.max_attempts) || now_ >= AnswerBy(pending);
-    if (no_retry_left || (pending.may_have_run && !Repeatable(pending)) || !route.TakeToken())
+    if (no_retry_left || (pending.may_have_run && !Repeatable(pending)) || !route.SpendToken())
       return GiveUp(pending);
-    Hold(pending);
+    StartWaiting(pending);
   }
   void GiveUp(const PendingMessage& pending) {
     const MessageId id = pending.message.id;
@@ -374,15 +389,15 @@
   }
   Time RetryAfter(const PendingMessage& pending) {
     if (!settings_.may_give_retry_after) return 0us;
-    const Time soonest = NextOpening(*pending.destination);
+    const Time soonest = NextAvailableAt(*pending.destination);
     const Time wait =
         soonest == Time::max() ? kDefaultRetryAfter : std::max(soonest - now_, kDefaultRetryAfter);
-    const Time most = settings_.max_retry_after > 0us ? settings_.max_retry_after : Time::max();
-    return std::min(most, Micros(Seconds(wait) * Uniform(1.0, 1.3)));
+    const Time max_wait = settings_.max_retry_after > 0us ? settings_.max_retry_after : Time::max();
+    return std::min(max_wait, Micros(Seconds(wait) * Uniform(1.0, 1.3)));
   }
 
-  // Lets the message wait to be sent.
-  void Hold(PendingMessage& pending) {
+  // Puts the message into its queue and sets its alarm.
+  void StartWaiting(PendingMessage& pending) {
     pending.late = now_ >= LateAt(pending);
     pending.sort_key = {DispatchKey(pending), pending.sequence};
     SetAlarm(pending.alarm, pending.late ? AnswerBy(pending) : std::min(LateAt(pending), AnswerBy(pending)),
@@ -391,13 +406,14 @@
       sheddable_.emplace(pending.SheddingKey(), &pending);
     Enqueue(pending);
   }
-  // The message is too late for its aim, so messages that can still be in time are sent first. This helps
-  // under overload, where a queue in order of arrival would serve all messages late. Drawback: a late message
-  // may wait until its time ends.
+  // Moves a message that can no longer meet its aim behind the messages that still can. Under overload, a
+  // queue in order of arrival would serve all messages late. Drawback: a late message may wait until its
+  // deadline.
   void MarkLate(PendingMessage& pending) {
     Dequeue(pending);
-    Hold(pending);
+    StartWaiting(pending);
   }
+  // Returns from when on the message counts as late for its aim.
   Time LateAt(const PendingMessage& pending) const {
     double least_s = Seconds(kInitialLatency);
     for (const Endpoint* endpoint : pending.destination->endpoints)
@@ -454,31 +470,31 @@
   }
 
   // ---- health and slow start ----
-  void RecordServed(Endpoint& endpoint, Time latency, bool probe) {
-    // Calls to a cold endpoint are paced by its capacity, not by the interval, so they say nothing about the
+  void RecordServed(Endpoint& endpoint, Time latency, bool is_probe) {
+    // Calls to a cold endpoint are paced by its capacity, not by the interval, so they don't change the
     // interval.
-    const bool backlogged = endpoint.state == HealthState::kUp && endpoint.destination->waiting > 0;
-    endpoint.route->OnServed(backlogged);
-    if (!probe && backlogged) pace_ = std::max(kMinPace, pace_ * (1 - kPaceShrink));
+    const bool has_backlog = endpoint.state == HealthState::kUp && endpoint.destination->waiting > 0;
+    endpoint.route->OnServed(has_backlog);
+    if (!is_probe && has_backlog) pace_ = std::max(kMinPace, pace_ * (1 - kPaceShrink));
     endpoint.last_served_at = now_;
     endpoint.last_served_sent_at = std::max(endpoint.last_served_sent_at, now_ - latency);
-    if (!probe) {
+    if (!is_probe) {
       endpoint.failure_rate -= kFailureRateWeight * endpoint.failure_rate;
       endpoint.latency_s += kLatencyWeight * (Seconds(latency) - endpoint.latency_s);
     }
     if (endpoint.state == HealthState::kDown && endpoint.single_connect_failure)
       endpoint.state = HealthState::kUp;
-    // A call that is served before the end of a long wait was sent before the wait was asked for, so it does
-    // not show that the endpoint is back.
+    // A call that is served before a long requested wait ends was sent before the wait was requested. It does
+    // not show that the endpoint has returned.
     if (endpoint.state == HealthState::kDown && now_ >= endpoint.failed_at) {
       endpoint.state = HealthState::kCold;
-      // In a large fleet a sender notices the return late: it came at some time since the last failure here.
-      // The endpoint is paced by the capacity that it has if it came back half way between. But it is paced
-      // until the latest time at which it can be cold: if pacing ended earlier, all waiting messages would be
-      // sent at once to an endpoint that may not be warm yet.
+      // In a large fleet a sender notices the return late: the endpoint returned at some time since the last
+      // failure seen here. Calls are paced by the capacity that the endpoint has if it returned halfway
+      // through that time. Pacing continues until the latest time at which the endpoint can be cold: if it
+      // ended earlier, all waiting messages would be sent at once to an endpoint that may not be warm yet.
       endpoint.cold_since =
           now_ -
-          Micros(kReturnEstimate * Seconds(now_ - std::max(endpoint.failed_at, now_ - settings_.warm_up)));
+          Micros(kAssumedUpShare * Seconds(now_ - std::max(endpoint.failed_at, now_ - settings_.warm_up)));
       endpoint.warm_at = now_ + settings_.warm_up;
       endpoint.route->cold_until = endpoint.cold_since + settings_.warm_up;
       // The trial itself counts as a call.
@@ -488,24 +504,25 @@
     endpoint.consecutive_failures = 0;
     endpoint.connect_failed_at = kNever;
   }
-  // Single failed connects, where calls sent soon after are served, show that the idle connections of all
-  // senders use up the connections that this kind accepts. Then no idle connection is kept, and it takes more
-  // failures to go down. Drawback: each call needs a handshake, and a short outage may go unnoticed.
+  // If single connects fail and calls sent soon after are served, the idle connections of all senders use up
+  // the connections that this kind of destination accepts. Idle connections are then closed, and more
+  // failures are needed to mark an endpoint down. Drawback: each call needs a handshake, and a short outage
+  // may go unnoticed.
   bool ConnectionsExhausted(const Endpoint& endpoint) const {
     return exhausted_counts_.count(endpoint.info.kind) > 0 &&
            exhausted_counts_.at(endpoint.info.kind).At(now_) >= kConnectionsExhaustedCount;
   }
-  // The number of consecutive failures that make an endpoint down: one if nothing was served recently, more
-  // where some calls fail all the time. Drawback: the outage of an endpoint with many failures is noticed
-  // later, and where calls are rare a single failure holds messages back.
-  int FailuresToGoDown(const Endpoint& endpoint) const {
-    if (ConnectionsExhausted(endpoint)) return kMaxFailuresToGoDown;
+  // Returns the number of consecutive failures after which an endpoint is marked down: one if no call was
+  // served recently, more if a share of its calls always fails. Drawback: the outage of an endpoint with many
+  // failures is noticed later, and where calls are rare a single failure delays messages.
+  int FailuresToMarkDown(const Endpoint& endpoint) const {
+    if (ConnectionsExhausted(endpoint)) return kMaxFailuresToMarkDown;
     if (endpoint.failure_rate <= kFailureRateWeight)
-      return now_ - endpoint.last_served_at > kRecentlyServed ? 1 : kMinFailuresToGoDown;
+      return now_ - endpoint.last_served_at > kRecentlyServed ? 1 : kMinFailuresToMarkDown;
     const double failures =
         std::log(kMaxChanceOfFalseOutage) / std::log(std::min(endpoint.failure_rate, 0.99));
     return static_cast<int>(
-        std::ceil(std::clamp<double>(failures, kMinFailuresToGoDown, kMaxFailuresToGoDown)));
+        std::ceil(std::clamp<double>(failures, kMinFailuresToMarkDown, kMaxFailuresToMarkDown)));
   }
   void RecordFailure(Endpoint& endpoint, Outcome outcome) {
     endpoint.consecutive_failures += 1;
@@ -516,14 +533,14 @@
     endpoint.single_connect_failure = outcome == Outcome::kNoConnection &&
                                       endpoint.consecutive_failures == 1 &&
                                       now_ >= endpoint.route->cold_until;
-    if (endpoint.consecutive_failures >= FailuresToGoDown(endpoint)) GoDown(endpoint, "failures");
+    if (endpoint.consecutive_failures >= FailuresToMarkDown(endpoint)) MarkDown(endpoint, "failures");
     if (endpoint.single_connect_failure) endpoint.route->next_trial_at = now_ + Jittered(kConnectRecheck);
   }
-  // After a refusal: slows the pace, doubles the gap and widens the interval. The next call is at a random
-  // time within the gap, also after a requested wait, so that the senders that were refused in one burst
-  // spread their repeats over some seconds. The refusal of a call that was sent before the gap last grew
-  // gives no new information; if it counted, a burst would stop this sender. Drawback: a further drop of the
-  // limit is learned late.
+  // Handles a refusal: slows the pace, doubles the gap and widens the interval. The next call is made at a
+  // random time within the gap, also after a requested wait, so that the senders that were refused in one
+  // burst spread their repeats over some seconds. The refusal of a call that was sent before the gap was last
+  // widened changes neither gap nor interval: it gives no new information, and a burst of refusals would stop
+  // this sender. Drawback: a further decrease of the limit is noticed late.
   void SlowDown(const Endpoint& endpoint, Time sent_at) {
     Route& route = *endpoint.route;
     const double price_ratio =
@@ -534,19 +551,19 @@
     if (sent_at >= route.gap_widened_at) {
       route.gap_widened_at = now_;
       route.ScaleInterval(kIntervalWiden);
-      route.gap = std::clamp(route.gap * 2, ByFleetSize(kGapStep, kGapStepLargeFleet),
-                             ByFleetSize(kGapMax, kGapMaxLargeFleet));
+      route.gap = std::clamp(route.gap * 2, ByFleetSize(kFirstGap, kFirstGapLargeFleet),
+                             ByFleetSize(kMaxGap, kMaxGapLargeFleet));
     }
-    route.gap_drawn = Jittered(route.gap) - (route.wait_until > now_ ? route.gap / 2 : 0us);
-    route.next_send_at = std::max(route.next_send_at, std::max(now_, route.wait_until) + route.gap_drawn);
-    // The load that filled this endpoint also fills the other ones. Drawback: one that has room is used
-    // later.
+    route.current_gap = Jittered(route.gap) - (route.wait_until > now_ ? route.gap / 2 : 0us);
+    route.next_send_at = std::max(route.next_send_at, std::max(now_, route.wait_until) + route.current_gap);
+    // The load that exceeded the limit of this endpoint also reaches the other endpoints, so calls to them
+    // pause. Drawback: an endpoint with free capacity is used later.
     endpoint.destination->refused_at = now_;
     endpoint.destination->pause =
         Jittered(std::min(ByFleetSize(0us, kSiblingPause),
                           Micros(kArrivalWindowS / (0.01 + endpoint.destination->arrivals.At(now_)))));
   }
-  // 0 for a small fleet, towards 1 for a large one.
+  // 0 for a small fleet; approaches 1 as the fleet grows.
   double FleetFactor() const { return std::max(0.0, 1 - kSmallFleet / settings_.senders); }
   Time ByFleetSize(Time small, Time large) const {
     return small + Micros(FleetFactor() * Seconds(large - small));
@@ -557,43 +574,44 @@
     route.wait_until = std::max(route.wait_until, now_ + retry_after);
     SlowDown(endpoint, sent_at);
     if (endpoint.state == HealthState::kDown) ScheduleTrial(endpoint);
-    if (retry_after > kGapMax) GoDownUntilWaitEnds(route, *endpoint.destination);
+    if (retry_after > kMaxGap) MarkDownUntilWaitEnds(route, *endpoint.destination);
   }
-  // A long wait was asked for: the route is down until its end, and cold then.
-  void GoDownUntilWaitEnds(const Route& route, const Destination& destination) {
+  // Handles a long requested wait: the endpoints of the route are down until it ends, and then cold.
+  void MarkDownUntilWaitEnds(const Route& route, const Destination& destination) {
     for (Endpoint* other : destination.endpoints) {
       if (other->route != &route || other->state == HealthState::kDown) continue;
       other->failure_may_have_run = false;
-      other->failed_at = route.wait_until;  // down until then
-      GoDown(*other, "a long requested wait");
+      other->failed_at = route.wait_until;  // no call that is served earlier ends the outage
+      MarkDown(*other, "a long requested wait");
     }
   }
-  void GoDown(Endpoint& endpoint, const char* why) {
+  void MarkDown(Endpoint& endpoint, const char* reason) {
     endpoint.state = HealthState::kDown;
     if (endpoint.route->cold_until < now_) endpoint.route->down_since = now_;
     endpoint.route->cold_until = now_ + settings_.warm_up;
     endpoint.route->backoff = kFirstBackoff / 2;
     ScheduleTrial(endpoint);
     for (Attempt* attempt : endpoint.attempts) MarkCancellable(*attempt);
-    actions_.push_back(Log{"down " + endpoint.info.id + " after " + why});
+    actions_.push_back(Log{"down " + endpoint.info.id + " after " + reason});
   }
   // Sets the time of the next trial. The senders that noticed the outage make their trials at different
-  // times, and together no more often than the destination can serve on its return. Drawback: the return of a
-  // destination with little traffic is noticed late.
+  // times, and all of them together make no more trials than the destination can serve on its return.
+  // Drawback: the return of a destination with little traffic is noticed late.
   void ScheduleTrial(Endpoint& endpoint) {
     Route& route = *endpoint.route;
     route.backoff = std::min(kMaxBackoff, route.backoff * 2);
     const Time interval = std::max(route.backoff, Micros(1 / (kTrialShare * OutageRateShare(endpoint))));
-    // After a requested wait all senders would call a cold endpoint at the same time, so their first calls
-    // are spread like the following ones.
+    // When a requested wait ends, all senders would call the cold endpoint at the same time, so their first
+    // calls are spread like the following ones.
     const Time after_wait =
         route.wait_until + Micros(FleetFactor() * Uniform(0, 1) *
                                   Seconds(ColdInterval(endpoint, settings_.warm_up_start_share)));
     route.next_trial_at =
         std::max(route.next_trial_at, route.wait_until > now_ ? after_wait : now_ + Jittered(interval));
   }
-  // This sender's share of the rate of an endpoint, in calls a second: of the announced limit, else of the
-  // arrivals for the destination, moved towards the mean of all destinations.
+  // Returns this sender's share of the call rate of an endpoint, in calls a second. It is a share of the
+  // announced limit or, if there is none, the rate of arrivals for the destination at this sender, estimated
+  // with a bias towards the mean of all destinations.
   double RateShare(const Endpoint& endpoint) const {
     if (endpoint.route->announced_limit_per_s > 0)
       return endpoint.route->announced_limit_per_s / settings_.senders;
@@ -610,28 +628,28 @@
     Route& route = *endpoint.route;
     if (route.announced_limit_per_s <= 0) return;
     const double interval_s = 1 / ((1 + kSmallFleetBonus / settings_.senders) * RateShare(endpoint));
-    // A long interval is kept only after refusals. If all senders kept it, the endpoint would be idle; if
-    // none did, it would be overloaded and serve nothing.
-    const Time first =
+    // A long interval is shortened until calls are refused. If all senders always kept to the long interval,
+    // the endpoint would be idle; if none did, it would be overloaded and serve nothing.
+    const Time initial_interval =
         Micros(std::min(interval_s, std::max(kMaxAnnouncedIntervalS / 2,
                                              kMaxAnnouncedIntervalS * kMaxAnnouncedIntervalS / interval_s)));
-    route.interval_kept = FleetFactor() > 0
-                              ? Micros(std::max(kMinUnusedIntervalS, interval_s - kMaxIntervalWaitS))
-                              : Time::max() / 2;
+    route.unused_call_lifetime =
+        FleetFactor() > 0 ? Micros(std::max(kMinUnusedCallLifetimeS, interval_s - kMaxIntervalWaitS))
+                          : Time::max() / 2;
     if (route.announced_interval == 0us) route.last_call_at = now_, route.interval_jitter = Uniform(0, 1);
     if (std::exchange(route.announced_interval, Micros(interval_s)) != Micros(interval_s))
-      route.call_interval = first;
+      route.call_interval = initial_interval;
   }
-  // This sender's share of the rate after an outage, in calls a second. Only senders that noticed the outage
-  // hold messages. Where calls are rare these are few, so each may send more.
+  // Returns this sender's share of the call rate after an outage, in calls a second. Only the senders that
+  // noticed the outage hold messages back. Where calls are rare these are few, so each may send more.
   double OutageRateShare(const Endpoint& endpoint) const {
     const double share = RateShare(endpoint),
                  rate = std::max(share, endpoint.destination->arrivals.At(now_) / kArrivalWindowS);
     const Time outage = std::max(now_, endpoint.route->wait_until) - endpoint.route->down_since;
     return share / (1 - std::exp(-rate * (Seconds(outage) + kUnseenOutageS)));
   }
-  // Time between calls of this sender to a cold endpoint that now has `capacity`, a share of the full one.
-  // The growth of the capacity until the next call is taken into account.
+  // Returns a random time until this sender's next call to a cold endpoint that now has `capacity`, a share
+  // of its full capacity. It takes into account that the capacity grows until the next call.
   Time ColdInterval(const Endpoint& endpoint, double capacity) {
     const double interval_s = Uniform(0.5, 1.5) / OutageRateShare(endpoint);
     const double growth_per_s = settings_.warm_up > 0us && capacity < 1
@@ -649,8 +667,8 @@
     return std::clamp(settings_.warm_up_start_share + (1 - settings_.warm_up_start_share) * growth, 0.05,
                       1.0);
   }
-  // After a failure at an endpoint, messages of that class go to another healthy endpoint for a while.
-  // Drawback: so they do after a failure by chance.
+  // After a failure at an endpoint, messages of the same class are sent to another healthy endpoint for a
+  // while. Drawback: a failure by chance has the same effect.
   bool FailedRecently(const Endpoint& endpoint, const PendingMessage& pending) const {
     const auto it = endpoint.avoided_until.find(pending.message.message_class);
     return it != endpoint.avoided_until.end() && it->second > now_;
@@ -663,7 +681,7 @@
                     !FailedRecently(*other, pending);
            });
   }
-  // Overdue attempts count as failures before any time-out, if nothing was served in the meantime.
+  // Counts overdue attempts as failures before they time out, if no call was served in the meantime.
   void CheckOverdue(Attempt& attempt) {
     Endpoint& endpoint = *attempt.endpoint;
     ClearAlarm(attempt.alarm);
@@ -674,25 +692,26 @@
     int count = endpoint.consecutive_failures;
     for (const Attempt* other : endpoint.attempts)
       count += other->sent_at > endpoint.last_served_sent_at
-                   ? std::min(other->overdue_count, kMinFailuresToGoDown)
+                   ? std::min(other->overdue_count, kMinFailuresToMarkDown)
                    : 0;
-    if (count < std::max(kMinFailuresToGoDown, FailuresToGoDown(endpoint))) return;
+    if (count < std::max(kMinFailuresToMarkDown, FailuresToMarkDown(endpoint))) return;
     endpoint.failure_may_have_run = true;
-    GoDown(endpoint, "silence");
+    MarkDown(endpoint, "silence");
     Touch(*endpoint.destination);
   }
-  // A cold endpoint is slow, so it gets more time; else it would be taken to be down again.
+  // Returns how long after its start a call is overdue. A cold endpoint is slow, so its calls may take
+  // longer; otherwise it would be marked down again.
   Time OverdueAfter(const Endpoint& endpoint) const {
     double factor = endpoint.state == HealthState::kDown ? kMaxColdFactor : 1;
     if (endpoint.state == HealthState::kCold)
       factor = std::clamp(1 / ColdCapacity(endpoint), 1.0, kMaxColdFactor);
     return Micros(factor * std::max(Seconds(kMinOverdue), kOverdueLatencies * endpoint.latency_s));
   }
-  // By a list that is too old no endpoint may be called; see ListLease.
+  // No endpoint may be called after the list has expired; see ListLease.
   bool ListValid() const { return now_ < list_valid_until_; }
   void SendProbe(Endpoint& endpoint) {
     if (!ListValid() || !settings_.may_probe || endpoint.state != HealthState::kDown ||
-        endpoint.trial_in_flight || !endpoint.Usable() || now_ < OpensAt(endpoint))
+        endpoint.trial_in_flight || !endpoint.Usable() || now_ < AvailableAt(endpoint))
       return;
     endpoint.trial_in_flight = true;
     ScheduleTrial(endpoint);
@@ -704,16 +723,17 @@
     return ClassOf(pending.message).semantics != Semantics::kAtMostOnce;
   }
   bool SlotsFull() const {
-    return settings_.slots > 0 && static_cast<int>(bundle_outcomes_.size()) >= settings_.slots;
+    return settings_.slots > 0 && static_cast<int>(outstanding_outcomes_.size()) >= settings_.slots;
   }
   // A message that may have run is repeated only in the zone in which its repeats are recognised.
   bool InAllowedZone(const Endpoint& endpoint, const PendingMessage& pending) const {
     return !pending.may_have_run || !ClassOf(pending.message).repeats_bound_to_zone ||
            endpoint.info.zone == pending.first_uncertain_zone;
   }
-  bool CanTake(const Endpoint& endpoint, const PendingMessage& pending) const {
+  // Returns whether the message may be sent to the endpoint now.
+  bool MayCall(const Endpoint& endpoint, const PendingMessage& pending) const {
     if (!ListValid() || !endpoint.Usable() || !InAllowedZone(endpoint, pending) ||
-        Avoided(endpoint, pending) || OpensAt(endpoint) > now_)
+        Avoided(endpoint, pending) || AvailableAt(endpoint) > now_)
       return false;
     if (settings_.slots > 0 &&
         endpoint.route->calls_in_flight >= std::max(2, static_cast<int>(kMaxSlotShare * settings_.slots)))
@@ -722,10 +742,11 @@
         Repeatable(pending) || !endpoint.failure_may_have_run || endpoint.route->backoff >= kMaxBackoff;
     return endpoint.state != HealthState::kDown || (!settings_.may_probe && trial_allowed);
   }
+  // Returns the cost of sending the message to the endpoint, in seconds; PickEndpoint() minimizes it.
   double Cost(const Endpoint& endpoint, const PendingMessage& pending) const {
     double cost = endpoint.latency_s * (endpoint.calls_in_flight + 1);
-    // Without this bonus, a down endpoint is never tried beside healthy ones. Drawback: a token is lost if it
-    // is still down.
+    // Without the negative cost, a down endpoint would never be tried while others are healthy. Drawback: a
+    // retry token is lost if it is still down.
     if (endpoint.state == HealthState::kDown) cost += Repeatable(pending) ? -kTrialCostS : kTrialCostS;
     if (endpoint.state == HealthState::kCold) cost += kColdCostS;
     const double mean_weight =
@@ -740,28 +761,30 @@
   Endpoint* PickEndpoint(const PendingMessage& pending) const {
     Endpoint* best = nullptr;
     for (Endpoint* endpoint : pending.destination->endpoints) {
-      if (CanTake(*endpoint, pending) && (best == nullptr || Cost(*endpoint, pending) < Cost(*best, pending)))
+      if (MayCall(*endpoint, pending) && (best == nullptr || Cost(*endpoint, pending) < Cost(*best, pending)))
         best = endpoint;
     }
     return best;
   }
-  Time TimeoutFor(const PendingMessage& pending, const Endpoint& endpoint, bool trial) const {
-    const Time timeout = OverdueAfter(endpoint) * (trial ? 1 : kTimeoutFactor);
-    return !Repeatable(pending) || now_ + timeout >= pending.ends_at ? 0us : timeout;
+  // Returns the time-out of an attempt; 0 if it lasts until the client stops waiting.
+  Time TimeoutFor(const PendingMessage& pending, const Endpoint& endpoint, bool is_trial) const {
+    const Time timeout = OverdueAfter(endpoint) * (is_trial ? 1 : kTimeoutFactor);
+    return !Repeatable(pending) || now_ + timeout >= pending.deadline_at ? 0us : timeout;
   }
+  // Starts a call with the message, and with further messages of its destination if the kind allows bundles.
   void StartCall(PendingMessage& pending, Endpoint& endpoint) {
-    const bool trial = endpoint.state == HealthState::kDown;
-    if (trial) ScheduleTrial(endpoint);
+    const bool is_trial = endpoint.state == HealthState::kDown;
+    if (is_trial) ScheduleTrial(endpoint);
     if (endpoint.state == HealthState::kCold)
       endpoint.route->next_trial_at = now_ + ColdInterval(endpoint, ColdCapacity(endpoint));
     Route& route = *endpoint.route;
-    route.gap_drawn = Jittered(route.gap);
-    route.next_send_at = now_ + route.gap_drawn;
+    route.current_gap = Jittered(route.gap);
+    route.next_send_at = now_ + route.current_gap;
     route.last_call_at = now_;
     route.interval_jitter = Uniform(0.5, 1.5);
-    CountCall(endpoint);
-    SendMessage(pending, endpoint, trial);
-    if (trial) return;
+    RegisterCall(endpoint);
+    SendMessage(pending, endpoint, is_trial);
+    if (is_trial) return;
     for (int room = KindOf(endpoint.info).bundle_max - 1; room > 0; --room) {
       const auto heads = QueueHeads(*endpoint.destination);
       const auto next = std::find_if(heads.begin(), heads.end(),
@@ -770,32 +793,34 @@
       SendMessage(**next, endpoint, false);
     }
   }
-  void CountCall(Endpoint& endpoint) {
+  void RegisterCall(Endpoint& endpoint) {
     endpoint.route->calls_in_flight += 1;
     endpoint.calls_in_flight += 1;
-    ++last_bundle_;
+    ++last_call_id_;
   }
-  void SendMessage(PendingMessage& pending, Endpoint& endpoint, bool trial) {
+  // Starts an attempt as part of the latest call.
+  void SendMessage(PendingMessage& pending, Endpoint& endpoint, bool is_trial) {
     if (pending.sends == 0)
       endpoint.route->tokens = std::min(kMaxTokens, endpoint.route->tokens + kTokensPerFirstSend);
     Dequeue(pending);
     Touch(*pending.destination);
-    bundle_outcomes_[last_bundle_] += 1;
+    outstanding_outcomes_[last_call_id_] += 1;
     const AttemptKey key{pending.message.id, pending.sends};
     const std::string order_key = IsOrdered(pending.message) ? pending.message.key : std::string();
     Attempt& attempt = attempts_[key];
-    attempt = {key,  pending.message.message_class, &endpoint, order_key, last_bundle_,
-               now_, OverdueAfter(endpoint),        0,         trial,     false,
+    attempt = {key,  pending.message.message_class, &endpoint, order_key, last_call_id_,
+               now_, OverdueAfter(endpoint),        0,         is_trial,  false,
                {}};
     endpoint.attempts.push_back(&attempt);
     SetAlarm(attempt.alarm, now_ + attempt.overdue_after, &attempt);
-    actions_.push_back(Send{pending.message.id, endpoint.info.id, TimeoutFor(pending, endpoint, trial)});
+    actions_.push_back(Send{pending.message.id, endpoint.info.id, TimeoutFor(pending, endpoint, is_trial)});
     pending.sends += 1;
     pending.in_flight = true;
   }
 
-  // The order in which messages are sent: by their aim, with a head start for the worth that they lose in a
-  // second of waiting. It does not depend on the present time, so the order of two messages never changes.
+  // Returns the key by which waiting messages are sorted: the aim, less a head start that grows with the
+  // worth that the message loses per second of waiting. It does not depend on the current time, so the order
+  // of two messages changes only when one of them becomes late.
   double DispatchKey(const PendingMessage& pending) const {
     const MessageClass& message_class = ClassOf(pending.message);
     const bool linear = settings_.decay == Decay::kLinear;
@@ -815,7 +840,7 @@
               [](const auto* left, const auto* right) { return left->sort_key < right->sort_key; });
     return heads;
   }
-  // Marks a destination that has changed, so that this step visits it.
+  // Marks a destination as changed, so that this step visits it.
   void Touch(Destination& destination) {
     if (!destination.touched) touched_.push_back(&destination);
     destination.touched = true;
@@ -828,7 +853,8 @@
     while (!ready_.empty() && !SlotsFull()) ServeDestination(destinations_.at(ready_.begin()->second));
     if (!ready_.empty() && settings_.may_cancel) CancelOverdue();
   }
-  // Sends the first message of a destination that can be sent, or sets the alarm for when one can.
+  // Sends the first message of a destination that can be sent now. If there is none, sets the alarm for the
+  // time at which an endpoint may be called.
   void ServeDestination(Destination& destination) {
     for (Endpoint* endpoint : destination.endpoints) {
       if (endpoint->state == HealthState::kCold && now_ >= endpoint->warm_at)
@@ -842,57 +868,62 @@
     ready_.erase(*destination.ready);
     destination.ready.reset();
     ClearAlarm(destination.alarm);
-    const Time soonest = NextOpening(destination);
+    const Time soonest = NextAvailableAt(destination);
     if (soonest < Time::max()) SetAlarm(destination.alarm, soonest, &destination);
   }
-  // When the first of the endpoints that can't take a message now will be able to.
-  Time NextOpening(const Destination& destination) const {
+  // Returns the earliest time at which one of the endpoints that may not be called now may be called;
+  // Time::max() if there is none.
+  Time NextAvailableAt(const Destination& destination) const {
     Time soonest = Time::max();
     if (!ListValid()) return soonest;
     for (const Endpoint* endpoint : destination.endpoints) {
-      if (endpoint->Usable() && OpensAt(*endpoint) > now_) soonest = std::min(soonest, OpensAt(*endpoint));
+      if (endpoint->Usable() && AvailableAt(*endpoint) > now_)
+        soonest = std::min(soonest, AvailableAt(*endpoint));
     }
     return soonest;
   }
-  Time OpensAt(const Endpoint& endpoint) const {
+  // Returns the earliest time at which the health and the pacing of an endpoint allow the next call.
+  Time AvailableAt(const Endpoint& endpoint) const {
     const Route& route = *endpoint.route;
     if (endpoint.state == HealthState::kDown) return std::max(route.wait_until, route.next_trial_at);
     const double backlog = std::pow(std::max(1, endpoint.destination->waiting), FleetFactor());
-    const Time paused =
+    const Time paused_until =
         endpoint.destination->refused_at + Micros(Seconds(endpoint.destination->pause) / backlog);
-    const Time free = std::max(route.NextCallAt(now_, pace_, backlog), paused);
-    if (endpoint.state == HealthState::kUp) return free;
-    return std::max(free, std::min(route.next_trial_at, endpoint.warm_at));
+    const Time paced_until = std::max(route.NextCallAt(now_, pace_, backlog), paused_until);
+    if (endpoint.state == HealthState::kUp) return paced_until;
+    return std::max(paced_until, std::min(route.next_trial_at, endpoint.warm_at));
   }
   void MarkCancellable(Attempt& attempt) {
     const auto it = messages_.find(attempt.key.first);
     if (attempt.overdue_count == 0 || (it != messages_.end() && it->second.streaming)) return;
     if (!std::exchange(attempt.cancellable, true)) cancellable_.insert({attempt.sent_at, attempt.key});
   }
-  // Cancels overdue attempts, the oldest first, if other messages could use their slots. Without it,
-  // endpoints that don't answer could hold all slots. Drawback: an answer may be lost that would still have
-  // come, so this is done only if no slot is free.
+  // Cancels overdue attempts, the oldest first, if other messages could use their slots. Otherwise endpoints
+  // that don't respond could occupy all slots. Drawback: a late response may be lost, so this is done only if
+  // no slot is free.
   void CancelOverdue() {
-    int wanted = -cancels_in_flight_;
+    int needed_slots = -cancels_in_flight_;
     for (const auto& [sort_key, id] : ready_) {
-      if (wanted >= static_cast<int>(cancellable_.size())) break;
+      if (needed_slots >= static_cast<int>(cancellable_.size())) break;
       const auto heads = QueueHeads(destinations_.at(id));
-      wanted += std::any_of(heads.begin(), heads.end(),
-                            [&](PendingMessage* pending) { return PickEndpoint(*pending) != nullptr; });
+      needed_slots += std::any_of(heads.begin(), heads.end(),
+                                  [&](PendingMessage* pending) { return PickEndpoint(*pending) != nullptr; });
     }
-    for (; wanted > 0 && !cancellable_.empty(); --wanted) {
+    for (; needed_slots > 0 && !cancellable_.empty(); --needed_slots) {
       const AttemptKey key = cancellable_.begin()->second;
       cancellable_.erase(cancellable_.begin());
       cancels_in_flight_ += 1;
       actions_.push_back(Cancel{key.first, key.second});
     }
   }
-  // Near max_open, refuses the waiting messages of least worth while their clients still have time to retry.
+  // Near max_open, refuses the waiting messages of the least worth, while their clients still have time to
+  // retry. Returns whether there were too many messages.
   bool Shed() {
     const auto limit = static_cast<std::size_t>(std::max(1.0, kSheddingThreshold * settings_.max_open));
-    const bool over = settings_.max_open > 0 && messages_.size() > limit;
-    while (over && messages_.size() > limit && !sheddable_.empty()) GiveUp(*sheddable_.begin()->second);
-    return over;
+    const bool is_over_limit = settings_.max_open > 0 && messages_.size() > limit;
+    while (is_over_limit && messages_.size() > limit && !sheddable_.empty())
+      GiveUp(*sheddable_.begin()->second);
+    return is_over_limit;
   }
   double WorthOf(const Message& message) {
     const double worth = ClassOf(message).worth;
@@ -903,12 +934,12 @@
   }
 
   // ---- events ----
-  // Used with the simulator, which answers each call by one event and reports the end of a subscription by
-  // kFailed. The relay on sockets calls discovery by itself and does not set must_request_list.
+  // Used only with the simulator, which answers each call with one event and reports the end of a
+  // subscription with kFailed. The relay process calls discovery itself and does not set must_request_list.
   void StepListSubscription(const ListSubscription::Event& event) {
     if (!settings_.must_request_list) return;
     for (const ListSubscription::Call& list_call : list_subscription_.Step(now_, event)) {
-      list_call_ = list_call.number;
+      last_list_call_ = list_call.number;
       actions_.push_back(SubscribeToList{});
     }
     ClearAlarm(list_alarm_);
@@ -916,8 +947,10 @@
       SetAlarm(list_alarm_, list_subscription_.alarm(), std::monostate());
   }
   void On(const ListUpdate& update) {
-    if (update.scope == ListScope::kFailed) return StepListSubscription(ListSubscription::Failed{list_call_});
-    if (update.scope != ListScope::kRemembered) StepListSubscription(ListSubscription::Received{list_call_});
+    if (update.scope == ListScope::kFailed)
+      return StepListSubscription(ListSubscription::Failed{last_list_call_});
+    if (update.scope != ListScope::kRemembered)
+      StepListSubscription(ListSubscription::Received{last_list_call_});
     for (auto& [id, endpoint] : endpoints_) {
       if (update.scope == ListScope::kChanges) break;
       endpoint.listed = false;
@@ -929,16 +962,16 @@
     const auto [it, is_new] = endpoints_.try_emplace(info.id);
     Endpoint& endpoint = it->second;
     if (!is_new) Detach(endpoint);
-    const bool back =
+    const bool is_back_after_drain =
         !is_new && info.lifecycle == Lifecycle::kUp && endpoint.info.lifecycle == Lifecycle::kDraining;
     endpoint.info = info;
     endpoint.listed = info.lifecycle != Lifecycle::kRemoved;
     Destination& destination = DestinationFor(info.destination);
-    const auto later = [](const Endpoint* left, const Endpoint* right) {
+    const auto by_id = [](const Endpoint* left, const Endpoint* right) {
       return left->info.id < right->info.id;
     };
     destination.endpoints.insert(
-        std::upper_bound(destination.endpoints.begin(), destination.endpoints.end(), &endpoint, later),
+        std::upper_bound(destination.endpoints.begin(), destination.endpoints.end(), &endpoint, by_id),
         &endpoint);
     endpoint.destination = &destination;
     destination.weight += info.weight;
@@ -948,17 +981,17 @@
     endpoint.route->calls_in_flight += endpoint.calls_in_flight;
     if (settings_.weights != WeightMeaning::kNone) endpoint.route->announced_limit_per_s = info.weight;
     UpdateIntervals(endpoint);
-    // An endpoint that is new to a destination that is down or cold, or that has messages waiting, starts
-    // cold; else it would get the whole backlog at once. The same holds for one that drained and is up again.
-    // Drawback: a healthy endpoint gets calls slowly.
-    if (back || (is_new && (destination.waiting > 0 || now_ < endpoint.route->cold_until)))
+    // A new endpoint starts cold if its destination has waiting messages or is down or cold; otherwise it
+    // would receive the whole backlog at once. The same applies to an endpoint that is up again after a
+    // drain. Drawback: a healthy endpoint receives its first calls slowly.
+    if (is_back_after_drain || (is_new && (destination.waiting > 0 || now_ < endpoint.route->cold_until)))
       endpoint.state = HealthState::kCold;
-    if (is_new || back) endpoint.cold_since = now_;
-    if (is_new || back) endpoint.warm_at = now_ + settings_.warm_up;
+    if (is_new || is_back_after_drain) endpoint.cold_since = now_;
+    if (is_new || is_back_after_drain) endpoint.warm_at = now_ + settings_.warm_up;
     Touch(destination);
   }
-  // Weighted rendezvous hashing: each endpoint is the first choice of its share of the senders, and a new
-  // endpoint changes the choice of its own share only.
+  // Weighted rendezvous hashing: each endpoint is the first choice of a share of the senders, and a new
+  // endpoint changes the first choice only of the senders in its own share.
   double RendezvousCost(const EndpointId& id) const {
     std::uint64_t hash = 0x9e3779b97f4a7c15 * static_cast<std::uint64_t>(settings_.rank + 1);
     for (const char character : id) hash = (hash ^ static_cast<unsigned char>(character)) * 0x100000001b3;
@@ -987,34 +1020,35 @@
     pending.destination->held += 1;
     if (!message.resubmitted) arrivals_.Add(now_);
     if (!message.resubmitted) pending.destination->arrivals.Add(now_);
-    pending.ends_at = now_ + message.expires_in;
+    pending.deadline_at = now_ + message.expires_in;
     pending.aim_at =
-        pending.ends_at - (settings_.classes[class_index].deadline - settings_.classes[class_index].aim);
+        pending.deadline_at - (settings_.classes[class_index].deadline - settings_.classes[class_index].aim);
     pending.worth = WorthOf(message);
     if (IsOrdered(message)) key_queues_[message.key].messages.push_back(message.id);
-    message.history.sends > 0 ? Restore(pending) : Hold(pending);
+    message.history.sends > 0 ? Restore(pending) : StartWaiting(pending);
   }
-  // For a message that an earlier process has sent, under the same rules. The repeat costs a token, unless
-  // the earlier process has taken it already.
+  // Continues a message that an earlier process has sent, under the same rules. The repeat costs a retry
+  // token, unless the earlier process has already spent it.
   void Restore(PendingMessage& pending) {
     const History& history = pending.message.history;
     pending.sends = history.sends;
     pending.may_have_run = history.may_have_run;
     pending.first_uncertain_at = now_ - history.since_first_uncertain;
     pending.first_uncertain_zone = history.first_uncertain_zone;
-    Route unlisted;
+    Route substitute_route;  // its tokens are not kept
     const auto last = endpoints_.find(history.last_endpoint);
-    // The earlier process has sent it: everything is recorded here, but the Send action is taken back.
+    // The attempt of the earlier process is recorded like a new one, but its Send action is removed again.
     if (history.in_flight && last != endpoints_.end()) {
       pending.sends -= 1;
-      CountCall(last->second);
+      RegisterCall(last->second);
       SendMessage(pending, last->second, false);
       Attempt& attempt = attempts_.at({pending.message.id, history.sends - 1});
       attempt.sent_at = now_ - history.since_sent;
       SetAlarm(attempt.alarm, std::max(now_, attempt.sent_at + attempt.overdue_after), &attempt);
       return actions_.pop_back();
     }
-    RetryOrEnd(pending, last == endpoints_.end() || !history.may_have_run ? unlisted : *last->second.route);
+    RetryOrEnd(pending,
+               last == endpoints_.end() || !history.may_have_run ? substitute_route : *last->second.route);
   }
   void On(const Withdrawn& withdrawn) {
     const auto it = messages_.find(withdrawn.id);
@@ -1032,7 +1066,7 @@
     if (found == attempts_.end()) return;
     const Attempt attempt = RemoveAttempt(found->second);
     Endpoint& endpoint = *attempt.endpoint;
-    RecordOutcome(endpoint, ended, attempt.sent_at, attempt.trial, false);
+    RecordOutcome(endpoint, ended, attempt.sent_at, attempt.is_trial, false);
     const auto it = messages_.find(ended.id);
     const Outcome outcome = ended.outcome;
     if (outcome == Outcome::kServed) endpoint.avoided_until.erase(attempt.message_class);
@@ -1061,8 +1095,8 @@
     if (attempt.cancellable && cancellable_.erase({attempt.sent_at, attempt.key}) == 0)
       cancels_in_flight_ -= 1;
     std::erase(endpoint.attempts, &attempt);
-    if (--bundle_outcomes_[attempt.bundle_id] == 0) {
-      bundle_outcomes_.erase(attempt.bundle_id);
+    if (--outstanding_outcomes_[attempt.call_id] == 0) {
+      outstanding_outcomes_.erase(attempt.call_id);
       endpoint.route->calls_in_flight -= 1;
       endpoint.calls_in_flight -= 1;
     }
@@ -1074,12 +1108,12 @@
     return outcome != Outcome::kRefused && outcome != Outcome::kNoConnection && outcome != Outcome::kNotSent;
   }
   template <typename Ended>
-  void RecordOutcome(Endpoint& endpoint, const Ended& ended, Time sent_at, bool trial, bool probe) {
+  void RecordOutcome(Endpoint& endpoint, const Ended& ended, Time sent_at, bool is_trial, bool is_probe) {
     if (ended.reported_limit && ended.reported_limit->limit_per_s > 0) {
       endpoint.route->announced_limit_per_s = ended.reported_limit->limit_per_s;
     }
     const Outcome outcome = ended.outcome;
-    if (trial) endpoint.trial_in_flight = false;
+    if (is_trial) endpoint.trial_in_flight = false;
     if (outcome == Outcome::kNoConnection) endpoint.connect_failed_at = now_;
     const bool served_soon =
         outcome == Outcome::kServed && now_ - endpoint.connect_failed_at <= kServedSoonAfterConnectFailure;
@@ -1087,13 +1121,13 @@
         sent_at >= endpoint.connect_failed_at)
       exhausted_counts_[endpoint.info.kind].Add(now_);
     endpoint.single_connect_failure = endpoint.single_connect_failure && served_soon;
-    if (probe && outcome != Outcome::kServed) endpoint.consecutive_failures += 1;
+    if (is_probe && outcome != Outcome::kServed) endpoint.consecutive_failures += 1;
     if (outcome == Outcome::kServed) {
-      RecordServed(endpoint, ended.latency, probe);
+      RecordServed(endpoint, ended.latency, is_probe);
     } else if (outcome == Outcome::kRefused) {
       RecordRefusal(endpoint, ended.retry_after, sent_at);
-    } else if (!probe && outcome != Outcome::kCancelled && outcome != Outcome::kNotSent) {
-      if (endpoint.state != HealthState::kDown || trial) RecordFailure(endpoint, outcome);
+    } else if (!is_probe && outcome != Outcome::kCancelled && outcome != Outcome::kNotSent) {
+      if (endpoint.state != HealthState::kDown || is_trial) RecordFailure(endpoint, outcome);
     }
     if (endpoint.calls_in_flight == 0 && ConnectionsExhausted(endpoint))
       actions_.push_back(CloseIdle{endpoint.info.id});
@@ -1108,7 +1142,7 @@
     for (auto& [id, destination] : destinations_)
       destination.queues.resize(settings_.classes.size() * 2), Touch(destination);
   }
-  // Messages that waited for the list may be sent when it is valid again.
+  // Messages that waited for a valid list may be sent when it is valid again.
   void On(const ListValidity& validity) {
     const bool was_valid = ListValid();
     list_valid_until_ = validity.until;
@@ -1120,22 +1154,22 @@
     if (it == endpoints_.end() || received.until <= it->second.route->wait_until) return;
     Endpoint& endpoint = it->second;
     endpoint.route->wait_until = received.until;
-    if (received.until - now_ > kGapMax) GoDownUntilWaitEnds(*endpoint.route, *endpoint.destination);
+    if (received.until - now_ > kMaxGap) MarkDownUntilWaitEnds(*endpoint.route, *endpoint.destination);
     Touch(*endpoint.destination);
   }
   void On(const LearnedState& learned) {
     const auto it = endpoints_.find(learned.endpoint);
     if (it == endpoints_.end()) return;
     static_cast<EndpointHealth&>(it->second) = learned.health;
-    // An older process does not give warm_at.
+    // A process of an older version does not set warm_at.
     if (learned.health.warm_at == 0us) it->second.warm_at = learned.health.cold_since + settings_.warm_up;
     static_cast<RouteState&>(*it->second.route) = learned.route;
     Touch(*it->second.destination);
   }
-  void On(const auto&) {}  // data of peers and timers is not used
+  void On(const auto&) {}  // PeerData and TimerDue need no handling
 
-  // Removes endpoints that left the list and have no call in flight, and destinations without endpoints and
-  // messages. Requested waits and outages are remembered until they end.
+  // Removes endpoints that are no longer listed and have no call in flight, and destinations that have
+  // neither endpoints nor messages. Requested waits and the state after an outage are kept until they end.
   void RemoveUnused() {
     for (Destination* destination : std::exchange(touched_, {})) {
       for (Endpoint* endpoint : std::vector(destination->endpoints)) {
@@ -1165,12 +1199,13 @@
   Time now_{0};
   std::vector<Action> actions_;
   Schedule schedule_;
-  Time timer_at_ = Time::max();  // the earliest timer that was asked for
+  Time timer_at_ = Time::max();  // the earliest timer that was requested
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<DestinationId, Destination> destinations_;
   std::map<MessageId, PendingMessage> messages_;
   std::map<AttemptKey, Attempt> attempts_;
-  std::map<std::uint64_t, int> bundle_outcomes_;  // by call in flight: the number of outcomes still to come
+  // By call in flight: the number of its attempts whose outcome is outstanding.
+  std::map<std::uint64_t, int> outstanding_outcomes_;
   std::map<std::string, KeyQueue> key_queues_;
   std::vector<Destination*> touched_;                  // in this step
   std::set<std::pair<SortKey, DestinationId>> ready_;  // may be able to send; ordered by their first message
@@ -1180,10 +1215,10 @@
   std::vector<TenantQuota> tenant_quotas_;
   ListSubscription list_subscription_;
   Time list_valid_until_ = Time::max();
-  ListSubscription::CallNumber list_call_ = 0;  // the last call
+  ListSubscription::CallNumber last_list_call_ = 0;
   Alarm list_alarm_;
   std::int64_t last_sequence_ = 0;
-  std::uint64_t last_bundle_ = 0;
+  std::uint64_t last_call_id_ = 0;
 };
 
 Decider::Decider(Settings settings, std::uint64_t seed)
