--- a/src/list_lease.cpp
+++ b/src/list_lease.cpp
@@ -25,7 +25,7 @@
   outage_possible_ = true;
 }
 
-// The start of an outage ends the subscription, so there is no sign of one while the subscription lasts.
+// The start of an outage ends the subscription, so there is no outage while the subscription lasts.
 void ListLease::On(Time now, const Confirmed&) {
   valid_until_ = now + kConfirmedFor;
   subscribed_ = true;
@@ -38,7 +38,7 @@
   outage_possible_ = false;
 }
 
-// The end of a subscription that was silent before says nothing about discovery.
+// If the subscription was silent before, its end gives no information about discovery.
 void ListLease::On(Time, const SubscriptionEnded&) {
   if (std::exchange(subscribed_, false)) outage_possible_ = true;
 }
--- a/src/list_subscription.cpp
+++ b/src/list_subscription.cpp
@@ -62,7 +62,7 @@
 void ListSubscription::MakeCall(Time now) {
   Call call{++last_number_, std::nullopt};
   if (open_calls_.size() >= kMaxOpenCalls) {
-    // If calls are answered in turn, the oldest one is the next to be answered, unless it hangs for good.
+    // If calls are answered in order, the oldest one is answered next, unless it never gets an answer.
     const bool oldest_hangs = now - open_calls_.front().started > kMaxOpenTime;
     const auto replaced = oldest_hangs ? open_calls_.begin() : open_calls_.end() - 1;
     call.replaced_call = replaced->number;
@@ -80,13 +80,14 @@
   const Time interval = by_agent ? RandomBetween(kAgentMinCallInterval, kAgentMaxCallInterval)
                                  : RandomBetween(kMinCallInterval, kMaxCallInterval);
   const Time pause = by_agent ? kAgentRetryPause : kRetryPause;
-  // All senders lose their subscriptions at the same moment, but calls that failed were spread already.
+  // All senders lose their subscriptions at the same moment, so their next calls are spread. Calls that
+  // failed were spread already.
   const Time spread = subscription_ended ? RandomBetween(Time(0), SpreadTime()) : Time(0);
   alarm_ = std::max(last_call_at_ + interval, now + pause + spread);
 }
 
 bool ListSubscription::RemoveOpen(CallNumber call) {
-  return std::erase_if(open_calls_, [call](const Open& open) { return open.number == call; }) > 0;
+  return std::erase_if(open_calls_, [call](const OpenCall& open) { return open.number == call; }) > 0;
 }
 
 Time ListSubscription::SpreadTime() const {
--- a/tests/list_lease_test.cpp
+++ b/tests/list_lease_test.cpp
@@ -24,7 +24,7 @@
   Lease::Event event;
 };
 
-// Turns pairs of a gap in ms and a kind into a start and events of all kinds, in the order of time.
+// Returns a start and then one event for each pair of a gap in ms since the event before and a kind.
 std::vector<TimedEvent> TimedEvents(const std::vector<std::pair<int, int>>& draws) {
   std::vector<TimedEvent> events{{Time(0), Lease::Started{}}};
   for (const auto& [gap_ms, kind] : draws) {
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -1,5 +1,5 @@
-// Tests of when discovery is called for the list: in time whatever happens to the calls, and never more often
-// than stated, for fleets of 1 to 900 senders and events in any order.
+// Checks when discovery is called for the list: in time however calls end, and never more often than
+// list_subscription.hpp states, for fleets of 1 to 900 senders and events in any order.
 #include "wheathub/list_subscription.hpp"
 
 #include <gtest/gtest.h>
@@ -21,9 +21,9 @@
 
 constexpr Time kRefusalTimeout = 2s;  // a reachable discovery refuses a call within this time
 
-// Simulates one sender and its discovery on a virtual clock. Until `reachable_at` the calls end as `script`
-// says, in turn; later ones are answered after `answer_delay`, except that the first `refused` of them are
-// refused as late as possible.
+// Simulates one sender and its discovery on a virtual clock. Calls that start before `reachable_at` end as
+// listed in `script`, which is repeated. Later calls are answered after `answer_delay`, except that the first
+// `refused` of them are refused as late as possible.
 class Simulation {
  public:
   Simulation(List::Options options, std::uint64_t seed, std::vector<CallResult> script, Time reachable_at,
@@ -117,9 +117,9 @@
     const Time answer_delay(*rc::gen::inRange<std::int64_t>(0, max_answer_delay.count() + 1));
     Simulation simulation(CallsDiscovery(senders), seed, script, reachable_at, answer_delay, refused);
     simulation.Report(List::Started{false});
-    simulation.RunUntil(reachable_at + List::kKnownWithin);
+    simulation.RunUntil(reachable_at + List::kBindingAfter);
     RC_ASSERT(simulation.answered_at().has_value());
-    RC_ASSERT(*simulation.answered_at() <= reachable_at + List::kKnownWithin);
+    RC_ASSERT(*simulation.answered_at() <= reachable_at + List::kBindingAfter);
   }));
 }
 
@@ -135,7 +135,7 @@
     RC_ASSERT(calls.size() == 1u);
     simulation.list().Step(moved_at, List::Failed{calls.front().number});
     RC_ASSERT(simulation.list().alarm() <= moved_at + List::kLatestNextCall);
-    RC_ASSERT(simulation.list().alarm() + 1400ms <= moved_at + List::kKnownWithinAfterMove);
+    RC_ASSERT(simulation.list().alarm() + 1400ms <= moved_at + List::kBindingAfterMove);
   }));
 }
 
@@ -171,10 +171,10 @@
         max_in_a_second = std::max(max_in_a_second, std::lower_bound(it, starts.end(), *it + 1s) - it);
       }
       EXPECT_LE(static_cast<double>(max_in_a_second), senders) << "one call a sender in any second";
-      // The first call, and as many as the mean interval between two calls allows.
+      // The first call, and as many further calls as the mean interval between two calls allows.
       const double mean_interval_s = call_result == CallResult::kRefusedImmediately ? 1.75 : 1.95;
       EXPECT_LE(static_cast<double>(starts.size()), senders * (1 + 30 / mean_interval_s));
-      // The calls are spread: a quarter of a second holds at most one and a half times its part of them.
+      // The calls are spread: a quarter of a second has at most one and a half times its share of them.
       std::ptrdiff_t max_in_250ms = 0;
       for (auto it = starts.begin(); senders >= 300 && it != starts.end(); ++it) {
         max_in_250ms = std::max(max_in_250ms, std::lower_bound(it, starts.end(), *it + 250ms) - it);
@@ -212,7 +212,7 @@
     const Time called_at = list.alarm();
     ASSERT_EQ(list.Step(called_at, List::Elapsed{}).size(), 1u);
     list.Step(called_at + kRefusalTimeout, List::Failed{2});
-    EXPECT_LE(list.alarm(), 10s + List::kKnownWithin - 700ms);
+    EXPECT_LE(list.alarm(), 10s + List::kBindingAfter - 700ms);
   }
   std::sort(alarms.begin(), alarms.end());
   EXPECT_GE(alarms.front(), List::kSilenceTimeout);
@@ -250,7 +250,7 @@
   list.Step(list.alarm(), List::Elapsed{});
   EXPECT_TRUE(list.Step(3s, List::Received{1}).empty());
   EXPECT_EQ(list.subscription(), 1);
-  list.Step(3s, List::Failed{2});  // closed because of the answer; not a failure of its own
+  list.Step(3s, List::Failed{2});  // was closed because of the answer, which is no failure
   EXPECT_GE(list.alarm(), 3s + List::kSilenceTimeout);
   EXPECT_LE(list.alarm(), 3s + List::kSilenceTimeout + List::kSilenceJitter);
 }
