--- a/src/simulator_adapter.cpp
+++ b/src/simulator_adapter.cpp
@@ -15,15 +15,16 @@
 using wheathub::Event;
 namespace wire = wheathub::wire;
 
+// Runs one Decider for each instance that the simulator has launched.
 class DeciderHost {
  public:
-  // Returns the answer to one batch. Throws wire::Error.
+  // Returns the answer to one batch. Throws wire::Error if the batch is invalid.
   std::string Reply(const wire::Batch& batch) {
     std::string out;
-    std::vector<std::string> order;  // in which the batch first names its instances
+    std::vector<std::string> instances;  // in the order in which the batch first names them
     std::map<std::string, std::vector<Event>> events;
     for (const wire::Item& item : batch.items) {
-      if (events.find(item.instance) == events.end()) order.push_back(item.instance);
+      if (events.find(item.instance) == events.end()) instances.push_back(item.instance);
       std::vector<Event>& instance_events = events[item.instance];
       if (const auto* launch = std::get_if<wire::Launch>(&item.content)) {
         Start(item, *launch);
@@ -37,7 +38,7 @@
         instance_events.push_back(std::get<Event>(item.content));
       }
     }
-    for (const std::string& instance : order) {
+    for (const std::string& instance : instances) {
       const auto decider = deciders_.find(instance);
       if (decider == deciders_.end()) continue;
       const auto actions = decider->second->Step(batch.now, events[instance]);
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -17,8 +17,8 @@
 
 Time FromSeconds(double seconds) { return Time(std::llround(seconds * 1e6)); }
 
-// One line of input, split into a name and name=value fields. A field of type text extends to the end of the
-// line.
+// One line of input, split into a name and name=value fields. The fields `facts` and `reason-text` extend to
+// the end of the line.
 class Line {
  public:
   Line(const std::string& text, std::size_t number) : number_(number) {
@@ -292,7 +292,7 @@
   return word == "rough" ? WeightMeaning::kRough : WeightMeaning::kNone;
 }
 
-// Appends a field in seconds with six decimals, without rounding through floating point.
+// Appends a field in seconds with six decimals. Integer arithmetic avoids rounding errors.
 void AppendSeconds(const char* name, Time time, std::string* out) {
   char text[48];
   const long long micros = time.count();
@@ -314,6 +314,7 @@
   }
 }
 
+// Appends one action to `out`, without the newline.
 struct Writer {
   std::string* out;
 
@@ -372,7 +373,7 @@
       settings.endpoints_report_limit |= field == "x0" || field == "x1";
     return settings;
   } catch (const Json::exception& error) {
-    throw std::invalid_argument(std::string("the settings can't be read: ") + error.what());
+    throw std::invalid_argument(std::string("the settings can't be parsed: ") + error.what());
   }
 }
 
@@ -387,7 +388,7 @@
   std::vector<EndpointInfo> endpoints;
   std::string text;
   for (std::size_t i = 0; i < count; ++i) {
-    if (!GetLine(&text)) throw Error(line_, "the input ends inside a LEDGER");
+    if (!GetLine(&text)) throw Error(line_, "the input ends within a LEDGER");
     endpoints.push_back(ReadEndpoint(Line(text, line_)));
   }
   return endpoints;
@@ -405,12 +406,12 @@
   batch->round = head.Text("round");
   std::string instance;
   const auto add = [&](auto content) {
-    if (instance.empty()) throw Error(line_, "an event before any AT");
+    if (instance.empty()) throw Error(line_, "an event without an AT before it");
     batch->items.push_back({instance, line_, std::move(content)});
   };
   const auto report_fields = [&]() -> const std::vector<std::string>& { return report_fields_[instance]; };
   while (true) {
-    if (!GetLine(&text)) throw Error(line_, "the input ends inside a batch");
+    if (!GetLine(&text)) throw Error(line_, "the input ends within a batch");
     const Line line(text, line_);
     const std::string& name = line.name();
     if (name == "FLUSH") return true;
@@ -440,7 +441,8 @@
       if (update.scope != ListScope::kFailed) {
         update.revision = line.Integer<std::int64_t>("revision");
         const auto endpoint_list = endpoint_lists_.find(line.Integer<std::int64_t>("ref"));
-        if (endpoint_list == endpoint_lists_.end()) throw Error(line_, "VIEW of a list that was never given");
+        if (endpoint_list == endpoint_lists_.end())
+          throw Error(line_, "VIEW of a list that no LEDGER defined");
         update.endpoints = endpoint_list->second;
       }
       add(Event(std::move(update)));
--- a/src/wire.hpp
+++ b/src/wire.hpp
@@ -1,4 +1,4 @@
-// The line protocol of the bench: reads events from lines of text and writes actions as lines. It only
+// The line protocol of the simulator: reads events from lines of text and writes actions as lines. It only
 // translates; all decisions are made in decide.cpp.
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace wheathub::wire {
 
-// Malformed input. The text starts with the number of the line, counted from 1.
+// Malformed input. The text starts with the line number, counted from 1.
 class Error : public std::runtime_error {
  public:
   Error(std::size_t line, const std::string& what)
@@ -37,10 +37,10 @@
   std::variant<Launch, Teardown, Event> content;
 };
 
-// All that happened at one moment, for all instances.
+// All events of one moment, for all instances.
 struct Batch {
   Time now{0};
-  std::string round;  // repeated in the answer
+  std::string round;  // identifies the batch; repeated in the answer
   std::vector<Item> items;
 };
 
@@ -51,6 +51,7 @@
 
   // Reads the next batch. Returns false at the end of the input; throws Error if the input is malformed.
   bool Next(Batch* batch);
+  // Number of lines read so far.
   std::size_t line() const { return line_; }
 
  private:
@@ -63,11 +64,11 @@
   std::map<std::string, std::vector<std::string>> report_fields_;     // by instance
 };
 
-// Reads settings from the JSON text of a LAUNCH line, and the names of the figures that endpoints report.
-// Throws std::invalid_argument if the text can't be read.
+// Parses the JSON text of a LAUNCH line. Returns the settings and stores the names of the figures that
+// endpoints report in `report_fields`. Throws std::invalid_argument if the text can't be parsed.
 Settings ParseSettings(std::string_view json, std::vector<std::string>* report_fields);
 
-// Appends the line for one action to `out`.
+// Appends one action to `out`, as a line that ends with a newline.
 void Write(const Action& action, std::string* out);
 
 }  // namespace wheathub::wire
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,4 +1,4 @@
-// Runs the program wheathub_drill, which connects the decision module to the text protocol, on short inputs.
+// Runs the program wheathub_drill, which connects the decision module to the simulator, on short inputs.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -41,8 +41,9 @@
     "LEDGER ref=0 items=1\nITEM receiver=10.0.0.1:80 lifecycle=up belongs-to=5\n"
     "VIEW ref=0 revision=1 scope=remembered\n";
 
-// Lines that start an instance and give it a list with one endpoint.
+// Returns the lines that launch an instance and send it a list with one endpoint.
 std::string Start(const std::string& instance) { return "AT i=" + instance + "\n" + kLaunch; }
+// Returns the lines that submit a message to an instance.
 std::string Message(const std::string& instance, const std::string& id) {
   return "AT i=" + instance + "\nINBOUND rid=" + id + " category=0 expires-in-s=20 to-exchange=5\n";
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the text protocol of the drill program: reading events and writing actions.
+// Tests of the simulator's line protocol: reading events and writing actions.
 #include "wire.hpp"
 
 #include <gtest/gtest.h>
@@ -122,7 +122,7 @@
       {"INBOUND rid=r category=0 expires-in-s=soon to-exchange=5\n", "not a number"},
       {"INBOUND rid=r category=0 expires-in-s=nan to-exchange=5\n", "not a number"},
       {"INBOUND rid=r nonsense category=0 expires-in-s=1 to-exchange=5\n", "name=value"},
-      {"VIEW ref=9 revision=1 scope=all\n", "never given"},
+      {"VIEW ref=9 revision=1 scope=all\n", "no LEDGER defined"},
       {"VIEW ref=9 revision=1 scope=some\n", "unknown scope"},
       {"ATTEMPT_END rid=r shot=0 receiver=a reason=odd\n", "unknown reason"},
       {"ATTEMPT_END rid=r shot=0 receiver=a reason=pass closed=2\n", "neither 1 nor 0"},
@@ -151,7 +151,7 @@
   Batch batch;
   EXPECT_TRUE(reader.Next(&batch));
   EXPECT_TRUE(batch.items.empty());
-  EXPECT_THROW(reader.Next(&batch), Error) << "the input ends inside a batch";
+  EXPECT_THROW(reader.Next(&batch), Error) << "the input ends within a batch";
   std::istringstream none("");
   Reader empty(none);
   EXPECT_FALSE(empty.Next(&batch));
