--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -1,5 +1,6 @@
-// Sends random but valid events to the decision module and checks every action against the rules, as far as a
-// sender can see them. Endpoints are not modelled: outcomes are independent random draws.
+// Sends random but valid events to the decision module and checks every action against the rules that can be
+// checked from the events and actions of one sender. Endpoints are not modelled: outcomes are independent
+// random draws.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -12,7 +13,7 @@
 namespace wheathub::testing {
 namespace {
 
-// What the auditor knows of a message.
+// What the rule checker knows of a message.
 struct MessageState {
   Message message;
   Time deadline{0};
@@ -28,10 +29,9 @@
 };
 
 // Follows all events and actions of one sender and records each violation of a rule.
-
-class Auditor {
+class RuleChecker {
  public:
-  Auditor(const Settings& settings) : settings_(settings) {}
+  RuleChecker(const Settings& settings) : settings_(settings) {}
 
   std::vector<std::string> violations;
   std::map<MessageId, MessageState> messages;
@@ -153,8 +153,8 @@
   std::map<std::string, std::pair<std::uint64_t, Time>> settle_until_;
 };
 
-// Runs a Decider on random events for 32.5 s of virtual time and returns the auditor with its findings.
-Auditor RunRandomEvents(std::uint64_t seed) {
+// Runs a Decider on random events for 32.5 s of virtual time and returns the rule checker with its findings.
+RuleChecker RunRandomEvents(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   const auto draw = [&](int bound) { return static_cast<int>(random() % static_cast<std::uint64_t>(bound)); };
   Settings settings = BasicSettings();
@@ -163,36 +163,36 @@
   settings.kinds[2].bundle_max = 1;
   settings.classes[1].repeats_bound_to_zone = draw(2) == 0;
   settings.classes[1].repeat_window = 2s;
-  Auditor auditor(settings);
+  RuleChecker checker(settings);
   Decider decider(settings, seed);
   std::vector<EndpointInfo> endpoints;
   for (int i = 0; i < 8; ++i)
     endpoints.push_back(MakeEndpoint("e" + std::to_string(i), i / 2, (i / 2) % 2, i % 2));
-  for (const EndpointInfo& endpoint : endpoints) auditor.endpoints[endpoint.id] = endpoint;
+  for (const EndpointInfo& endpoint : endpoints) checker.endpoints[endpoint.id] = endpoint;
   Time now = 10s;
   std::multimap<Time, AttemptEnded> due_ends;
   std::map<MessageId, int> attempts;
   const auto step = [&](std::vector<Event> events) {
     for (const Event& event : events) {
-      if (const auto* message = std::get_if<Message>(&event)) auditor.OnMessage(*message, now);
+      if (const auto* message = std::get_if<Message>(&event)) checker.OnMessage(*message, now);
       if (const auto* attempt = std::get_if<AttemptEnded>(&event)) {
-        auditor.OnAttemptEnd(*attempt, now);
-        if (attempt->retry_after > 0s) auditor.OnRetryAfter(attempt->endpoint, now + attempt->retry_after);
+        checker.OnAttemptEnd(*attempt, now);
+        if (attempt->retry_after > 0s) checker.OnRetryAfter(attempt->endpoint, now + attempt->retry_after);
       }
       if (const auto* probe = std::get_if<ProbeEnded>(&event)) {
-        auditor.probing.erase(probe->endpoint);
-        if (probe->retry_after > 0s) auditor.OnRetryAfter(probe->endpoint, now + probe->retry_after);
+        checker.probing.erase(probe->endpoint);
+        if (probe->retry_after > 0s) checker.OnRetryAfter(probe->endpoint, now + probe->retry_after);
       }
     }
     const auto actions = decider.Step(now, events);
-    auditor.CheckActions(actions, now);
+    checker.CheckActions(actions, now);
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
         AttemptEnded ended;
         ended.id = send->id;
         ended.attempt = attempts[send->id]++;
         ended.endpoint = send->endpoint;
-        const Time remaining = auditor.messages.at(send->id).deadline - now;
+        const Time remaining = checker.messages.at(send->id).deadline - now;
         const Time timeout = send->timeout > 0s ? std::min(send->timeout, remaining) : remaining;
         const bool unanswered = draw(12) == 0;
         ended.latency = unanswered ? timeout : std::min(timeout, Time(1000 * (20 + draw(600))));
@@ -213,7 +213,7 @@
           if (it->second.id != cancel->id) continue;
           AttemptEnded ended = it->second;
           ended.outcome = Outcome::kCancelled;
-          ended.message_ended = auditor.messages.at(ended.id).ended;
+          ended.message_ended = checker.messages.at(ended.id).ended;
           ended.retry_after = 0s;
           due_ends.erase(it);
           due_ends.emplace(now + 20ms, ended);
@@ -228,7 +228,7 @@
     std::vector<Event> events;
     while (!due_ends.empty() && due_ends.begin()->first <= now) {
       AttemptEnded ended = due_ends.begin()->second;
-      ended.message_ended = ended.message_ended || auditor.messages.at(ended.id).ended;
+      ended.message_ended = ended.message_ended || checker.messages.at(ended.id).ended;
       events.push_back(ended);
       due_ends.erase(due_ends.begin());
     }
@@ -244,11 +244,11 @@
     if (draw(200) == 0) {
       EndpointInfo endpoint = endpoints[static_cast<std::size_t>(draw(8))];
       endpoint.lifecycle = static_cast<Lifecycle>(draw(3));
-      auditor.endpoints[endpoint.id] = endpoint;
+      checker.endpoints[endpoint.id] = endpoint;
       events.push_back(ListUpdate{ListScope::kChanges, i, {endpoint}});
     }
     if (draw(10) == 0) {
-      const std::set<EndpointId> probing = auditor.probing;
+      const std::set<EndpointId> probing = checker.probing;
       for (const EndpointId& id : probing) {
         ProbeEnded probe;
         probe.endpoint = id;
@@ -260,23 +260,23 @@
     events.push_back(TimerDue{"sweep"});
     step(events);
   }
-  for (const auto& [id, state] : auditor.messages) {
-    if (!state.ended) auditor.violations.push_back("never answered: " + id);
+  for (const auto& [id, state] : checker.messages) {
+    if (!state.ended) checker.violations.push_back("never answered: " + id);
   }
-  EXPECT_GT(auditor.messages.size(), 400u);
+  EXPECT_GT(checker.messages.size(), 400u);
   EXPECT_EQ(decider.held().messages, 0u);
   EXPECT_EQ(decider.held().keys, 0u);
-  return auditor;
+  return checker;
 }
 
 class RuleAudit : public ::testing::TestWithParam<int> {};
 TEST_P(RuleAudit, NoRuleIsViolated) {
-  const Auditor auditor = RunRandomEvents(static_cast<std::uint64_t>(GetParam()));
-  for (const std::string& violation : auditor.violations) ADD_FAILURE() << violation;
+  const RuleChecker checker = RunRandomEvents(static_cast<std::uint64_t>(GetParam()));
+  for (const std::string& violation : checker.violations) ADD_FAILURE() << violation;
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RuleAudit, ::testing::Range(1, 21));
 
-// The state that is held must not grow with messages, destinations and keys that are no longer in use.
+// The amount of held state must not grow with messages, destinations and keys that are no longer in use.
 TEST(HeldState, UnusedStateIsDropped) {
   DeciderHarness harness;
   for (int round = 0; round < 200; ++round) {
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -23,10 +23,10 @@
   settings = BasicSettings();
   settings.classes[0].aim = 30s;
   try {
-    Decider d(settings, 1);
+    Decider decider(settings, 1);
     FAIL() << "no error";
-  } catch (const std::invalid_argument& e) {
-    EXPECT_NE(std::string(e.what()).find("aim"), std::string::npos);
+  } catch (const std::invalid_argument& error) {
+    EXPECT_NE(std::string(error.what()).find("aim"), std::string::npos);
   }
   settings = BasicSettings();
   settings.classes[1].repeat_window = 0s;
@@ -153,8 +153,8 @@
 TEST(RetryBudget, IsFullAtTheStartAndThenLimitsRepeats) {
   DeciderHarness harness;
   harness.UpdateList({MakeEndpoint("a", 7)});
-  // Every attempt ends with an error, and each message is repeated until the budget denies it. The total of
-  // repeats is the initial budget plus what the first attempts earn.
+  // Every attempt ends with an error, and each message is repeated until no token is left. The total number
+  // of repeats is limited by the initial budget plus the tokens that the first attempts earn.
   int repeats = 0;
   const int messages = 12;
   for (int i = 0; i < messages; ++i) {
@@ -182,8 +182,8 @@
   batch.clear();
   for (int i = 0; i < 8; ++i) batch.push_back(harness.AttemptEnd(Id(i), Outcome::kRefused));
   harness.Step(batch);
-  // The bucket is full with 5 tokens, so the 8 x 0.3 tokens earned are lost: 5 repeats, and 3 messages are
-  // refused in the same step.
+  // The budget is full with 5 tokens, so the 8 x 0.3 tokens that the first attempts earn are lost: there are
+  // 5 repeats, and 3 messages are refused in the same step.
   EXPECT_EQ(harness.refused.size(), 3u);
   for (const auto& [id, retry_after] : harness.refused) {
     EXPECT_GT(retry_after, 0s);
@@ -262,8 +262,9 @@
   EXPECT_EQ(harness.sent.size() - before, 5u);
 }
 
-// With hundreds of senders a gap of milliseconds limits nothing, and all of them called at the end of the
-// same retry-after time. So the gap must grow with the number of senders and be randomized.
+// Guards against an overload by hundreds of senders: a gap of milliseconds did not limit their calls, and all
+// of them called at the end of the same retry-after time. So the gap must grow with the number of senders and
+// be randomized.
 TEST(Gap, GrowsWithTheNumberOfSendersAndIsRandomized) {
   Time shortest = 100s;
   Time longest = 0s;
@@ -303,7 +304,7 @@
   return endpoint;
 }
 
-// A burst of messages reaches each of a hundred senders as one message, and all of them sent it at once.
+// Guards against a burst in which each of a hundred senders receives one message and all send theirs at once.
 TEST(Pacing, ABurstOverAllSendersFollowsTheLimitAndNotTheirNumber) {
   std::size_t at_once = 0, in_4s = 0;
   for (int rank = 0; rank < 100; ++rank) {
@@ -320,8 +321,8 @@
   EXPECT_GE(in_4s, 95u) << "no sender waits longer than the call interval of its share";
 }
 
-// With 300 senders and little traffic, the share of each is one call in 100 s, and messages waited for it
-// while the hosts were idle. So an unused call stays available where calls are rare.
+// With 300 senders and little traffic, the share of each sender is one call in 100 s, and messages waited for
+// that call while the hosts were idle. So an unused call must remain available where calls are rare.
 TEST(Pacing, ASingleMessageIsSentAtOnceWhereTheShareOfASenderIsSmall) {
   for (const int senders : {100, 300}) {
     std::size_t in_300ms = 0, second_in_300ms = 0;
@@ -343,8 +344,8 @@
   }
 }
 
-// Each of 309 senders called a small endpoint at least every 4 to 8 s. Refused calls count against its limit
-// as well, so it served nothing at all while that went on.
+// Guards against a lasting overload: each of 309 senders called a small endpoint at least every 4 to 8 s.
+// Refused calls count against its limit as well, so it served no call at all during that time.
 TEST(Pacing, ASmallShareIsKeptOnceCallsAreRefused) {
   constexpr int kSenders = 300;
   std::vector<DeciderHarness> harnesses;
@@ -497,7 +498,7 @@
 }
 
 // Idle connections of hundreds of senders filled the connection tables of the endpoints, and the connects
-// that failed for that reason were taken for outages.
+// that failed for this reason were counted as outages.
 TEST(Connections, IdleOnesAreClosedAfterAFailedConnectWhichIsNoOutage) {
   Settings settings = BasicSettings();
   settings.keepalive = 10s;
@@ -522,7 +523,8 @@
   EXPECT_EQ(harness.SendCount("n4"), 1) << "not down";
 }
 
-// After a single failed connect and failed probes, the whole backlog was sent on the first successful probe.
+// Guards against sending the whole backlog on the first successful probe after a single failed connect and
+// failed probes.
 TEST(SlowStart, AppliesAfterFailedProbesThoughOnlyOneConnectFailed) {
   Settings settings = BasicSettings();
   settings.may_probe = true;
@@ -535,18 +537,18 @@
   for (int answered = 0; answered < 2;) {
     harness.Advance(20ms);
     if (harness.CountActions<Probe>() == 0) continue;
-    ProbeEnded p;
-    p.endpoint = "a";
-    p.outcome = answered++ == 0 ? Outcome::kNoConnection : Outcome::kServed;
+    ProbeEnded ended;
+    ended.endpoint = "a";
+    ended.outcome = answered++ == 0 ? Outcome::kNoConnection : Outcome::kServed;
     harness.now += 20ms;
-    harness.Step({p});
+    harness.Step({ended});
   }
   harness.Advance(500ms);
   EXPECT_LE(harness.sent.size(), 3u);
 }
 
-// One endpoint failed a single message class, counted as healthy again for serving another, and so was sent
-// payment after payment that failed.
+// An endpoint failed all payments but served another message class, so it counted as healthy again after each
+// failure and received more payments.
 TEST(Health, AClassThatFailsAtOneEndpointIsSentToTheOthers) {
   DeciderHarness harness;
   harness.UpdateList({MakeEndpoint("a", 7), MakeEndpoint("b", 7)});
@@ -567,7 +569,7 @@
   EXPECT_LE(to_failing, 2) << "8 s pass, and a retry is due after 7 to 22 s";
 }
 
-// Where calls are rare, a slow response was taken for silence.
+// Guards against counting a slow response as silence where calls are rare.
 TEST(Health, OneSlowResponseDoesNotCountAsSilence) {
   DeciderHarness harness;
   harness.UpdateList({MakeEndpoint("a", 7)});
@@ -652,19 +654,19 @@
     for (; answered < harness.sent.size(); ++answered) {
       harness.now += 20ms;
       const Send send = harness.sent[answered];
-      AttemptEnded e = harness.AttemptEnd(
+      AttemptEnded ended = harness.AttemptEnd(
           send.id, send.endpoint == "a" && i < 15 ? Outcome::kNoConnection : Outcome::kServed,
           harness.SendCount(send.id) - 1);
       to_a += i >= 15 && send.endpoint == "a";
-      harness.Step({e});
+      harness.Step({ended});
     }
     harness.Advance(200ms);
   }
   EXPECT_GE(to_a, 1u);
 }
 
-// A quarter of all calls went unanswered, and two in a row were enough to count the destination as down
-// (incident i905726).
+// A quarter of all calls were not answered, and two unanswered calls in a row were enough to mark the
+// destination down (incident i905726).
 TEST(Health, AFewFailuresInARowAreNoOutageWhereSomeCallsAlwaysFail) {
   DeciderHarness harness;
   harness.UpdateList({MakeEndpoint("a", 7)});
@@ -714,7 +716,7 @@
       << "at full capacity again; sent: " << harness.sent.size() - before;
 }
 
-// At a few calls a minute, waiting for a second failure takes too long.
+// With a few calls a minute, it takes too long until a second failure confirms an outage.
 TEST(Health, OneFailureCountsAsAnOutageIfNoCallWasServedRecently) {
   for (const Time idle : {Time(500ms), Time(5s)}) {
     DeciderHarness harness;
@@ -765,7 +767,8 @@
   EXPECT_LE(trials(60), 90) << "each sender retries one failed connect; few trials follow";
 }
 
-// Unanswered calls held every slot, and messages to healthy destinations were not sent.
+// Guards against unanswered calls that occupy every slot, so that messages to healthy destinations are not
+// sent.
 TEST(Slots, UnansweredCallsAreCancelledWhenOthersNeedTheirSlots) {
   Settings settings = BasicSettings();
   settings.slots = 4;
@@ -785,8 +788,8 @@
   EXPECT_TRUE(harness.Failed("s1"));
 }
 
-// Calls whose response was lost held the slots, while their endpoints went on serving others (incident
-// i905726).
+// Calls whose response was lost occupied the slots while their endpoints continued to serve other calls
+// (incident i905726).
 TEST(Slots, LostCallsToAServingEndpointAreCancelledLater) {
   Settings settings = BasicSettings();
   settings.slots = 3;
@@ -804,8 +807,8 @@
   EXPECT_EQ(cancels, 1);
 }
 
-// Trial calls and calls to endpoints in slow start held the slots that healthy destinations needed (incident
-// i7301d2).
+// Trial calls and calls to endpoints in slow start occupied the slots that healthy destinations needed
+// (incident i7301d2).
 TEST(Slots, OneDestinationNeverHoldsAll) {
   Settings settings = BasicSettings();
   settings.slots = 10;
@@ -867,7 +870,8 @@
   EXPECT_EQ(harness.decider.held().keys, 0u);
 }
 
-// One of many senders may rarely call; where a refusal costs little, waiting for the next call costs more.
+// A sender of a large fleet may call only rarely. If a refusal costs little, waiting for the next call costs
+// more than a refusal.
 TEST(Pacing, SlowsDownLessWhereRefusalsAreCheap) {
   const auto sent = [](double price) {
     std::size_t total = 0;
@@ -993,10 +997,10 @@
   EXPECT_EQ(requests, 1);
 }
 
-// A hundred senders requested the list at once; all but fifteen waited too long, repeated the request a
-// second later, and never received a list again. With longer intervals between repeats, 300 senders knew of a
-// change 19 s too late. So many senders must spread their requests, and every repeat must still come in time
-// for a change that has to be known within 6 s.
+// A hundred senders requested the list at once. All but fifteen of them waited too long, repeated the request
+// a second later, and never received a list again. With longer intervals between repeats, 300 senders learned
+// of a change 19 s too late. So the senders of a large fleet must spread their requests, and each repeat must
+// still be in time for a change that has to be known within 6 s.
 TEST(List, RequestsOfManySendersAreSpreadAndRepeatedInTime) {
   for (const int senders : {3, 100, 300, 900}) {
     std::vector<Time> first, second, third;
@@ -1102,11 +1106,11 @@
 // warms up for 10 s.
 struct Recovery {
   std::vector<int> calls_per_second;  // since the endpoint returned
-  double worst_overload = 0;          // most calls in 3 s, as a multiple of the capacity of that time
+  double worst_overload = 0;          // largest number of calls in 3 s, as a multiple of the capacity
   double used = 0;                    // share of the capacity that was used until the warm-up ended
 };
-// Runs such a fleet. Calls during the outage end with `down_outcome`, and a refusal gives the time of the
-// return as its retry-after.
+// Simulates such a fleet. Calls during the outage end with `down_outcome`; the retry-after of a refusal ends
+// at the return of the endpoint.
 Recovery SimulateRecovery(int senders, Outcome down_outcome, int first_seed = 0) {
   constexpr double kLimit = 40, kWarmUpStartShare = 0.25;
   constexpr Time kDownAt = 104s, kReturnAt = 109s, kWarmAt = 119s;
@@ -1125,7 +1129,7 @@
   std::vector<std::size_t> ended(harnesses.size());
   int created = 0;
   for (Time now = 100s; now < kWarmAt; now += 20ms) {
-    // 40 messages a second arrive, and the senders receive them in turn.
+    // 40 messages a second arrive, distributed over the senders in round-robin order.
     for (; created < (now - 100s) / 25ms; ++created) {
       DeciderHarness& harness = harnesses[static_cast<std::size_t>(created % senders)];
       Message message = harness.NewMessage(Id(created), 0);
@@ -1163,9 +1167,9 @@
   return result;
 }
 
-// In a large fleet the share of a sender in an endpoint that warms up is one call in many seconds. The
-// intervals were computed from the capacity at their start, and a sender that found the endpoint late started
-// from its lowest capacity. Much of the capacity during the warm-up went unused.
+// In a large fleet a sender's share of an endpoint that warms up is one call in many seconds. Each interval
+// was computed from the capacity at its start, and a sender that noticed the return late assumed the lowest
+// capacity. Much of the capacity during the warm-up was not used.
 TEST(SlowStart, AFleetUsesTheCapacityOfAReturningEndpointWithoutOverload) {
   for (const int senders : {30, 100, 200}) {
     const Recovery recovery =
@@ -1186,8 +1190,8 @@
   }
 }
 
-// With 30 senders, all calls to an endpoint were served while it warmed up. The senders took that as a reason
-// to call five times as often, and then sent it twice its full capacity.
+// With 30 senders, all calls to an endpoint were served while it warmed up. The senders therefore shortened
+// their call intervals to a fifth, and then sent twice the full capacity of the endpoint.
 TEST(SlowStart, CallsServedDuringTheWarmUpDoNotShortenTheCallInterval) {
   for (const int first_seed : {0, 1000, 2000}) {
     EXPECT_LE(SimulateRecovery(30, Outcome::kNoConnection, first_seed).worst_overload, 1.5)
@@ -1195,9 +1199,9 @@
   }
 }
 
-// An endpoint closed for 5 s and said so to three senders. A call sent before was served 60 ms later and was
-// taken for the return of the endpoint (the log said "returning"), which then counted as warm 5 s too early.
-// slow_start_test.cpp found this.
+// An endpoint closed for 5 s and refused calls of three senders with a retry-after. A call sent before the
+// refusal was served 60 ms later and counted as the return of the endpoint (log line "returning"), so the
+// endpoint counted as warm 5 s too early. slow_start_test.cpp showed this fault.
 TEST(SlowStart, ACallSentBeforeALongRetryAfterIsNoReturn) {
   DeciderHarness harness;
   harness.UpdateList({MakeEndpoint("a", 7)});
@@ -1239,8 +1243,8 @@
   EXPECT_GE(harness.last_sent_at["m1"], refused_at + 1500ms);
 }
 
-// The message is held until the wait is over: an attempt that the embedder withholds because of the wait
-// would cost a retry token.
+// The message must be held until the wait ends: an attempt that the embedder does not send because of the
+// wait would cost a retry token.
 TEST(RetryAfter, OfTheFormerEndpointAtAnAddressAppliesToTheNewOne) {
   for (const Time wait : {Time(1500ms), Time(5s)}) {
     DeciderHarness harness;
@@ -1275,7 +1279,7 @@
   EXPECT_EQ(harness.sent.size(), 7u);
 }
 
-// Guards against a queue in the order of arrival, in which one delay makes all later messages late.
+// Guards against a queue in order of arrival, in which one delay makes all later messages late.
 TEST(Queue, MessagesThatCanStillMeetTheirAimGoBeforeLateOnes) {
   Settings settings = BasicSettings();
   settings.slots = 1;
@@ -1291,7 +1295,7 @@
   EXPECT_EQ(harness.SendCount("new"), 1);
   EXPECT_EQ(harness.SendCount("old"), 0);
   harness.Step({harness.AttemptEnd("new", Outcome::kServed)});
-  EXPECT_EQ(harness.SendCount("old"), 1);  // a late message is worth less, but not nothing
+  EXPECT_EQ(harness.SendCount("old"), 1);  // a late message still has some worth
 }
 
 TEST(MaxOpen, TheMessagesOfLeastWorthAreRefusedNearIt) {
@@ -1315,7 +1319,7 @@
 }
 
 // Messages held for closed destinations used up max_open, and new messages that could have been sent at once
-// were refused instead of them (incident i9b61ef).
+// were refused in their place (incident i9b61ef).
 TEST(MaxOpen, AMessageThatCanBeSentAtOnceIsNotRefusedForHeldOnes) {
   Settings settings = BasicSettings();
   settings.max_open = 12;
@@ -1328,8 +1332,8 @@
   EXPECT_FALSE(harness.Refused("sendable"));
 }
 
-// With hundreds of senders the part of a quota that belongs to one of them is 0.3 messages a second, which
-// never allowed a single message.
+// With hundreds of senders, one sender's share of a quota is 0.3 messages a second, which never allowed a
+// single message.
 TEST(MaxOpen, ASmallPartOfAQuotaStillAllowsAMessage) {
   Settings settings = BasicSettings();
   settings.senders = 300;
@@ -1348,7 +1352,7 @@
 
 // ---- timers ----
 
-// The module does not poll: however many messages are held, a timer is set only for what is due.
+// The module does not poll: it sets timers only for events that become due, however many messages are held.
 TEST(Timers, DoNotGrowWithTheNumberOfHeldMessages) {
   const auto timers = [](int held) {
     Settings settings = BasicSettings();
--- a/tests/decider_harness.hpp
+++ b/tests/decider_harness.hpp
@@ -1,5 +1,5 @@
-// Helpers of the tests of the decision module: default settings, and a Decider on a virtual clock that
-// records what it sends and how messages end.
+// Helpers for the tests of the decision module: default settings, and a Decider on a virtual clock whose
+// actions are recorded.
 #pragma once
 
 #include <algorithm>
@@ -79,7 +79,7 @@
     }
     return last_actions;
   }
-  // Advances the clock by `span` in steps of 20 ms and reports the timer of the module as due after each.
+  // Advances the clock by `span` in steps of 20 ms and reports a due timer after each step.
   void Advance(Time span) {
     const Time until = now + span;
     while (now < until) {
@@ -99,7 +99,7 @@
     message.expires_in = 20s;
     return message;
   }
-  // Returns the end of an attempt at the endpoint of the latest send of that message, as an event for Step().
+  // Returns the end of an attempt, as an event for Step(). The endpoint is that of the message's latest send.
   AttemptEnded AttemptEnd(const std::string& id, Outcome outcome, int attempt = 0,
                           Time retry_after = 0s) const {
     AttemptEnded ended;
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -93,8 +93,8 @@
   EXPECT_EQ(harness.sent.size(), 5u);
 }
 
-// A refused message spent its retry token when it was refused. A restart must not take a second token and
-// then give up the messages for which none is left.
+// A message spends its retry token when an attempt is refused. After a restart it must not need a second
+// token, because messages without a token are given up.
 TEST(History, AMessageThatNeverRanHasSpentItsRetryToken) {
   DeciderHarness harness;
   harness.UpdateList({MakeEndpoint("a", 7)});
@@ -109,7 +109,7 @@
   EXPECT_EQ(harness.decider.held().messages, 9u);
 }
 
-// Near max_open new messages are refused; messages that an earlier process accepted are still tried.
+// Near max_open new messages are refused, but messages that an earlier process accepted are kept.
 TEST(History, RecoveredMessagesAreNotRefusedNearMaxOpen) {
   Settings settings = BasicSettings();
   settings.max_open = 10;
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,6 +1,6 @@
-// Checks what the senders of a fleet, which do not communicate, send in total to an endpoint that returns
-// from an outage and warms up, against the budget of the slow start rule. The rule applies to a fleet of any
-// size and to any random numbers, so the tests run many sizes, kinds of outage and random streams. To run
+// Checks that the senders of a fleet, which do not communicate, together keep to the budget of the slow start
+// rule when they call an endpoint that returns from an outage and warms up. The rule applies to a fleet of
+// any size and to any random numbers, so the tests run many sizes, kinds of outage and random streams. To run
 // more streams by hand: OXBOW_STREAMS=1-200 build-ci/tests/wheathub_tests --gtest_filter='SlowStartBudget*'
 #include <gtest/gtest.h>
 
@@ -18,14 +18,14 @@
 namespace {
 
 constexpr Time kStart = 100s, kDownAt = 104s, kReturnAt = 109s;
-// From the operators' specification: the time of a call, the capacity of a returning endpoint, and the slots
-// of a sender that has ten such destinations.
+// From the operators' specification: the duration of a call, the capacity of a returning endpoint, and the
+// slots of a sender that has ten such destinations.
 constexpr Time kServiceTime = 400ms, kErrorDelay = 30ms;
 constexpr double kWarmUpStartShare = 0.23, kCollapseLoadFactor = 2;
 constexpr Time kWarmUp = 13s, kCollapseAfter = 3s;
 constexpr double kSlotsPerCallInFlight = 2.1, kDestinations = 10;
 constexpr int kMinSlots = 3;
-// An overload violates the rule if at least this share of its calls is from senders that saw the outage.
+// An overload violates the rule if at least this share of its calls is from senders that noticed the outage.
 constexpr double kInformedShare = 2.0 / 3;
 
 double InSeconds(Time time) { return static_cast<double>(time.count()) * 1e-6; }
@@ -40,7 +40,7 @@
 struct Case {
   int senders = 1;
   double limit = 40;  // calls a second of a warm endpoint
-  double load = 1;    // messages a second, as a multiple of the limit: at worst 1.3 / 1.2
+  double load = 1;    // messages a second, as a multiple of the limit; 1.3 / 1.2 at most
   Outage outage = Outage::kError;
   bool limit_announced = true;  // whether the list holds the limit
   std::uint64_t stream = 1;     // selects the random numbers
@@ -113,7 +113,7 @@
   }
   bool down() const { return now_ >= kDownAt && now_ < kReturnAt; }
 
-  // Gives a message to a random sender, and schedules the next arrival of a Poisson process.
+  // Submits a message to a random sender, and schedules the next arrival of a Poisson process.
   void MessageArrives() {
     Message message;
     message.id = "m" + std::to_string(++messages_);
@@ -169,7 +169,8 @@
                    Time retry_after = 0s) {
     Schedule(at, [this, sender, id, attempt, outcome, retry_after, sent_at = now_] {
       if (!ended_.emplace(id, attempt).second) return;
-      // The sender knows of the outage from here on, even if the endpoint has returned meanwhile.
+      // From now on the sender counts as having noticed the outage, even if the endpoint has returned
+      // meanwhile.
       if (outcome != Outcome::kServed) senders_[sender].saw_outage = true;
       AttemptEnded ended;
       ended.id = id;
@@ -203,7 +204,7 @@
   Time now_ = kStart;
   std::multimap<Time, std::function<void()>> schedule_;
   std::vector<Sender> senders_;
-  std::map<MessageId, int> attempts_;  // started so far, by message
+  std::map<MessageId, int> attempts_;  // number of started attempts, by message
   std::set<std::pair<MessageId, int>> ended_;
   std::deque<CountedCall> recent_calls_;
   int messages_ = 0;
