--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the text protocol of the drill program: reading events and writing actions.
+// Tests of the simulator's line protocol: reading events and writing actions.
 #include "wire.hpp"
 
 #include <gtest/gtest.h>
@@ -58,7 +58,7 @@
   EXPECT_EQ(settings.max_retry_after, 2500ms);
   EXPECT_EQ(settings.warm_up, 9s);
   EXPECT_EQ(settings.drain_grace, 250ms);
-  EXPECT_TRUE(settings.reports_allowance);
+  EXPECT_TRUE(settings.endpoints_report_limit);
   const MessageClass& message_class = settings.classes.at(0);
   EXPECT_EQ(message_class.semantics, Semantics::kDeduplicated);
   EXPECT_TRUE(message_class.repeats_bound_to_zone && message_class.ordered);
@@ -92,10 +92,10 @@
   const auto ended = EventAt<AttemptEnded>(batch, 3);
   EXPECT_EQ(ended.outcome, Outcome::kRefused);
   EXPECT_EQ(ended.retry_after, 250ms);
-  ASSERT_TRUE(ended.allowance.has_value());
-  EXPECT_EQ(ended.allowance->left_share, 0.4);
-  EXPECT_EQ(ended.allowance->limit_per_s, 12.5);
-  EXPECT_FALSE(ended.closed);
+  ASSERT_TRUE(ended.reported_limit.has_value());
+  EXPECT_EQ(ended.reported_limit->unused_share, 0.4);
+  EXPECT_EQ(ended.reported_limit->limit_per_s, 12.5);
+  EXPECT_FALSE(ended.message_ended);
   EXPECT_EQ(EventAt<AttemptEnded>(batch, 4).retry_after, 0s)
       << "wait-ms of a stale send is not a retry-after";
   EXPECT_EQ(EventAt<ProbeEnded>(batch, 5).outcome, Outcome::kServed);
@@ -122,7 +122,7 @@
       {"INBOUND rid=r category=0 expires-in-s=soon to-exchange=5\n", "not a number"},
       {"INBOUND rid=r category=0 expires-in-s=nan to-exchange=5\n", "not a number"},
       {"INBOUND rid=r nonsense category=0 expires-in-s=1 to-exchange=5\n", "name=value"},
-      {"VIEW ref=9 revision=1 scope=all\n", "never given"},
+      {"VIEW ref=9 revision=1 scope=all\n", "no LEDGER defined"},
       {"VIEW ref=9 revision=1 scope=some\n", "unknown scope"},
       {"ATTEMPT_END rid=r shot=0 receiver=a reason=odd\n", "unknown reason"},
       {"ATTEMPT_END rid=r shot=0 receiver=a reason=pass closed=2\n", "neither 1 nor 0"},
@@ -151,7 +151,7 @@
   Batch batch;
   EXPECT_TRUE(reader.Next(&batch));
   EXPECT_TRUE(batch.items.empty());
-  EXPECT_THROW(reader.Next(&batch), Error) << "the input ends inside a batch";
+  EXPECT_THROW(reader.Next(&batch), Error) << "the input ends within a batch";
   std::istringstream none("");
   Reader empty(none);
   EXPECT_FALSE(empty.Next(&batch));
