--- a/src/relay/classes.hpp
+++ b/src/relay/classes.hpp
@@ -1,6 +1,6 @@
-// Registry of message classes: the classes in the current settings, and classes that the settings have since
-// dropped or changed but under which messages are still held. A class keeps its index for as long as any held
-// message uses it. Performs no I/O and stores copies of the classes.
+// Registry of message classes. Contains the classes of the current settings, and former classes that the
+// settings have since removed or changed but that held messages still use. A class keeps its index for as
+// long as any held message uses it. Performs no I/O and stores copies of the classes.
 #pragma once
 
 #include <map>
@@ -28,14 +28,14 @@
 
   // All classes by index. The list never shrinks; the index of a class that no held message uses may be
   // reassigned to another class.
-  const std::vector<wheathub::MessageClass>& all() const { return all_; }
+  const std::vector<wheathub::MessageClass>& all() const { return classes_; }
   // Returns the class with that index. The reference is valid until the next FindOrAdd or SetCurrent. Throws
   // std::out_of_range if the index was never assigned.
-  const wheathub::MessageClass& at(int index) const { return all_.at(static_cast<std::size_t>(index)); }
+  const wheathub::MessageClass& at(int index) const { return classes_.at(static_cast<std::size_t>(index)); }
 
  private:
-  std::vector<wheathub::MessageClass> all_;
-  std::map<std::string, int> current_;
+  std::vector<wheathub::MessageClass> classes_;  // by index
+  std::map<std::string, int> current_indexes_;   // classes of the current settings, by name
 };
 
 }  // namespace oxbowspread::relay
--- a/src/relay/counters.cpp
+++ b/src/relay/counters.cpp
@@ -5,7 +5,7 @@
 namespace oxbowspread::relay {
 
 std::string Counters::Text() const {
-  const std::pair<const char*, std::uint64_t> all[] = {
+  const std::pair<const char*, std::uint64_t> names_and_values[] = {
       {"authorisations", messages},
       {"taken_on", accepted},
       {"known_again", duplicates},
@@ -59,7 +59,8 @@
       {"longest_turn_us", longest_step_us},
   };
   std::string text;
-  for (const auto& [name, value] : all) text += std::string(name) + "=" + std::to_string(value) + "\n";
+  for (const auto& [name, value] : names_and_values)
+    text += std::string(name) + "=" + std::to_string(value) + "\n";
   return text;
 }
 
--- a/src/relay/handover_state.hpp
+++ b/src/relay/handover_state.hpp
@@ -1,6 +1,6 @@
 // State that a relay process transfers to its successor in a handover, in addition to the files in the state
 // folder. Times are monotonic, in microseconds; both processes run on the same machine and share that clock.
-// These are plain values, owned by whoever holds them.
+// All types are plain values that reference nothing.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace oxbowspread::relay {
 
-// An attempt that continues in the process that hands over.
+// An attempt that continues in the process that initiated it, after that process has handed over.
 struct InFlightAttempt {
   std::string id;  // message id; a message has at most one attempt in flight
   std::string host;
@@ -19,13 +19,13 @@
   Time message_deadline{0};  // 0 if the sender is of an older version, which does not transfer it
 };
 
-// A wait that a host requested with Retry-After: no attempt may be sent to it before `until`.
+// A wait that a host requested with Retry-After: no attempt may be sent to the host before `until`.
 struct HostWait {
   std::string host;
   Time received_at{0}, until{0};
 };
 
-// A wait requested at an address; it applies to any host with that address.
+// A wait that was requested by a response from an address. It applies to any host with that address.
 struct AddressWait {
   std::string address;
   Time until{0};
--- a/src/relay/phase.hpp
+++ b/src/relay/phase.hpp
@@ -9,9 +9,9 @@
 
 // Times of a shutdown, counted from SIGTERM. SIGKILL follows 3.7 s after SIGTERM at the earliest.
 
-// Listening stops after this: clients open new connections for up to 400 ms after SIGTERM.
+// Listening continues for this long, because clients open new connections for up to 400 ms after SIGTERM.
 inline constexpr std::chrono::milliseconds kKeepAccepting{500};
-// No new attempt is sent after this.
+// No new attempt is sent after this time.
 inline constexpr std::chrono::milliseconds kStopSendingAfter{3100};
 // Attempts still in flight at this time are left to recovery at the next start.
 inline constexpr std::chrono::milliseconds kExitAfter{3550};
@@ -22,14 +22,15 @@
   kStarting,    // configuration has been read; nothing is served
   kRecovering,  // open messages from the journal are being passed to the decision module
   kServing,
-  kPaused,      // drained by an operator: accepts nothing new and finishes held messages, but keeps running
+  kPaused,      // drained by an operator: accepts no new messages, finishes held ones and keeps running
   kDraining,    // asked to exit: still serves clients that connect, and finishes held messages
-  kSettling,    // sends nothing new; still reads the answers to attempts in flight
-  kHandedOver,  // another process has taken over; it is sent the results of attempts in flight here
+  kSettling,    // sends no new attempts; still reads the responses to attempts in flight
+  kHandedOver,  // another process has taken over and is sent the results of attempts still in flight here
   kStopped
 };
 
-// Returns the name of the phase as it appears in logs, status replies and counters.
+// Returns the name of the phase as it appears in logs, status replies and counters. Operators and tests rely
+// on these names.
 inline const char* NameOf(Phase phase) {
   constexpr const char* kNames[] = {"starting", "recovering", "serving",    "paused",
                                     "draining", "settling",   "given over", "stopped"};
--- a/src/relay/ports.hpp
+++ b/src/relay/ports.hpp
@@ -1,5 +1,5 @@
-// Interfaces between the relay core and its surroundings: clock, clients, endpoints and notices. They are
-// independent of any protocol, so that another client protocol can implement the same interfaces.
+// Interfaces between the relay core and the rest of the process: clock, clients, endpoints and notices. They
+// are independent of any protocol, so that another client protocol can implement the same interfaces.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 using wheathub::Time;
 
-// How long a client waits for its answer. After that it submits the message to another relay, and this one is
-// no longer responsible for it.
+// How long a client waits for its answer. After that it submits the message to another relay, and this relay
+// is no longer responsible for the message.
 inline constexpr std::chrono::milliseconds kClientTimeout{400};
 
 // Time source and wake-up timer of the core.
@@ -27,14 +27,16 @@
   virtual void WakeAt(Time moment) = 0;
 };
 
-// Receives the answer to a submitted message. Must live until it has been answered or withdrawn.
+// Receives the answer to a submitted message. Must exist until it has been answered, or until Relay::Withdraw
+// was called for it.
 class Client {
  public:
   virtual ~Client() = default;
-  // The message is accepted. Returns false if the client has disconnected, in which case the message must not
-  // be kept.
+  // Called when the message is accepted. Returns false if the client has disconnected, in which case the
+  // message must not be kept.
   virtual bool OnAccepted() = 0;
-  // The message is not accepted; the client may submit it again after `retry_after`.
+  // Called when the message is rejected. The client may submit it again after `retry_after`; 0 means no
+  // advice.
   virtual void OnRejected(Time retry_after) = 0;
 };
 
@@ -60,15 +62,15 @@
   auto operator<=>(const AttemptId&) const = default;
 };
 
-// What the endpoint transport needs to run an attempt. Times are monotonic.
+// An attempt to be run by the endpoint transport. Times are monotonic.
 struct AttemptRequest {
   AttemptId attempt;
   std::string host;
   std::string key;
   std::string body;
   Time timeout_at{0};
-  // The first byte must not be written after this: a repeated attempt must begin inside the repeat window of
-  // its class.
+  // The first byte must not be written after this time, because a repeated attempt must begin inside the
+  // repeat window of its class.
   Time write_deadline{0};
 };
 
@@ -88,15 +90,15 @@
   virtual void ApplyRoutingChange(const RoutingChange& change) = 0;
   // Starts an attempt. Exactly one Relay::AttemptEnded follows, possibly from within this call.
   virtual void StartAttempt(AttemptRequest request) = 0;
-  // Cancels an attempt. If its answer has arrived but was not read yet, Relay::AttemptEnded is called from
-  // within this call. Returns true if the attempt is over; no further Relay::AttemptEnded follows then.
+  // Cancels an attempt. If its response has arrived but was not read yet, Relay::AttemptEnded is called from
+  // within this call. Returns true if the attempt has ended; no further Relay::AttemptEnded follows then.
   // Returns false if the attempt runs in another process, which was asked to cancel it: the attempt stays in
   // flight until Relay::AttemptEnded reports its end.
   virtual bool CancelAttempt(const AttemptId& attempt) = 0;
   // Closes the idle connections to a host.
   virtual void CloseIdle(const std::string& host) = 0;
-  // Sets when the routing table expires. From that moment on no attempt is written, not even one started
-  // earlier, until a later moment is set.
+  // Sets the time at which the routing table expires. From then on no attempt is written, not even one that
+  // was started earlier, until a later expiry time is set.
   virtual void SetListValidUntil(Time moment) = 0;
 };
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -11,13 +11,14 @@
 using namespace std::chrono_literals;
 using wheathub::Outcome;
 
-constexpr Time kDefaultRetryAfter = 1s;  // wait sent to a client when the decision module was not asked
+// Wait sent to a client whose message is rejected without consulting the decision module.
+constexpr Time kDefaultRetryAfter = 1s;
 
-bool MayHaveRun(Outcome o) {
-  return o != Outcome::kRefused && o != Outcome::kNoConnection && o != Outcome::kNotSent;
+bool MayHaveRun(Outcome outcome) {
+  return outcome != Outcome::kRefused && outcome != Outcome::kNoConnection && outcome != Outcome::kNotSent;
 }
 
-// Time that a message of its class has from when it was first submitted.
+// Time from the first submission of a message to its deadline, by its class; 0 if the class is not recorded.
 Time ClassDeadline(const journal::Message& message) {
   return message.class_settings ? message.class_settings->deadline : Time(0);
 }
@@ -36,23 +37,23 @@
   counters_.hosts_excluded = journal_.excluded_hosts().size();
 }
 
-// Messages accepted by an earlier process keep the class that they had then, even if the settings no longer
-// have it.
+// Messages accepted by an earlier process keep the class that they had then, even if the current settings do
+// not contain it.
 wheathub::Settings Relay::MergeClasses(wheathub::Settings settings, ClassRegistry& classes,
                                        const journal::Journal& journal) {
   for (const auto& [id, entry] : journal.entries()) {
     if (entry.message.class_settings && !entry.ending) classes.FindOrAdd(*entry.message.class_settings);
   }
   settings.classes = classes.all();
-  settings.must_request_list = false;  // lists arrive without request: see Execute(SubscribeToList)
+  settings.must_request_list = false;  // lists arrive without a request: see Execute(SubscribeToList)
   return settings;
 }
 
 void Relay::UpdateSettings(wheathub::Settings settings) {
-  wheathub::Decider(settings, 0);  // throws before anything has changed
+  wheathub::Decider(settings, 0);  // throws if the settings can't be used, before anything has changed
   std::set<int> used_classes;
-  for (const auto& [id, message] : held_) used_classes.insert(message.message_class);
-  for (const auto& [id, pending] : pending_) used_classes.insert(ClassOf(pending.message));
+  for (const auto& [id, message] : held_) used_classes.insert(message.class_index);
+  for (const auto& [id, pending] : pending_) used_classes.insert(ClassIndexOf(pending.message));
   classes_.SetCurrent(settings.classes, used_classes);
   settings.classes = classes_.all();
   settings.must_request_list = false;
@@ -60,7 +61,7 @@
   Queue(wheathub::NewSettings{std::move(settings)});
 }
 
-int Relay::ClassOf(const journal::Message& message) {
+int Relay::ClassIndexOf(const journal::Message& message) {
   if (message.class_settings) return classes_.FindOrAdd(*message.class_settings);
   return classes_.IndexOf(message.class_name);
 }
@@ -98,7 +99,7 @@
       const bool listed = std::any_of(routing_table.hosts.begin(), routing_table.hosts.end(),
                                       [&](const Host& h) { return h.info.id == attempt.host; });
       if (entry == nullptr || !entry->open_attempt || listed) continue;
-      // The decision module must know the host of every attempt, even one that is no longer listed.
+      // The decision module needs the host of every attempt in its list, even one that is no longer listed.
       Host removed_host;
       removed_host.info = {attempt.host,
                            entry->message.destination,
@@ -118,12 +119,12 @@
       continue;
     }
     counters_.recovered += 1;
-    wheathub::Message message = MessageOf(entry);
+    wheathub::Message message = MakeMessageEvent(entry);
     message.history.recovered = true;
     if (const auto it = started_at.find(id); it != started_at.end() && entry.open_attempt) {
       message.history.in_flight = true;
       message.history.since_sent = ports_.clock.Now() - it->second;
-      // Its deadline has passed, and it cannot be ruled out that it has run.
+      // The deadline has passed, and the attempt in flight may have run the message.
       if (message.expires_in <= Time(0)) message.history.may_have_run = true;
       in_flight_[{id, entry.attempts - 1}] = {entry.open_attempt->host, it->second, true};
     }
@@ -135,11 +136,11 @@
   ProcessEvents();
 }
 
-wheathub::Message Relay::MessageOf(const journal::Entry& entry) {
+wheathub::Message Relay::MakeMessageEvent(const journal::Entry& entry) {
   const journal::Message& message = entry.message;
   wheathub::Message event;
   event.id = message.id;
-  event.message_class = ClassOf(message);
+  event.message_class = ClassIndexOf(message);
   event.destination = message.destination;
   event.expires_in = message.deadline - ports_.clock.UnixNow();
   event.resubmitted = message.resubmitted;
@@ -159,7 +160,7 @@
   counters_.messages += 1;
   const std::string id = message.id;
   if (journal_.Find(id) != nullptr) {
-    // The client submitted the message again because its connection had ended: it is already accepted.
+    // The message is already accepted. The client submitted it again because its connection had ended.
     counters_.duplicates += 1;
     client.OnAccepted();
     return;
@@ -169,10 +170,10 @@
     return;
   }
   const auto max_held = static_cast<std::size_t>(std::max(0, settings_.max_open));
-  const bool full = sending_stopped_ || (max_held > 0 && held_.size() + pending_.size() >= max_held);
-  const bool journal_full = !journal_.CanHold(message.body.size());
-  if (full || journal_full) {
-    (full ? counters_.rejected_at_limit : counters_.rejected_by_journal) += 1;
+  const bool is_full = sending_stopped_ || (max_held > 0 && held_.size() + pending_.size() >= max_held);
+  const bool is_journal_full = !journal_.CanHold(message.body.size());
+  if (is_full || is_journal_full) {
+    (is_full ? counters_.rejected_at_limit : counters_.rejected_by_journal) += 1;
     client.OnRejected(kDefaultRetryAfter);
     return;
   }
@@ -180,15 +181,15 @@
   if (class_index >= 0) message.class_settings = classes_.at(class_index);
   journal::Entry entry;
   entry.message = message;
-  wheathub::Message event = MessageOf(entry);
+  wheathub::Message event = MakeMessageEvent(entry);
   event.expires_in = message.deadline - ports_.clock.UnixNow();
   pending_[id] = {std::move(message), {&client}, ports_.clock.Now() + event.expires_in};
   Queue(std::move(event));
 }
 
-// Clients with pending messages are rejected with a wait, because a connection that is closed without an
-// answer loses the message. Attempts that still wait for their connection are cancelled: if written now, they
-// might not end before the process does.
+// Rejects all pending messages, because a client whose connection is closed without an answer loses its
+// message. Cancels the attempts that are still waiting for their connection, because they might not end
+// before the process exits.
 void Relay::StopSending() {
   if (std::exchange(sending_stopped_, true)) return;
   for (const auto& [id, message] : std::exchange(pending_, {})) {
@@ -212,7 +213,7 @@
   for (auto it = pending_.begin(); it != pending_.end(); ++it) {
     auto& waiting = it->second.clients;
     if (std::erase(waiting, &client) == 0 || !waiting.empty()) continue;
-    // The client disconnected before the answer. The decision module has not seen the message and must not.
+    // The client disconnected before the answer, so the queued message must not reach the decision module.
     counters_.withdrawn += 1;
     std::erase_if(events_, [&](const wheathub::Event& event) {
       const auto* message = std::get_if<wheathub::Message>(&event);
@@ -235,8 +236,8 @@
       counters_.rejected_by_decider += 1;
       for (Client* client : pending.clients) client->OnRejected(it->second);
     } else if (!AcceptPending(pending)) {
-      // Only the decision module holds the message: it must forget it, and a send that it has already decided
-      // on is not executed.
+      // The message was not accepted, so the decision module must drop it. A Send that the module has already
+      // returned for it is not executed.
       Queue(wheathub::Withdrawn{id});
     }
   }
@@ -257,7 +258,7 @@
     return false;
   }
   counters_.accepted += 1;
-  held_[message.id] = {pending.deadline, 0, ClassOf(message), false};
+  held_[message.id] = {pending.deadline, 0, ClassIndexOf(message), false};
   return true;
 }
 
@@ -341,7 +342,7 @@
 
 // ---- attempts ----
 
-AttemptRequest Relay::RequestOf(const wheathub::Send& send, const HeldMessage& held) const {
+AttemptRequest Relay::MakeAttemptRequest(const wheathub::Send& send, const HeldMessage& held) const {
   const journal::Entry& entry = *journal_.Find(send.id);
   const Time now = ports_.clock.Now();
   AttemptRequest request;
@@ -352,10 +353,10 @@
   request.timeout_at = held.deadline;
   if (send.timeout > Time(0)) request.timeout_at = std::min(request.timeout_at, now + send.timeout);
   request.write_deadline = held.deadline;
-  const wheathub::MessageClass& message_class = classes_.at(held.message_class);
+  const wheathub::MessageClass& message_class = classes_.at(held.class_index);
   if (entry.first_uncertain && message_class.semantics == wheathub::Semantics::kDeduplicated) {
-    // The module respects the repeat window when it decides to send; this keeps a slow connection from
-    // exceeding it.
+    // The module observes the repeat window when it decides to send. The write deadline also enforces it when
+    // opening the connection takes long.
     const Time since_first_uncertain = ports_.clock.UnixNow() - entry.first_uncertain->started_at;
     request.write_deadline =
         std::min(request.write_deadline, now - since_first_uncertain + message_class.repeat_window);
@@ -372,7 +373,7 @@
     return Queue(std::move(ended));
   }
   counters_.attempts += 1;
-  AttemptRequest request = RequestOf(send, it->second);
+  AttemptRequest request = MakeAttemptRequest(send, it->second);
   it->second.send_count += 1;
   in_flight_[request.attempt] = {send.endpoint, ports_.clock.Now(), false};
   ports_.endpoints.StartAttempt(std::move(request));
@@ -414,7 +415,7 @@
   }
 }
 
-// The outcome is recorded immediately, even if the decision module is no longer asked.
+// The outcome is recorded immediately, even if no further step of the decision module follows.
 void Relay::AttemptEnded(const AttemptId& attempt, const AttemptResult& result) {
   const auto it = in_flight_.find(attempt);
   if (it == in_flight_.end()) return;
@@ -422,17 +423,18 @@
   in_flight_.erase(it);
   CountOutcome(result);
   if (handed_over()) return result_listener_(attempt.id, result);
-  const bool closed = result.closes_message || result.outcome == Outcome::kServed;
-  if (closed && journal_.Find(attempt.id) != nullptr) {
+  const bool is_closed = result.closes_message || result.outcome == Outcome::kServed;
+  if (is_closed && journal_.Find(attempt.id) != nullptr) {
     const auto held = held_.find(attempt.id);
-    const bool served = result.outcome == Outcome::kServed;
-    // A client counts the deadline from when it sent the message, which is up to kClientTimeout before the
-    // relay read it. A delivery in the last kClientTimeout before the deadline may therefore be late for the
-    // client, and is reported as undeliverable.
-    const bool late = held != held_.end() && ports_.clock.Now() >= held->second.deadline - kClientTimeout;
-    counters_.delivered += served;
+    const bool is_served = result.outcome == Outcome::kServed;
+    // A client counts the deadline from the time at which it sent the message, which is up to kClientTimeout
+    // before the relay read it. A delivery in the last kClientTimeout before the deadline may therefore be
+    // late for the client, and is reported as undeliverable.
+    const bool may_be_late =
+        held != held_.end() && ports_.clock.Now() >= held->second.deadline - kClientTimeout;
+    counters_.delivered += is_served;
     if (held != held_.end()) held_.erase(held);
-    if (served && late) {
+    if (is_served && may_be_late) {
       RecordAndNotify(attempt.id, {false, 0});
     } else {
       journal_.Close(attempt.id);
@@ -446,7 +448,7 @@
   ended.endpoint = state.host;
   ended.outcome = result.outcome;
   ended.latency = ports_.clock.Now() - state.started_at;
-  ended.closed = closed;
+  ended.closed = is_closed;
   ended.retry_after = result.retry_after;
   Queue(std::move(ended));
 }
@@ -454,10 +456,10 @@
 void Relay::Execute(const wheathub::Cancel& cancel) {
   const AttemptId attempt{cancel.id, cancel.attempt};
   const auto it = in_flight_.find(attempt);
-  if (it == in_flight_.end()) return;  // its end is already queued for the module
+  if (it == in_flight_.end()) return;  // the end of the attempt is already queued for the module
   const bool written = it->second.written;
   if (!ports_.endpoints.CancelAttempt(attempt)) return;
-  // If its answer had already arrived, CancelAttempt has processed it and this does nothing.
+  // If the response had already arrived, CancelAttempt has processed it and this call does nothing.
   AttemptEnded(attempt, {written ? Outcome::kCancelled : Outcome::kNotSent, false, Time(0)});
 }
 
@@ -471,8 +473,8 @@
     const Time class_deadline = ClassDeadline(entry->message);
     counters_.ended_unattempted +=
         it->second.unattempted && entry->attempts == 0 && 10 * remaining > class_deadline;
-    const bool early = 10 * remaining > 3 * class_deadline;
-    counters_.returned_early += early && !entry->first_uncertain;
+    const bool is_early = 10 * remaining > 3 * class_deadline;
+    counters_.returned_early += is_early && !entry->first_uncertain;
   }
   held_.erase(it);
   (ending.deferred ? counters_.deferred : counters_.undeliverable) += 1;
@@ -503,7 +505,8 @@
   PublishRouting(table_.Apply(change));
 }
 
-// The module must hear of the hosts first: applying the change to the transport may report waits for them.
+// The update is queued before the change is applied to the transport, because the transport may then report
+// waits for the hosts, and the module ignores waits for hosts that it has not received.
 void Relay::PublishRouting(const RoutingChange& change) {
   wheathub::ListUpdate update;
   update.scope = change.scope;
@@ -543,8 +546,8 @@
 }
 
 void Relay::StaleRoutingReceived(const RoutingChange& older) {
-  const RoutingChange withheld = table_.ApplyStale(older);
-  if (!withheld.hosts.empty()) PublishRouting(withheld);
+  const RoutingChange change = table_.ApplyStale(older);
+  if (!change.hosts.empty()) PublishRouting(change);
 }
 
 }  // namespace oxbowspread::relay
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -1,6 +1,6 @@
-// The relay core: tracks messages, their attempts and their endings, and runs the decision module. It knows
-// no protocol and no socket. Its own responsibility is ordering: what must be recorded in the journal before
-// it is reported to anyone.
+// The relay core: tracks messages, their attempts and their endings, and runs the decision module. It is
+// independent of protocols and sockets. It is responsible for ordering: each change is recorded in the
+// journal before it is reported to a client or to the platform.
 #pragma once
 
 #include <cstdint>
@@ -22,11 +22,11 @@
 
 namespace oxbowspread::relay {
 
-// Single-threaded; all calls come from the event loop. The journal, the ports and the counters must outlast
+// Single-threaded; all calls come from the event loop. The journal, the ports and the counters must outlive
 // the relay.
 class Relay {
  public:
-  // Interfaces to the surroundings of the core.
+  // The interfaces through which the core reaches the rest of the process.
   struct Ports {
     Clock& clock;
     EndpointTransport& endpoints;
@@ -39,18 +39,18 @@
   Relay(wheathub::Settings settings, std::uint64_t seed, journal::Journal& journal, const Ports& ports,
         Counters& counters);
 
-  // Must be called before anything else. Loads the last known routing table, then all open messages and
+  // Must be called before any other function. Loads the last known routing table, then all open messages and
   // unsent notices from the journal. With `handed_over_state`, its routing table is used instead of
-  // `last_known`, and the attempts that continue in the other process are in flight and end by AttemptEnded
-  // like any others.
+  // `last_known`. The attempts that continue in the other process then count as in flight, and their ends are
+  // reported through AttemptEnded like those of any other attempt.
   void Recover(const RoutingChange& last_known, const HandoverState* handed_over_state = nullptr);
 
   // Prepares a handover to another process: answers every waiting client, cancels attempts that are not
-  // written yet, and returns the remaining state. The relay continues to work normally until
+  // written yet, and returns the state to transfer. The relay continues to work normally until
   // CompleteHandover.
   HandoverState PrepareHandover();
-  // Completes the handover and releases the journal: the other process owns everything except the attempts in
-  // flight, whose results are passed to `listener`.
+  // Completes the handover and releases the journal. From then on the other process owns everything except
+  // the attempts in flight, whose results are passed to `listener`.
   using ResultListener = std::function<void(const std::string& id, const AttemptResult& result)>;
   void CompleteHandover(ResultListener listener);
   bool handed_over() const { return result_listener_ != nullptr; }
@@ -58,65 +58,67 @@
   // CompleteHandover.
   void CancelHandedOver(const std::string& id);
 
-  // Accepts or rejects a message. `client` is answered from within this call or later, and must live until
+  // Accepts or rejects a message. `client` is answered from within this call or later, and must exist until
   // then or until Withdraw.
   void Submit(journal::Message message, Client& client);
-  // The client has disconnected and must not be answered.
+  // Must be called when a client disconnects while it waits for an answer. The client is not answered.
   void Withdraw(Client& client);
   // Returns whether the current settings have a class of that name.
   bool KnowsClass(const std::string& name) const { return classes_.IndexOf(name) >= 0; }
-  // Returns whether messages of the class must have an idempotency key. Without the key a repeated attempt
-  // would run the message twice.
+  // Returns whether messages of the class must have an idempotency key. For these classes a repeated attempt
+  // without the key would run the message twice.
   bool NeedsKey(const std::string& class_name) const;
-  // Returns whether any routing table so far listed a host of the destination. Before the first list nothing
-  // is known, and this returns true.
+  // Returns whether any routing table so far listed a host of the destination. Returns true for every
+  // destination before the first list, because none can be ruled out then.
   bool KnowsDestination(wheathub::DestinationId id) const {
     return known_destinations_.empty() || known_destinations_.count(id) > 0;
   }
 
   // Records in the journal that an attempt is about to be written. Returns false if that failed or the
-  // attempt is no longer wanted; it must not be written then.
+  // attempt has been cancelled; the attempt must not be written then.
   bool RecordAttemptStart(const AttemptId& attempt, const std::string& host, int zone);
-  // The attempt has ended. Records the outcome and queues it for the decision module.
+  // Must be called when an attempt has ended. Records the outcome and queues it for the decision module.
   void AttemptEnded(const AttemptId& attempt, const AttemptResult& result);
 
-  // Nothing may be sent to the host before `until`, because another host at the same address requested a
-  // wait.
+  // Reports that nothing may be sent to the host before `until`, because a host requested a wait that also
+  // applies to this host.
   void DelayHost(const std::string& host, Time until);
 
   // Returns the attempt in flight for the message; its number is -1 if there is none.
   AttemptId FindAttempt(const std::string& id) const;
 
-  // A new list or change from discovery.
+  // Applies a new list or a change from discovery.
   void RoutingChanged(const RoutingChange& change);
-  // Discovery sent a list older than the current one. Only the hosts that it reports as draining or gone are
-  // used; they count as draining until the next RoutingChanged.
+  // Applies a list from discovery that is older than the current one. Only the hosts that it reports as
+  // draining or removed are used; they count as draining until the next RoutingChanged.
   void StaleRoutingReceived(const RoutingChange& older);
-  // Sets when the routing table expires. This also applies to attempts that have already started.
+  // Sets the time at which the routing table expires. It also applies to attempts that have already started.
   void SetListValidUntil(Time moment);
-  // The platform has accepted the notice of a message, so the message can be closed.
+  // Closes a message, because the platform has accepted its notice.
   void NoticeAccepted(const std::string& id);
 
-  // Operators exclude a host from use, or include it again. Returns nothing once the change is recorded and
-  // in force, otherwise why it failed. An excluded host counts as draining whatever discovery lists; once
-  // included again it starts cold.
+  // Exclude a host from use for an operator, and include it again. They return an empty value once the change
+  // is recorded and in force, otherwise the reason for the failure. An excluded host counts as draining
+  // whatever state discovery lists; when it is included again, it starts cold.
   std::optional<std::string> ExcludeHost(const std::string& host);
   std::optional<std::string> IncludeHost(const std::string& host);
 
-  // Uses other settings from the next step on. Held messages keep the class under which they were accepted.
-  // Throws std::invalid_argument, and changes nothing, if the decision module cannot work with the settings.
+  // Applies other settings from the next step on. Held messages keep the class under which they were
+  // accepted. Throws std::invalid_argument, and changes nothing, if the decision module cannot work with the
+  // settings.
   void UpdateSettings(wheathub::Settings settings);
 
-  // Passes all queued events and due timers to the decision module and executes its actions in order. Does
-  // nothing, and schedules a later call, if the last step was less than a tick ago.
+  // Passes all queued events and due timers to the decision module and executes its actions in order. If the
+  // last step was less than a tick ago, it only schedules a later call.
   void ProcessEvents();
   // Stops sending new attempts. Attempts in flight still end and are recorded.
   void StopSending();
 
-  // Number of accepted messages that have not ended.
+  // Number of accepted messages that have not ended, and number of attempts in flight.
   std::size_t held() const { return held_.size(); }
   std::size_t in_flight() const { return in_flight_.size(); }
-  // Returns whether every accepted message has ended, every notice was accepted, and no client waits.
+  // Returns whether every accepted message has ended, every notice was accepted, and no client waits for an
+  // answer.
   bool done() const { return journal_.entries().empty() && pending_.empty(); }
 
  private:
@@ -124,8 +126,8 @@
   struct HeldMessage {
     Time deadline{0};
     int send_count = 0;
-    int message_class = 0;
-    // Found by recovery without any attempt and with at least half of its deadline left.
+    int class_index = 0;
+    // Recovered without any attempt and with at least half of its deadline left.
     bool unattempted = false;
   };
   // An attempt in flight.
@@ -143,17 +145,20 @@
 
   void Step(Time now);
   void PublishRouting(const RoutingChange& change);
-  int ClassOf(const journal::Message& message);
+  // Returns the index of the message's class; -1 if the message records no class and the settings have none
+  // of that name.
+  int ClassIndexOf(const journal::Message& message);
   void ScheduleStep();
   void Queue(wheathub::Event event);
-  wheathub::Message MessageOf(const journal::Entry& entry);
+  wheathub::Message MakeMessageEvent(const journal::Entry& entry);
   void AnswerPending(const std::vector<wheathub::Action>& actions);
+  // Returns false if the message was not accepted after all.
   bool AcceptPending(const PendingMessage& pending);
   void EndUndelivered(const std::string& id, const journal::Ending& ending);
   void RecordAndNotify(const std::string& id, const journal::Ending& ending);
   void CountOutcome(const AttemptResult& result);
   void CancelUnwritten();
-  AttemptRequest RequestOf(const wheathub::Send& send, const HeldMessage& held) const;
+  AttemptRequest MakeAttemptRequest(const wheathub::Send& send, const HeldMessage& held) const;
 
   void Execute(const wheathub::Send& send);
   void Execute(const wheathub::Refuse& refuse);
@@ -161,7 +166,7 @@
   void Execute(const wheathub::Cancel& cancel);
   void Execute(const wheathub::SetTimer& timer);
   void Execute(const wheathub::CloseIdle& close) { ports_.endpoints.CloseIdle(close.endpoint); }
-  // Lists arrive through RoutingChanged without being requested, and the module is set up accordingly.
+  // Lists arrive through RoutingChanged without a request; see Settings::must_request_list.
   void Execute(const wheathub::SubscribeToList&) {}
   void Execute(const wheathub::FetchList&) {}
   void Execute(const wheathub::Log& log);
@@ -169,6 +174,8 @@
   // Relays have no connection to each other; the settings disable this action.
   void Execute(const wheathub::SendToPeers&) {}
 
+  // Registers the classes of open messages in the journal and returns the settings with all registered
+  // classes.
   static wheathub::Settings MergeClasses(wheathub::Settings settings, ClassRegistry& classes,
                                          const journal::Journal& journal);
 
@@ -183,9 +190,9 @@
   Time first_event_at_{0};
   Time last_step_at_ = Time::min() / 2;
   std::multimap<Time, std::string> timers_;
-  // Every destination that a list has named so far. Destinations are partners of the platform: few, and
-  // unlike hosts not replaced. They are never forgotten, because a stale list may hold no host of a
-  // destination whose hosts have all been replaced.
+  // Destinations of all hosts listed so far. Destinations are partners of the platform; they are few and,
+  // unlike hosts, are not replaced. They are never removed from this set, because a stale list may contain no
+  // host of a destination whose hosts have all been replaced.
   std::set<wheathub::DestinationId> known_destinations_;
   std::map<std::string, PendingMessage> pending_;  // submitted since the last step
   std::map<std::string, HeldMessage> held_;
--- a/src/relay/table.cpp
+++ b/src/relay/table.cpp
@@ -13,7 +13,7 @@
                                                          : std::exchange(hosts_, {});
   revision_ = change.revision;
   std::set<std::string> previously_withheld = std::exchange(withheld_, {});
-  // An entry with only a state is useless if the host is unknown.
+  // An entry that carries only a state can't be used if the host is unknown.
   std::erase_if(change.hosts, [&](const Host& host) {
     return host.state_only && previous_hosts.count(host.info.id) == 0 && hosts_.count(host.info.id) == 0;
   });
@@ -46,15 +46,16 @@
 }
 
 RoutingChange RoutingTable::ApplyStale(const RoutingChange& older) {
-  std::set<std::string> ready, unready;
+  std::set<std::string> ready_ids, unready_ids;
   for (const Host& host : older.hosts) {
-    (host.info.lifecycle == Lifecycle::kUp ? ready : unready).insert(host.info.id);
+    (host.info.lifecycle == Lifecycle::kUp ? ready_ids : unready_ids).insert(host.info.id);
   }
   RoutingChange change{wheathub::ListScope::kChanges, revision_, {}};
   for (const auto& [id, host] : hosts_) {
-    const bool missing = older.scope == wheathub::ListScope::kAll && ready.count(id) == 0;
+    const bool is_missing = older.scope == wheathub::ListScope::kAll && ready_ids.count(id) == 0;
     const bool was_withheld = withheld_.count(id) > 0;
-    const bool is_withheld = missing || unready.count(id) > 0 || (was_withheld && ready.count(id) == 0);
+    const bool is_withheld =
+        is_missing || unready_ids.count(id) > 0 || (was_withheld && ready_ids.count(id) == 0);
     if (was_withheld == is_withheld) continue;
     if (is_withheld) {
       withheld_.insert(id);
@@ -68,12 +69,12 @@
 
 RoutingChange RoutingTable::ExcludeHost(const std::string& id) {
   excluded_.insert(id);
-  return ChangeOf(id);
+  return ChangeFor(id);
 }
 
 RoutingChange RoutingTable::IncludeHost(const std::string& id) {
   excluded_.erase(id);
-  return ChangeOf(id);
+  return ChangeFor(id);
 }
 
 RoutingChange RoutingTable::Listed() const {
@@ -90,7 +91,7 @@
   return host;
 }
 
-RoutingChange RoutingTable::ChangeOf(const std::string& id) const {
+RoutingChange RoutingTable::ChangeFor(const std::string& id) const {
   RoutingChange change{wheathub::ListScope::kChanges, revision_, {}};
   if (const auto it = hosts_.find(id); it != hosts_.end()) change.hosts.push_back(EffectiveHost(it->second));
   return change;
--- a/src/relay/table.hpp
+++ b/src/relay/table.hpp
@@ -1,6 +1,6 @@
 // The routing table: the hosts listed by discovery, combined with the hosts that operators have excluded and
 // the hosts that a stale discovery answer reported as unusable. The decision module and the endpoint
-// transport see the combined state. Performs no I/O and stores copies; unknown host ids are not an error.
+// transport use the combined state. Performs no I/O and stores copies; unknown host ids are not an error.
 #pragma once
 
 #include <map>
@@ -24,8 +24,8 @@
   // Returns whether the host is in discovery's current list.
   bool Lists(const std::string& id) const { return hosts_.count(id) > 0; }
   bool IsExcluded(const std::string& id) const { return excluded_.count(id) > 0; }
-  // Excludes a host: it counts as draining, listed or not, until IncludeHost. Both return the hosts whose
-  // effective state may have changed, which may be none.
+  // Exclude a host and include it again. An excluded host counts as draining whether it is listed or not.
+  // Both functions return the hosts whose effective state may have changed; the result may be empty.
   RoutingChange ExcludeHost(const std::string& id);
   RoutingChange IncludeHost(const std::string& id);
 
@@ -33,9 +33,12 @@
   RoutingChange Listed() const;
 
  private:
+  // Fills in the fields that `update` omits.
   static void Merge(const Host& previous, Host* update);
+  // Returns the host as draining if it is ready but excluded or withheld, otherwise unchanged.
   Host EffectiveHost(Host host) const;
-  RoutingChange ChangeOf(const std::string& id) const;
+  // Returns a change with only that host; empty if the host is not listed.
+  RoutingChange ChangeFor(const std::string& id) const;
 
   std::map<std::string, Host> hosts_;  // as listed; hosts removed from the list are erased
   std::set<std::string> excluded_;
