--- a/src/endpoint/endpoint_connection.cpp
+++ b/src/endpoint/endpoint_connection.cpp
@@ -11,8 +11,8 @@
 using wheathub::Outcome;
 using namespace std::chrono_literals;
 
-// Time from the first byte of a response to its end. A response that takes longer is invalid, and the attempt
-// ends then instead of at its timeout.
+// Maximum time from the first byte of a response to its end. A response that takes longer is invalid, and the
+// attempt ends at this limit instead of at its own timeout.
 constexpr net::Time kResponseTimeout = 400ms;
 constexpr std::uint64_t kMaxResponseBytes = 128 * 1024;  // a body has at most 64 KiB
 constexpr double kMaxRetryAfterS = 3600;
@@ -94,11 +94,11 @@
 
 void EndpointConnection::OnBytes(proto::RingBuffer& in) {
   while (!in.empty() && connected()) {
-    // Bytes that belong to no request: their origin is unknown, so the connection must not be used again.
+    // These bytes belong to no request, so the connection must not be used again.
     if (!request_ && !receiving_response_) return Discard();
     if (!std::exchange(receiving_response_, true)) {
-      // If the response began before the request was fully written, the connection can't be reused: the
-      // endpoint would read the rest of this request as the next one.
+      // If the response began before the request was fully written, the connection can't be reused, because
+      // the endpoint would read the rest of this request as the next one.
       reusable_ = fully_written();
       const net::Time response_deadline = net::Loop::Now() + kResponseTimeout;
       timer_.At(request_->timeout_at < response_deadline ? request_->timeout_at : response_deadline);
@@ -117,7 +117,8 @@
   timer_.At(request_->timeout_at);
 }
 
-// Only a complete response can say that the call did not run: with an invalid one the call counts as run.
+// Only a complete response can report that the call did not run. After an invalid response the call counts as
+// one that may have run.
 void EndpointConnection::OnComplete(bool keep_alive) {
   receiving_response_ = false;
   timer_.Stop();
@@ -142,7 +143,7 @@
 
 void EndpointConnection::EndUnwritten(const relay::AttemptResult& result) {
   EndAttempt(result);
-  // Connected, and nothing was written: the connection can be reused.
+  // The connection can be reused, because nothing was written to it.
   if (connected() && !write_started_) {
     timer_.Stop();
     idle_since_ = net::Loop::Now();
@@ -158,8 +159,8 @@
 
 void EndpointConnection::Discard() {
   if (std::exchange(discarded_, true)) return;
-  // If the connection broke before the request's last byte was written, the call did not run; otherwise it
-  // may have run.
+  // If the connection failed before the last byte of the request was written, the call did not run. Otherwise
+  // it may have run.
   const bool fully_sent = write_started_ && connection_ != nullptr && connection_->flushed();
   Abort();
   if (request_) EndAttempt({fully_sent ? Outcome::kReset : Outcome::kNoConnection, false, net::Time(0)});
@@ -172,12 +173,12 @@
 }
 
 void EndpointConnection::OnTimeout() {
-  // A response that arrived together with the timeout counts: it may ask for a wait, or say that the call did
-  // not run.
+  // A response that has arrived by the time of the timeout is processed first, because it may request a wait
+  // or report that the call did not run.
   const bool was_busy = busy();
   ReadNow();
-  const bool responded = was_busy && !busy() && !receiving_response_;
-  if (discarded_ || responded || timer_.active()) return;
+  const bool has_responded = was_busy && !busy() && !receiving_response_;
+  if (discarded_ || has_responded || timer_.active()) return;
   if (receiving_response_) return FailInvalidResponse();  // the response was not completed in time
   if (!request_) return Discard();
   const bool fully_sent = write_started_ && connection_->flushed();
--- a/src/endpoint/endpoint_connection.hpp
+++ b/src/endpoint/endpoint_connection.hpp
@@ -1,4 +1,4 @@
-// Connection to an endpoint that carries one attempt at a time.
+// HTTP connection to an endpoint. It runs one attempt at a time.
 #pragma once
 
 #include <memory>
@@ -13,21 +13,26 @@
 namespace oxbowspread::endpoint {
 
 // Idle connections are closed after this share of the keepalive time. A host closes them after the full time
-// at the latest, and a request written then ends in a reset that may or may not have run.
+// at the latest. A request that is written at that moment is reset, and may or may not have run.
 inline constexpr double kKeepaliveShare = 0.8;
-// Pause before a connection is used again: surplus bytes after a response may arrive a moment later, and must
-// not be taken for the response to the next request.
+// Minimum idle time before a connection is used again. Surplus bytes after a response may arrive a moment
+// later, and must not be read as the response to the next request.
 inline constexpr net::Time kReuseDelay{30'000};
-inline constexpr net::Time kSweepInterval{200'000};  // for expired connections and hosts
+// Interval between checks for expired connections and hosts.
+inline constexpr net::Time kSweepInterval{200'000};
 
+// The connection of a Pool to one host.
 class EndpointConnection final : public net::Connection::Handler, private proto::HttpResponseParser::Handler {
  public:
+  // Receives the events of a connection.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Connected: returns the request's bytes, or nothing if it may not be written any more.
+    // The connection is established and the request can be written. Returns the bytes of the request, or
+    // nothing if it may no longer be written.
     virtual std::optional<std::string> OnWritable(EndpointConnection& connection) = 0;
-    // The attempt has ended; the connection stays open.
+    // The attempt has ended. OnIdle or OnUnusable follows once the response is complete or the connection has
+    // failed.
     virtual void OnAttemptEnd(EndpointConnection& connection, const relay::AttemptId& attempt,
                               const relay::AttemptResult& result) = 0;
     virtual void OnIdle(EndpointConnection& connection) = 0;      // ready for the next attempt
@@ -35,11 +40,11 @@
     virtual void OnInvalidResponse() = 0;  // a response could not be parsed or was not completed
   };
 
-  // Belongs to one host and one address, because either may change: another host may get the address, or the
-  // host another address. `owner` must outlive the connection.
+  // A connection belongs to one host and one address, because either may change: another host may be assigned
+  // the address, or the host may be assigned another address. `owner` must outlive the connection.
   EndpointConnection(net::Loop& loop, Owner& owner, std::string host, const net::Address& address);
 
-  // Starts to connect; false if no socket could be created.
+  // Starts to connect. Returns false if no socket could be created.
   bool Open();
   // Starts an attempt on a connection that is connecting or ready, and not busy.
   void StartAttempt(relay::AttemptRequest request);
@@ -50,14 +55,14 @@
   const std::string& host() const { return host_; }
   const net::Address& address() const { return address_; }
   net::Time idle_since() const { return idle_since_; }
-  bool used() const { return used_; }  // has received a response
-  // Reads what has arrived of a response without waiting for the loop; the owner may be called.
+  bool used() const { return used_; }  // whether a response was completed on it
+  // Reads the bytes that have arrived without waiting for the loop. May call the owner.
   void ReadNow() {
     if (connection_ != nullptr) connection_->ReadNow();
   }
   // Closes the connection without a callback. An attempt in flight may have run if its last byte was written.
   void Abort();
-  // Whether the request's last byte has been passed to the kernel.
+  // Returns whether the last byte of the request has been passed to the kernel.
   bool fully_written() const { return write_started_ && connection_ != nullptr && connection_->flushed(); }
 
  private:
@@ -68,12 +73,12 @@
   void OnBody(std::string_view) override {}
   void OnComplete(bool keep_alive) override;
   void WriteRequest();
-  // Ends an attempt whose request was not written; the connection stays open if it is usable.
+  // Ends an attempt whose request was not written. The connection stays open if it can be reused.
   void EndUnwritten(const relay::AttemptResult& result);
   void EndAttempt(const relay::AttemptResult& result);
   void AwaitResponse();
   void FailInvalidResponse();
-  // Closes the connection, ends its attempt and tells the owner that it is unusable. Does that only once.
+  // Closes the connection, ends its attempt and notifies the owner with OnUnusable. Later calls do nothing.
   void Discard();
   void OnTimeout();
 
@@ -86,7 +91,7 @@
   std::unique_ptr<net::Connection> connection_;
   net::Timer timer_;
   std::optional<relay::AttemptRequest> request_;
-  bool write_started_ = false;       // the request's first byte
+  bool write_started_ = false;       // the first byte of the request was written
   bool receiving_response_ = false;  // a response has begun and is not complete yet
   bool reusable_ = false;            // the request was fully written before its response began
   bool used_ = false;
@@ -94,9 +99,9 @@
   net::Time idle_since_{0};
 };
 
-// The result of an attempt that was answered with that status and those headers.
+// Returns the result of an attempt that was answered with that status and those headers.
 relay::AttemptResult InterpretResponse(const proto::HttpResponseHead& head);
-// The HTTP request for an attempt; `time_left` is the time until its timeout.
+// Returns the HTTP request for an attempt. `time_left` is the time until its timeout.
 std::string FormatRequest(const relay::AttemptRequest& request, net::Time time_left);
 
 }  // namespace oxbowspread::endpoint
--- a/src/endpoint/hosts.cpp
+++ b/src/endpoint/hosts.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr net::Time kForgetRemovedAfter = 5s;  // after it became unready; for hosts that left the list
+constexpr net::Time kForgetRemovedAfter = 5s;  // time after which an unready, removed host is forgotten
 
 }  // namespace
 
@@ -67,8 +67,8 @@
   }
 }
 
-// A host that no longer exists may still be listed when another one already uses its address: a call to the
-// old host would reach the new one. So the host that is ready owns the address.
+// A host that no longer exists may still be listed when another one already uses its address. A call to the
+// old host would then reach the new one, so the host that is ready owns the address.
 void Hosts::ResolveAddressOwner(const std::string& id, Host& host, std::vector<std::string>* close_idle) {
   const auto at_same_address = ids_by_address_.find(host.address);
   if (at_same_address == ids_by_address_.end()) return;
@@ -112,9 +112,9 @@
   return ids;
 }
 
-// The routing table may name a host long after the host has taken over an address. A wait that it requested
-// in the meantime was recorded for the previous host at the address, so it has to be applied to the new one
-// too.
+// The routing table may list a host long after the host has taken over an address. A wait that the host
+// requested in the meantime was recorded for the previous host at that address, so it must be applied to the
+// new host too.
 void Hosts::ApplyAddressWait(const std::string& id, const Host& host, net::Time now) {
   if (!host.owns_address) return;
   const auto wait = address_waits_.find(KeyOf(host.socket_address));
@@ -123,8 +123,8 @@
 
 std::vector<std::string> Hosts::RecordRetryAfter(const std::string& id, const net::Address& address,
                                                  net::Time wait, net::Time now) {
-  std::erase_if(route_waits_, [now](const auto& w) { return w.second <= now; });
-  std::erase_if(address_waits_, [now](const auto& w) { return w.second <= now; });
+  std::erase_if(route_waits_, [now](const auto& entry) { return entry.second <= now; });
+  std::erase_if(address_waits_, [now](const auto& entry) { return entry.second <= now; });
   if (const Host* const host = Find(id)) ExtendWait(id, *host, now + wait);
   std::vector<std::string> ids = ExtendAddressWait(address, now + wait);
   std::erase(ids, id);
@@ -171,8 +171,8 @@
   return result;
 }
 
-// Hosts still accept calls for a short time after a drain or a wait was written. That tolerance is not used:
-// the time of writing is not known here, and the call would most likely be refused.
+// Hosts still accept calls for a short time after they begin to drain or request a wait. This tolerance is
+// not used, because the time at which it began is not known here and the call would most likely be refused.
 bool Hosts::MayWrite(const std::string& id, net::Time write_deadline, net::Time now) const {
   const Host* const host = Find(id);
   if (host == nullptr || !host->owns_address || !host->ready) return false;
--- a/src/endpoint/pool.cpp
+++ b/src/endpoint/pool.cpp
@@ -45,8 +45,8 @@
   ReportWaits(listed_ids);
 }
 
-// Reports also waits that a host has only through its address: if the decision module did not know them, its
-// calls would be withheld here and have to be repeated.
+// Also reports waits that apply to a host only because of its address. Without them the decision module would
+// choose calls that are withheld here and have to be repeated.
 void Pool::ReportWaits(const std::vector<std::string>& hosts) {
   const net::Time now = net::Loop::Now();
   for (const std::string& id : hosts) {
@@ -116,7 +116,7 @@
   connection->StartAttempt(std::move(request));
 }
 
-// Prefers the connection that was used last, so that surplus ones stay idle and expire.
+// Prefers the connection that was used last, so that surplus connections stay idle and expire.
 EndpointConnection* Pool::FindIdleConnection(const Connections& connections) const {
   EndpointConnection* best = nullptr;
   const net::Time now = net::Loop::Now();
@@ -124,8 +124,8 @@
     EndpointConnection& connection = *connections[i];
     if (connection.busy() || !connection.connected()) continue;
     if (!connection.ready()) {
-      // The end of a response may still be in transit. A closed connection is left alone here: the loop
-      // reports it.
+      // The rest of a response may still be in transit. A closed connection is not handled here, because the
+      // loop reports it.
       continue;
     }
     if (connection.used() && now - connection.idle_since() < kReuseDelay) continue;
@@ -138,7 +138,7 @@
 }
 
 EndpointConnection* Pool::OpenConnection(const std::string& id, const Host& host) {
-  // Closes only one connection: each one that has to be opened again costs its host a handshake.
+  // Closes only one connection, because each one that has to be opened again costs its host a handshake.
   if (connection_count_ >= limits_.max_connections && !CloseLongestIdle()) return nullptr;
   auto connection = std::make_unique<EndpointConnection>(
       loop_, static_cast<EndpointConnection::Owner&>(*this), id, host.socket_address);
--- a/src/endpoint/pool.hpp
+++ b/src/endpoint/pool.hpp
@@ -1,4 +1,4 @@
-// Sends attempts to endpoints, over a pool of connections for each host.
+// Endpoint transport of the relay: sends attempts over a pool of connections for each host.
 #pragma once
 
 #include <map>
@@ -17,11 +17,13 @@
 
 namespace oxbowspread::endpoint {
 
+// Owns all connections to endpoints. Single-threaded. The loop, the counters and the attached relay must
+// outlive it.
 class Pool final : public relay::EndpointTransport, private EndpointConnection::Owner {
  public:
-  // A connect timeout or keepalive of 0 means none.
+  // A connect timeout or keepalive of 0 means that there is none.
   struct Limits {
-    std::size_t max_connections = 256;
+    std::size_t max_connections = 256;  // over all hosts
     net::Time connect_timeout{0};
     net::Time keepalive{0};
     std::vector<bool> separate_routes;  // by kind: see Hosts::SetSeparateRoutes
@@ -32,14 +34,14 @@
 
   void SetLimits(const Limits& limits);
 
-  // The waits that hosts requested, as handed over to the next process, and as received from the previous
-  // one.
+  // Return the current waits that hosts requested, to be handed over to the next process.
   std::vector<relay::HostWait> HostWaits() const;
+  // Restores the waits that the previous process handed over.
   void RestoreWaits(const relay::HandoverState& handover_state);
   std::vector<relay::AddressWait> AddressWaits() const;
-  // Records that the host answered another process's call with a request to wait.
+  // Records that the host answered a call of another process with a request to wait.
   void RecordRetryAfter(const std::string& host, net::Time wait);
-  // Reads what has arrived of responses to attempts in flight, without waiting for the loop.
+  // Reads the responses to attempts in flight that have arrived, without waiting for the loop.
   void ReadNow();
   // Closes all idle connections; those with attempts in flight stay open.
   void CloseAllIdle();
@@ -62,18 +64,18 @@
 
   // Reports the current waits of these hosts to the relay.
   void ReportWaits(const std::vector<std::string>& hosts);
-  // Null if no connection can be reused.
+  // Returns null if no connection can be reused.
   EndpointConnection* FindIdleConnection(const Connections& connections) const;
-  // Null if no connection may or can be opened.
+  // Returns null if the limit is reached and no connection is idle, or if no connection can be opened.
   EndpointConnection* OpenConnection(const std::string& id, const Host& host);
-  // False if no connection is idle.
+  // Closes the connection that has been idle for longest. Returns false if none is idle.
   bool CloseLongestIdle();
   void Remove(EndpointConnection& connection);
-  // Removes the connection from the index of connecting and from that of idle connections.
+  // Removes the connection from the indexes of connecting and of idle connections.
   void RemoveFromIndexes(EndpointConnection& connection);
-  // Reports the attempt as failed from the loop, not from within the caller.
+  // Reports the failure of the attempt later from the loop, not from within this call.
   void FailLater(const relay::AttemptRequest& request, wheathub::Outcome outcome);
-  // Closes connections that exceeded their connect timeout or idle time, and forgets expired hosts.
+  // Closes connections that have exceeded their connect timeout or idle time, and forgets expired hosts.
   void Sweep();
 
   net::Loop& loop_;
@@ -83,8 +85,8 @@
   Hosts hosts_;
   std::map<std::string, Connections> connections_by_host_;  // by host id; no entry is empty
   std::map<relay::AttemptId, EndpointConnection*> in_flight_;
-  // Connecting connections by connect deadline, and idle ones by the start of their idle time. With thousands
-  // of connections a search through all of them would be too slow.
+  // Connecting connections, ordered by connect deadline, and idle ones, ordered by the start of their idle
+  // time. With thousands of connections a search through all of them would be too slow.
   std::set<std::pair<net::Time, EndpointConnection*>> connecting_, idle_;
   std::map<EndpointConnection*, net::Time> connect_deadlines_;
   std::size_t connection_count_ = 0;
