--- a/src/client/clients.cpp
+++ b/src/client/clients.cpp
@@ -15,17 +15,18 @@
 
 using namespace std::chrono_literals;
 
-// Time for a complete command: the first one counted from the connect, any other from its first byte. A
-// client that sends nothing or only part of a command holds a descriptor that others need. The platform
-// allows 3 s, and some clients take 2 s to write a command.
+// Timeout of a complete command. It starts at the connect for the first command, and at the first byte for
+// any other. A client that sends nothing or only part of a command uses a descriptor that others need. The
+// platform allows 3 s, and some clients take 2 s to write a command.
 constexpr net::Time kCommandTimeout = 2700ms;
-constexpr net::Time kIdleTimeout = 10s;  // connections that have sent a command and are kept open
+constexpr net::Time kIdleTimeout = 10s;  // for open connections that have sent a command
 // After the last answer the connection stays open for this long. If it were closed while the client is
 // sending, it would be reset and the answer could be lost.
 constexpr net::Time kLinger = 300ms;
 constexpr int kMaxPendingAccepts = 1024;  // connections accepted when listening stops
-// Clients send a command right after connecting. A connection that has not begun one within the first limit,
-// or whose incomplete command has not progressed within the second, is the first to be evicted.
+// Clients send a command immediately after connecting. A connection that has not begun one within
+// kFirstCommandTimeout, or whose incomplete command has not progressed within kReceiveProgressTimeout, is
+// evicted before all others.
 constexpr net::Time kFirstCommandTimeout = 300ms;
 constexpr net::Time kReceiveProgressTimeout = 700ms;
 // Commands are consumed from the buffer as they arrive, so the buffer can be small: hundreds of clients share
@@ -66,7 +67,7 @@
   if (server_.closing_ && idle()) resume_timer_.After(net::Time(0));
 }
 
-// Runs the timer with the limit for an incomplete command or for an idle connection.
+// Starts the timer with the timeout for an incomplete command or for an idle connection.
 void Client::ArmTimer() {
   const bool is_idle = idle() && has_requested_;
   if (is_idle == idle_timer_running_ && timer_.active()) return;
@@ -93,9 +94,9 @@
   }
 }
 
-// Time that the command may have waited unread, because this process was stopped or busy with others. A
-// client counts the deadline from when it sent the message. A client that has waited longer than
-// kClientTimeout has left.
+// A command may have waited unread while this process was stopped or busy with other clients. The time
+// matters because a client counts the deadline from the time at which it sent the message. The result is at
+// most kClientTimeout, because a client that has waited for longer has disconnected.
 net::Time Client::TimeUnread() const {
   return std::min<net::Time>(net::Loop::Now() - earliest_arrival_, relay::kClientTimeout);
 }
@@ -119,8 +120,8 @@
 }
 
 bool Client::OnAccepted() {
-  // If the client has closed the connection since, the message must not be accepted: the client submits it to
-  // another relay.
+  // If the client has closed the connection in the meantime, the message must not be accepted, because the
+  // client submits it to another relay.
   const bool client_connected = !connection_.ClosedByPeer() && Reply("+OK\r\n");
   OnAnswered();
   return client_connected;
@@ -139,8 +140,8 @@
   ArmTimer();
 }
 
-// Processes commands that arrived behind the one just answered. They are answered even if the connection is
-// to be closed afterwards.
+// Processes the commands that arrived after the one just answered. They are answered even if the connection
+// is to be closed afterwards.
 void Client::ResumeReading() {
   connection_.Resume();
   if (server_.closing_) CloseWhenIdle();
@@ -152,12 +153,12 @@
 
 bool Client::Reply(const std::string& text) {
   if (connection_.Send(text)) return true;
-  timer_.After(net::Time(0));  // the client has gone, or does not read its answers
+  timer_.After(net::Time(0));  // the client has disconnected, or does not read its answers
   return false;
 }
 
 void Client::OnTimeout() {
-  // A command that arrives just as the idle timeout ends is served: if the connection were closed now, it
+  // A command that arrives at the moment of the idle timeout is served. If the connection were closed now, it
   // would be reset.
   if (idle_timer_running_ && !disconnecting_ && connection_.connected() && !connection_.IsIdle()) {
     idle_timer_running_ = false;
@@ -241,9 +242,9 @@
 
 void ClientServer::Accept(int fd) {
   // Clients share the descriptors with the endpoint connections and must not use all of them. Idle clients
-  // are evicted at half the limit, before descriptors run out: the clients of the platform open no more than
-  // their share, so a connection that stays open without commands keeps others from being served long before
-  // the limit of this relay is reached.
+  // are already evicted at half the limit, before descriptors run out. The clients of the platform together
+  // open no more connections than their share, so a connection that stays open without commands prevents
+  // others from being served long before the limit of this relay is reached.
   if (clients_.size() >= max_clients_ / 2) EvictClient(Client::RetentionPriority::kIdle);
   if (clients_.size() >= max_clients_ && !EvictClient(Client::RetentionPriority::kReceiving)) {
     counters_.clients_rejected += 1;
@@ -256,9 +257,10 @@
   clients_.emplace(client.get(), std::move(client));
 }
 
-// A flood of connections must not displace active clients. Connections that have sent no command for long are
-// closed first, then idle ones, whose clients reconnect when necessary; of the incomplete commands the one
-// that has not progressed for longest. A connection that waits for its answer is never closed.
+// A flood of connections must not displace active clients. Connections that have not sent a command in time
+// are closed first, then idle ones, whose clients reconnect when necessary. Among connections with an
+// incomplete command, the one that has not progressed for longest is closed first. A connection that waits
+// for its answer is never closed.
 bool ClientServer::EvictClient(Client::RetentionPriority highest) {
   const net::Time now = net::Loop::Now();
   std::vector<std::tuple<Client::RetentionPriority, net::Time, Client*>> candidates;
@@ -289,10 +291,10 @@
   clients_.erase(it);
 }
 
-// Only the listener is closed. Clients keep using open connections; closing these early would move their
-// share of the load to the other relays, whose slots are sized for their own. Connections waiting to be
-// accepted would be reset with the listener, so they are accepted first; if another process holds the
-// listening socket, they are left for its next user.
+// Only the listener is closed. Clients keep using open connections. Closing these early would move their
+// share of the load to the other relays, whose slots are sized for their own share. Connections waiting
+// to be accepted would be reset with the listener, so they are accepted first. If another process owns the
+// listening socket, they are left for the next process that uses it.
 void ClientServer::StopListening() {
   if (listener_ && inherited_fd_ < 0) listener_->AcceptPending(kMaxPendingAccepts);
   listener_.reset();
--- a/src/client/clients.hpp
+++ b/src/client/clients.hpp
@@ -23,11 +23,11 @@
 struct ClientState {
   int fd = -1;
   std::string partial_command;  // bytes of an incomplete command
-  std::string unread, unsent;   // received but not parsed; answers not yet accepted by the system
-  bool has_requested = false;
+  std::string unread, unsent;   // bytes not parsed yet; answers not yet passed to the kernel
+  bool has_requested = false;   // a complete command has arrived
 };
 
-// The connection of one client.
+// The connection of one client. Destroyed by its server; both run on the event loop.
 class Client final : public net::Connection::Handler, public relay::Client {
  public:
   Client(net::Loop& loop, int fd, ClientServer& server);
@@ -35,17 +35,19 @@
   bool OnAccepted() override;
   void OnRejected(relay::Time retry_after) override;
   bool idle() const { return !awaiting_answer_ && parser_.idle(); }
-  // How important it is to keep the connection when descriptors run out; the lowest value is closed first.
-  // kNone: closing, or without a command for too long. kNew: connected recently, no command yet. kReceiving:
-  // part of a command has arrived.
+  // Priority of keeping the connection when descriptors run out; the lowest value is closed first.
+  // kNone: closing, or without a command for too long. kIdle: no command since the last answer. kNew:
+  // connected recently, no command yet. kReceiving: part of a command has arrived.
   enum class RetentionPriority { kNone, kIdle, kNew, kReceiving, kAwaitingAnswer };
   RetentionPriority retention_priority(net::Time now) const;
-  // Since when the connection has had that priority; among equals the earliest is closed.
+  // Time since which the connection has had that priority. Among equal priorities the earliest is closed
+  // first.
   net::Time priority_since() const { return idle() ? idle_since_ : last_received_at_; }
-  // Returns whether everything that has arrived was read.
+  // Returns whether all bytes that have arrived were read.
   bool all_read() const { return connection_.IsIdle(); }
   void Close() { connection_.Close(); }
-  // Closes the connection now if it is idle and nothing has arrived, otherwise once that is answered.
+  // Closes the connection if it is idle and no bytes are unread. Otherwise it is closed after the commands
+  // that have arrived were answered.
   void CloseWhenIdle();
   bool open() const { return connection_.connected() && !disconnecting_; }
   ClientState ExportState() const;
@@ -54,10 +56,15 @@
  private:
   void OnBytes(proto::RingBuffer& input) override;
   void OnClosed() override;
+  // Returns the maximum time that the current command may have waited before it was read.
   net::Time TimeUnread() const;
   void HandleCommand(const std::vector<std::string>& command);
   void HandlePut(std::vector<std::string> command);
+  // Returns false if the answer can't be sent; the connection is then closed by the timer.
   bool Reply(const std::string& text);
+  // Ends the connection. If all answers were sent, closes only the sending direction; the connection is
+  // closed once the client has closed it, or after a short timeout. Otherwise, and in a second call, closes
+  // it immediately.
   void Disconnect();
   void OnTimeout();
   void OnAnswered();
@@ -68,15 +75,16 @@
   ClientServer& server_;
   net::Connection connection_;
   proto::RespParser parser_;
-  net::Timer timer_;                 // limits an incomplete command, unread answers or an idle connection
-  net::Timer resume_timer_;          // continues with the commands behind one that was answered
-  bool awaiting_answer_ = false;     // for the answer of the decision module
-  bool has_requested_ = false;       // a complete command has arrived at some time
+  net::Timer timer_;                 // timeout of an incomplete command, unread answers or an idle connection
+  net::Timer resume_timer_;          // continues with the commands that follow an answered one
+  bool awaiting_answer_ = false;     // a message is waiting for the answer of the decision module
+  bool has_requested_ = false;       // a complete command has arrived
   bool idle_timer_running_ = false;  // timer_ runs with the idle timeout
-  bool disconnecting_ = false;       // has been sent its last bytes; what it sends is ignored
+  bool disconnecting_ = false;       // all answers were sent; further input is ignored
   net::Time idle_since_{0};
   net::Time last_received_at_{0};  // when the last bytes arrived; 0 if none have
-  // Nothing that is read but unanswered arrived before this; 0 after a handover, which does not transfer it.
+  // Lower bound for the arrival time of the bytes that are not answered yet; 0 after a handover, which does
+  // not transfer it.
   net::Time earliest_arrival_{0};
   bool has_unread_ = false;  // bytes of an earlier read are still in the buffer
 };
@@ -87,8 +95,8 @@
   // Produces the answer to INFO.
   using Report = std::function<std::string()>;
 
-  // Starts listening. If `inherited_fd` is a descriptor, it is used as the listening socket: somebody else
-  // has bound it and keeps it. `max_clients` limits the connections. Throws std::system_error.
+  // Starts listening. If `inherited_fd` is not negative, it is used as the listening socket, which another
+  // process has bound and owns. `max_clients` limits the connections. Throws std::system_error.
   ClientServer(net::Loop& loop, const net::Address& address, int inherited_fd, std::size_t max_clients,
                relay::Relay& relay, relay::Counters& counters, Report report);
   // Returns the state of all clients for transfer to another process. Relay::PrepareHandover must be called
@@ -98,11 +106,11 @@
   void RestoreClient(const ClientState& state);
   // Accepts no new clients; connected clients are still served.
   void StopListening();
-  // Accepts new clients again at the same address. Throws std::system_error if somebody else has bound it.
+  // Accepts new clients again at the same address. Throws std::system_error if another process has bound it.
   void StartListening();
-  // Closes all connections, those with an unanswered command after the answer.
+  // Closes all connections. Those with an unanswered command are closed after the answer.
   void CloseWhenIdle();
-  // When a client last connected or had a message answered.
+  // Time at which a client last connected or a message was last answered.
   net::Time idle_since() const { return idle_since_; }
   void SetMaxClients(std::size_t max_clients) { max_clients_ = max_clients; }
   std::size_t clients() const { return clients_.size(); }
@@ -111,7 +119,7 @@
   friend class Client;
   void Accept(int fd);
   void Remove(Client& client);
-  // Closes one client of that priority or lower. Returns false if there is none.
+  // Closes one client of that priority or a lower one. Returns false if there is none.
   bool EvictClient(Client::RetentionPriority highest);
 
   net::Loop& loop_;
--- a/src/client/command.cpp
+++ b/src/client/command.cpp
@@ -13,14 +13,14 @@
 
 std::int64_t ParseInteger(std::string_view name, std::string_view text) {
   std::int64_t value = 0;
-  const auto [end, code] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (code != std::errc() || end != text.data() + text.size()) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size()) {
     throw InvalidCommand(std::string(name) + " is not a whole number");
   }
   return value;
 }
 
-// Ids and keys are sent on in HTTP headers, where a line break would start another header.
+// Ids and keys are forwarded in HTTP headers, where a line break would start another header.
 void CheckVisibleAscii(std::string_view name, const std::string& text) {
   bool valid = text.size() <= kMaxIdBytes;
   for (const char c : text) valid = valid && c > ' ' && c < 0x7f;
--- a/src/client/command.hpp
+++ b/src/client/command.hpp
@@ -15,8 +15,9 @@
   using std::runtime_error::runtime_error;
 };
 
-// Parses "MSG.PUT zeros id names-and-values body". The first argument is not used. The names and values are a
-// comma-separated list of name=value. `now` is Unix time. Throws InvalidCommand.
+// Parses "MSG.PUT key id fields body". The key, which consists of zeros, is not used. `fields` is a
+// comma-separated list of name=value pairs. `now` is Unix time; the deadline is computed from it. Throws
+// InvalidCommand.
 journal::Message ParsePut(std::vector<std::string> command, journal::Time now);
 
 }  // namespace oxbowspread::client
