--- a/src/net/arrival_bound.hpp
+++ b/src/net/arrival_bound.hpp
@@ -1,15 +1,17 @@
 // Lower bound for the arrival time of the bytes that the event loop is about to read.
 //
-// After a stall (process stopped, or not scheduled) the loop finds bytes that may have arrived long ago, and
-// their sender measures time from when it sent them. This class derives the earliest possible arrival time
-// from the times at which the loop polled its sockets. It does no I/O: the loop reports each poll.
+// After a stall (process stopped, or not scheduled) the loop finds bytes that may have arrived long ago,
+// while their sender measures time from the moment at which it sent them. This class derives the earliest
+// possible arrival time from the times at which the loop polled its sockets. It performs no I/O: the loop
+// reports each poll.
 //
-// Times are microseconds of one monotonic clock. Nothing throws, and nothing is owned.
+// Times are microseconds of one monotonic clock. No function throws.
 //
-// Bytes read in one round of the loop usually arrived after the previous poll. They may be older if a signal
-// interrupted that poll, or if their connection had to be accepted first: up to kMaxReadDelayRounds rounds.
-// While the process runs, polls are at most kPollInterval apart, so a gap longer than kStallThreshold is a
-// stall. Shorter gaps are not counted: bytes may be up to kStallThreshold older than the bound says.
+// Bytes read in one round of the loop usually arrived after the previous poll. They may be up to
+// kMaxReadDelayRounds rounds older if a signal interrupted that poll, or if their connection had to be
+// accepted first. While the process runs, polls are at most kPollInterval apart, so a gap longer than
+// kStallThreshold is a stall. Shorter gaps are ignored, so bytes may be up to kStallThreshold older than the
+// bound.
 #pragma once
 
 #include <array>
@@ -17,6 +19,7 @@
 
 namespace oxbowspread::net {
 
+// Records poll times and computes the bound.
 class ArrivalBound {
  public:
   using Time = std::chrono::microseconds;
@@ -25,9 +28,9 @@
   static constexpr Time kStallThreshold{100'000};
   static constexpr std::size_t kMaxReadDelayRounds = 3;
 
-  // Call after each poll of all sockets, before anything is read. `now` is the time of the poll.
+  // Must be called after each poll of all sockets, before anything is read. `now` is the time of the poll.
   void RecordPoll(Time now);
-  // Bytes read before the next poll did not arrive earlier than this; 0 until enough polls were recorded.
+  // Returns the bound for bytes that are read before the next poll; 0 until enough polls were recorded.
   Time earliest() const;
 
  private:
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -17,8 +17,8 @@
 namespace oxbowspread::net {
 namespace {
 void DisableNagle(int fd) {
-  const int on = 1;
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  const int enabled = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 bool MakeUnixAddress(const std::string& path, sockaddr_un* address) {
   *address = {};
@@ -27,7 +27,7 @@
   std::memcpy(address->sun_path, path.data(), path.size());
   return true;
 }
-// libev priorities: prioritized sockets, and reads on established connections. Everything else has 0.
+// libev priorities of prioritized sockets and of reads on established connections. All other watchers have 0.
 constexpr int kHighestPriority = EV_MAXPRI, kReadPriority = 1;
 bool IsTransient(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
 }  // namespace
@@ -39,8 +39,8 @@
   address.sin_family = AF_INET;
   unsigned port = 0;
   const char* const end = text.data() + text.size();
-  const auto [at, code] = std::from_chars(text.data() + colon + 1, end, port);
-  if (code != std::errc() || at != end || port > 65535) return std::nullopt;
+  const auto [parsed_end, error] = std::from_chars(text.data() + colon + 1, end, port);
+  if (error != std::errc() || parsed_end != end || port > 65535) return std::nullopt;
   if (inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &address.sin_addr) != 1)
     return std::nullopt;
   address.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -101,7 +101,7 @@
   if (fd_ < 0 || broken_ || send_shutdown_ || !out_.Append(bytes)) return false;
   if (connecting_) return true;
   if (!Flush()) {
-    // The handler is notified from the loop, not from here: the caller has not finished its own operation.
+    // The handler is notified later from the loop, because the caller has not finished its own operation.
     broken_ = true;
     io_.feed_event(ev::READ);
     return false;
@@ -145,24 +145,24 @@
 
 void Connection::OnReadable() {
   if (send_shutdown_) return OnReadableAfterShutdown();
-  bool ended = false;
-  while (!ended) {
+  bool at_end = false;
+  while (!at_end) {
     const std::span<char> space = in_.WritableSpan();
     if (space.empty()) break;
     const ssize_t count = recv(fd_, space.data(), space.size(), 0);
     if (count < 0 && IsTransient(errno)) break;
-    ended = count <= 0;
+    at_end = count <= 0;
     if (count > 0) in_.Commit(static_cast<std::size_t>(count));
     if (count > 0 && static_cast<std::size_t>(count) < space.size()) break;
   }
   if (!in_.empty()) handler_.OnBytes(in_);
   if (fd_ < 0) return;
-  if (ended) return CloseAndNotify();
+  if (at_end) return CloseAndNotify();
   if (!send_shutdown_) UpdateWatcher();
 }
 
-// Checks whether the peer has closed its direction too. Bytes that it sent before it saw the shutdown stay
-// unread; while there are any, the end of the stream can't be detected, so the watcher is stopped.
+// Checks whether the peer has closed its direction too. Bytes that it sent before it received the shutdown
+// are not read. While there are any, the end of the stream can't be detected, so the watcher is stopped.
 void Connection::OnReadableAfterShutdown() {
   char byte = 0;
   const ssize_t count = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -236,9 +236,9 @@
       spare_fd_(open("/dev/null", O_RDONLY | O_CLOEXEC)),
       accept_handler_(std::move(accept_handler)),
       io_(loop.ref()) {
-  const int on = 1;
-  // A restarted relay can bind its address again while old connections are still in TIME_WAIT.
-  setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const int enabled = 1;
+  // Allows a restarted relay to bind its address again while old connections are still in TIME_WAIT.
+  setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   if (bind(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 || listen(fd_, 511) != 0) {
     const int error = errno;
     Close();
@@ -258,18 +258,18 @@
     throw std::system_error(error, std::generic_category(), what);
   };
   if (!MakeUnixAddress(path, &address)) fail(ENAMETOOLONG, "control socket");
-  const auto* const at = reinterpret_cast<const sockaddr*>(&address);
+  const auto* const socket_address = reinterpret_cast<const sockaddr*>(&address);
   struct stat existing {};
   if (lstat(path.c_str(), &existing) == 0) {
     if (!S_ISSOCK(existing.st_mode)) fail(EEXIST, "control socket: the path exists and is not a socket");
     const int probe = socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    const bool in_use = connect(probe, at, sizeof address) == 0 || errno == EAGAIN;
+    const bool in_use = connect(probe, socket_address, sizeof address) == 0 || errno == EAGAIN;
     close(probe);
     if (in_use) fail(EADDRINUSE, "control socket");
     unlink(path.c_str());
   }
   const mode_t previous_umask = umask(0177);
-  const bool bound = bind(fd_, at, sizeof address) == 0;
+  const bool bound = bind(fd_, socket_address, sizeof address) == 0;
   const int error = errno;
   umask(previous_umask);
   if (!bound) fail(error, "control socket");
@@ -279,11 +279,11 @@
 }
 
 void Listener::CheckListening(int fd) {
-  int listens = 0;
-  socklen_t size = sizeof listens;
-  const bool socket = getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) == 0;
-  if (!socket || listens == 0) {
-    throw std::system_error(socket ? EINVAL : errno, std::generic_category(), "no listening socket");
+  int is_listening = 0;
+  socklen_t size = sizeof is_listening;
+  const bool is_socket = getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &is_listening, &size) == 0;
+  if (!is_socket || is_listening == 0) {
+    throw std::system_error(is_socket ? EINVAL : errno, std::generic_category(), "no listening socket");
   }
 }
 
@@ -331,11 +331,11 @@
     }
     if (errno == ECONNABORTED || errno == EINTR) continue;
     if (errno != EMFILE && errno != ENFILE) return;
-    // Out of descriptors: a client that is never accepted would wake the loop forever, so it is accepted with
-    // the spare descriptor and closed.
+    // No descriptors are left. A client that is never accepted would wake up the loop again and again, so it
+    // is accepted with the spare descriptor and closed.
     close(std::exchange(spare_fd_, -1));
-    const int turned_away = accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC);
-    if (turned_away >= 0) close(turned_away);
+    const int rejected_fd = accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC);
+    if (rejected_fd >= 0) close(rejected_fd);
     spare_fd_ = open("/dev/null", O_RDONLY | O_CLOEXEC);
     return;
   }
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -20,9 +20,9 @@
 namespace oxbowspread::net {
 
 using Address = sockaddr_in;
-// Parses "IPv4:port", such as "127.0.0.1:80"; empty if the text has another form.
+// Parses "IPv4:port", such as "127.0.0.1:80". Returns an empty value if the text has another form.
 std::optional<Address> ParseAddress(std::string_view text);
-// Formats an address as ParseAddress reads it.
+// Returns the address in the form that ParseAddress accepts.
 std::string AddressText(const Address& address);
 
 // One stream socket with its receive and send buffers. Owns the descriptor; the handler must outlive it.
@@ -41,47 +41,51 @@
 
   // Takes ownership of an accepted, non-blocking socket. `buffer_limit` is in bytes, for each direction.
   Connection(Loop& loop, int fd, Handler& handler, std::size_t buffer_limit = kBufferBytes);
-  // Starts to connect; null if no socket could be created. Later failures are reported through OnClosed.
+  // Starts to connect. Returns null if no socket could be created. Later failures are reported through
+  // OnClosed.
   static std::unique_ptr<Connection> Open(Loop& loop, const Address& to, Handler& handler,
                                           std::size_t buffer_limit = kBufferBytes);
-  // The same for a Unix-domain socket; null also if the path is too long for a socket address.
+  // Does the same for a Unix-domain socket. Also returns null if the path is too long for a socket address.
   static std::unique_ptr<Connection> OpenUnix(Loop& loop, const std::string& path, Handler& handler,
                                               std::size_t buffer_limit = kBufferBytes);
   ~Connection() { Close(); }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Queues the bytes and writes what the socket accepts at once; false if the connection is closed or the
-  // send buffer has no room for all of them.
+  // Queues the bytes and writes as many of them as the socket accepts immediately. Returns false if the
+  // connection is closed or fails, or if the send buffer has no room for all of the bytes.
   bool Send(std::string_view bytes);
-  // Whether all queued bytes have been passed to the kernel.
+  // Returns whether all queued bytes have been passed to the kernel.
   bool flushed() const { return out_.empty(); }
   bool connected() const { return fd_ >= 0 && !connecting_; }
-  // Whether the connection is open and the kernel holds neither unread bytes nor an end of stream for it.
+  // Returns whether the connection is open and the kernel has neither unread bytes nor an end of stream for
+  // it.
   bool IsIdle() const;
-  // Whether the peer has closed it, even if the loop has not reported that yet.
+  // Returns whether the peer has closed the connection, even if the loop has not reported that yet.
   bool ClosedByPeer() const;
   void Close();
-  // Reads what has arrived without waiting for the loop; the handler may be called. Used right before an
-  // operation is timed out or cancelled because no response was seen.
+  // Reads the bytes that have arrived without waiting for the loop. May call the handler. Used immediately
+  // before an operation is timed out or cancelled, in case its response has already arrived.
   void ReadNow();
-  // Closes the sending direction, so that everything sent reaches the peer: closing a socket that has unread
-  // bytes would reset the connection and discard data in transit. Bytes received afterwards are left unread.
-  // OnClosed follows once the peer has closed too; the caller must call Close if that takes too long. Returns
-  // false and does nothing if bytes are still to be written or the connection is closed.
+  // Closes only the sending direction, so that all sent bytes reach the peer: closing a socket that has
+  // unread bytes would reset the connection and discard data in transit. Bytes received afterwards are not
+  // read. OnClosed follows once the peer has closed its direction too; the caller must call Close if that
+  // takes too long. Returns false and does nothing if bytes are still to be written or the connection is
+  // closed.
   bool ShutdownSending();
-  // What another process needs to continue the connection: the descriptor, which stays owned by this object
-  // until Close, the received bytes that were not consumed, and the bytes that are still to be written.
+  // The state that another process needs to continue the connection: the descriptor, which stays owned by
+  // this object until Close, the received bytes that were not consumed, and the bytes that are still to be
+  // written.
   struct HandoverState {
     int fd = -1;
     std::string received, unsent;
   };
   HandoverState handover_state() const;
-  // Restores the buffers of another process's HandoverState. `received` is passed to the handler by Resume.
+  // Fills the buffers from the HandoverState of another process. Resume passes `received` to the handler.
   void Restore(std::string_view received, std::string_view unsent);
-  // Passes the handler again what it left unconsumed.
+  // Passes the bytes that the handler has not consumed to it again.
   void Resume();
-  // From now on serves this connection before all other sockets that are ready in the same round of the loop.
+  // Makes the loop serve this connection before all other sockets that are ready in the same round.
   void Prioritize();
 
  private:
@@ -99,7 +103,7 @@
   Handler& handler_;
   int fd_;
   bool connecting_ = false;
-  bool broken_ = false;
+  bool broken_ = false;         // a socket operation failed; the loop will report it through OnClosed
   bool send_shutdown_ = false;  // ShutdownSending was called: nothing more is sent or read
   bool prioritized_ = false;
   proto::RingBuffer in_, out_;
@@ -116,19 +120,19 @@
   // replaced. If another process still accepts connections there, or the file is not a socket, throws
   // std::system_error and changes nothing.
   Listener(Loop& loop, const std::string& path, AcceptHandler accept_handler);
-  // Listens on a duplicate of a listening socket that is owned by someone else. Throws std::system_error if
-  // `fd` is not a listening socket.
+  // Listens on a duplicate of a listening socket; the caller keeps `fd`. Throws std::system_error if `fd` is
+  // not a listening socket.
   Listener(Loop& loop, int fd, AcceptHandler accept_handler);
-  // Performs only that check. Throws std::system_error.
+  // Throws std::system_error if `fd` is not a listening socket.
   static void CheckListening(int fd);
   ~Listener() { Close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // As Connection::Prioritize.
+  // Makes the loop serve this listener before all other sockets, like Connection::Prioritize.
   void Prioritize();
   void Pause() { io_.stop(); }
-  // Accepts up to `max_count` clients that have already connected: Close would reset them.
+  // Accepts up to `max_count` clients that have already connected, because Close would reset them.
   void AcceptPending(int max_count);
   void Resume();
   void Close();
@@ -140,7 +144,7 @@
 
   int fd_;
   std::string path_;  // of a Unix-domain socket; the file is removed by Close
-  int spare_fd_;      // closed briefly when descriptors run out, to accept and then close a waiting client
+  int spare_fd_;      // closed temporarily when descriptors run out, to accept and close a waiting client
   AcceptHandler accept_handler_;
   ev::io io_;
 };
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -8,10 +8,10 @@
 namespace oxbowspread::net {
 namespace {
 Time ReadClock(clockid_t clock) {
-  timespec t{};
-  clock_gettime(clock, &t);
-  return std::chrono::seconds(t.tv_sec) +
-         std::chrono::duration_cast<Time>(std::chrono::nanoseconds(t.tv_nsec));
+  timespec now{};
+  clock_gettime(clock, &now);
+  return std::chrono::seconds(now.tv_sec) +
+         std::chrono::duration_cast<Time>(std::chrono::nanoseconds(now.tv_nsec));
 }
 void ChangeSignalMask(int how, int signal_number) {
   sigset_t signals;
@@ -59,7 +59,7 @@
 
 void Timer::Start(Time delay) {
   timer_.stop();
-  ev_now_update(loop_);  // libev measures from its last poll, which is in the past after a long callback
+  ev_now_update(loop_);  // libev counts from its last poll, which is in the past after a long callback
   timer_.start(std::max(0.0, static_cast<double>(delay.count()) * 1e-6), 0);
 }
 
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -15,21 +15,21 @@
 
 using Time = std::chrono::microseconds;
 
-// The event loop; one for each thread. Must outlive all timers, signal watchers and sockets that use it.
+// The event loop. A thread has at most one. Must outlive all timers, signal watchers and sockets that use it.
 class Loop {
  public:
   Loop();
   ev::loop_ref ref() { return loop_; }
   void Run() { loop_.run(0); }
   void Stop() { loop_.break_loop(ev::ALL); }
-  // From now on polls the sockets at least every ArrivalBound::kPollInterval, even when the loop is idle.
+  // Makes the loop poll the sockets at least every ArrivalBound::kPollInterval, even when it is idle.
   void StartPeriodicPolling();
-  // Lower bound for the arrival time of all bytes read in this round of the loop. Only meaningful after
-  // StartPeriodicPolling.
+  // Returns a lower bound for the arrival time of all bytes read in this round of the loop. Only meaningful
+  // after StartPeriodicPolling.
   Time earliest_arrival() const { return arrivals_.earliest(); }
 
-  static Time Now();      // monotonic
-  static Time UnixNow();  // wall clock, for times that outlive the process
+  static Time Now();      // monotonic clock
+  static Time UnixNow();  // wall clock, for times that are used across restarts of the process
 
   // Takes ownership and destroys the object once no callback is running.
   template <typename T>
@@ -50,9 +50,10 @@
   std::vector<std::shared_ptr<void>> awaiting_destruction_;
 };
 
-// One-shot timer; setting it again replaces the earlier time. A timer that fires more than kLateThreshold
-// late, for example after a stall, waits for one more poll of the sockets before it calls back: a signal can
-// end the loop's wait without reporting readable sockets, and received bytes must be handled before timeouts.
+// One-shot timer. Setting it again replaces the earlier time. A timer that fires more than kLateThreshold
+// late, for example after a stall, waits for one more poll of the sockets before it calls back. The reason is
+// that a signal can end the loop's wait without reporting readable sockets, and received bytes must be
+// handled before timeouts.
 class Timer {
  public:
   static constexpr Time kLateThreshold{20'000};
@@ -69,7 +70,7 @@
   void Start(Time delay);
 
   Time due_at_{0};
-  bool polled_since_due_ = false;  // the loop has polled its sockets since this timer was found to be late
+  bool polled_since_due_ = false;  // this timer has fired late and waits for one more poll of the sockets
   ev::timer timer_;
   ev::loop_ref loop_;
   std::function<void()> callback_;
@@ -83,8 +84,8 @@
   ~Signal() { Block(signal_number_); }
   Signal(const Signal&) = delete;
   Signal& operator=(const Signal&) = delete;
-  // Blocks the signal until a watcher for it is created; meanwhile it stays pending and does not kill the
-  // program.
+  // Blocks the signal until a watcher for it is created. Until then a signal stays pending and does not kill
+  // the program.
   static void Block(int signal_number);
 
  private:
--- a/src/proto/http.cpp
+++ b/src/proto/http.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMaxStatusLineBytes = 256;
 
-// Returns the status code of a line like "HTTP/1.1 200 OK", with any reason phrase; 0 if it is malformed.
+// Returns the status code of a line like "HTTP/1.1 200 OK", whatever its reason phrase; 0 if it is malformed.
 int ParseStatusLine(std::string_view line) {
   constexpr std::string_view kVersion = "HTTP/1.";
   if (line.size() < 12 || line.substr(0, kVersion.size()) != kVersion || line[8] != ' ') return 0;
@@ -136,7 +136,7 @@
 }
 
 int HttpResponseParser::OnMessageComplete(http_parser* parser) {
-  // Pauses here: the bytes that follow belong to the next response, or to none.
+  // Pauses the parser, because the bytes that follow do not belong to this response.
   ParserOf(parser).keep_alive_ = http_should_keep_alive(parser) != 0;
   http_parser_pause(parser, 1);
   return 0;
--- a/src/proto/http.hpp
+++ b/src/proto/http.hpp
@@ -1,4 +1,4 @@
-// Incremental parser of HTTP/1.1 responses, built on http-parser. Does no I/O.
+// Incremental parser of HTTP/1.1 responses, built on http-parser. Performs no I/O.
 #pragma once
 
 #include <http_parser.h>
@@ -14,23 +14,25 @@
 // Status and headers of a response.
 struct HttpResponseHead {
   int status = 0;
-  std::uint64_t content_length = 0;            // from the Content-Length header; 0 without it
+  std::uint64_t content_length = 0;            // from the Content-Length header; 0 if there is none
   std::map<std::string, std::string> headers;  // names in lower case
 
-  // The value of the header with that lower-case name; null without it.
+  // Returns the value of the header with that lower-case name, or null if there is none.
   const std::string* Find(const std::string& name) const;
 };
 
-// Is fed bytes and reports one response at a time to its handler, which must outlive it.
+// Parses one response at a time from the bytes passed to Feed, and reports it to the handler, which must
+// outlive the parser.
 class HttpResponseParser {
  public:
   enum class State { kIncomplete, kComplete, kInvalid };
 
-  // Called from Feed and Finish.
+  // Receives the parts of a response. Called from Feed and Finish.
   class Handler {
    public:
     virtual ~Handler() = default;
-    // Interim responses (1xx) are skipped; only the final response is reported.
+    // Called when all headers have arrived. Interim responses (1xx) are skipped; only the final response is
+    // reported.
     virtual void OnHead(const HttpResponseHead& head) = 0;
     virtual void OnBody(std::string_view bytes) = 0;
     virtual void OnComplete(bool keep_alive) = 0;
@@ -43,15 +45,15 @@
 
   // Prepares for the next response on the same connection.
   void Reset();
-  // Consumes bytes up to the end of the response, or until it is invalid; returns the number consumed.
+  // Consumes bytes until the response is complete or invalid. Returns the number of bytes consumed.
   std::size_t Feed(std::string_view bytes);
   State state() const { return state_; }
-  // The status code of a complete status line, even if the rest of the response is invalid; 0 before the line
-  // is complete, and if it is malformed.
+  // Returns the status code of a complete status line, even if the rest of the response is invalid. Returns 0
+  // if the line is incomplete or malformed.
   int status_line_code() const { return status_line_code_; }
-  // Whether nothing of the final response has arrived, except perhaps complete interim responses.
+  // Returns whether no byte of the next response has arrived; complete interim responses do not count.
   bool at_start() const { return state_ == State::kIncomplete && status_line_.empty(); }
-  // Call when the connection was closed: that completes a response without a length.
+  // Must be called when the connection was closed, which completes a response without a length.
   void Finish();
 
  private:
@@ -74,7 +76,7 @@
   http_parser parser_;
   http_parser_settings callbacks_;
   State state_ = State::kIncomplete;
-  std::uint64_t consumed_ = 0;  // bytes of this response and of the interim ones before it
+  std::uint64_t consumed_ = 0;  // bytes of this response and of the interim responses before it
   HttpResponseHead head_;
   std::string status_line_, header_name_, header_value_;
   int status_line_code_ = 0;
--- a/src/proto/resp.cpp
+++ b/src/proto/resp.cpp
@@ -6,7 +6,7 @@
 
 namespace oxbowspread::proto {
 namespace {
-constexpr std::size_t kMaxLineBytes = 24;
+constexpr std::size_t kMaxLineBytes = 24;  // of a line with a count or a length
 }  // namespace
 
 std::size_t RespParser::Feed(std::string_view bytes) {
@@ -51,9 +51,9 @@
     step_ = argument_length_ > 0 ? Step::kBulkBytes : Step::kBulkEnd;
   } else {
     if (!line_.empty()) return Fail("bulk string without its end");
-    const bool complete = command_.size() == argument_count_;
-    step_ = complete ? Step::kArrayHeader : Step::kBulkLength;
-    if (complete) state_ = State::kCommand;
+    const bool is_complete = command_.size() == argument_count_;
+    step_ = is_complete ? Step::kArrayHeader : Step::kBulkLength;
+    if (is_complete) state_ = State::kCommand;
   }
   line_.clear();
 }
@@ -77,8 +77,8 @@
   if (step_ == Step::kArrayHeader) return line_;
   bytes = "*" + std::to_string(argument_count_) + "\r\n";
   for (std::size_t i = 0; i < command_.size(); ++i) {
-    const bool last = i + 1 == command_.size() && step_ != Step::kBulkLength;
-    if (!last) {
+    const bool is_partial = i + 1 == command_.size() && step_ != Step::kBulkLength;
+    if (!is_partial) {
       bytes += RespBulk(command_[i]);
     } else {
       bytes += "$" + std::to_string(argument_length_) + "\r\n" + command_[i];
--- a/src/proto/resp.hpp
+++ b/src/proto/resp.hpp
@@ -1,4 +1,4 @@
-// Incremental parser of RESP2 commands, and the encoding of replies. Does no I/O.
+// Incremental parser of RESP2 commands, and the encoding of replies. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace oxbowspread::proto {
 
-// Is fed bytes and yields one command, an array of bulk strings, at a time.
+// Parses one command at a time from the bytes passed to Feed. A command is an array of bulk strings.
 class RespParser {
  public:
   enum class State { kIncomplete, kCommand, kInvalid };
@@ -17,16 +17,16 @@
   static constexpr std::size_t kMaxArgumentBytes = 64 * 1024;  // of one argument
   static constexpr std::size_t kMaxCommandBytes = kMaxArgumentBytes + 4096;
 
-  // Consumes bytes until a command is complete or the input is invalid; returns the number consumed.
+  // Consumes bytes until a command is complete or the input is invalid. Returns the number of bytes consumed.
   std::size_t Feed(std::string_view bytes);
   State state() const { return state_; }
-  // Whether no byte of the next command has arrived.
+  // Returns whether no byte of the next command has arrived.
   bool idle() const { return state_ == State::kIncomplete && step_ == Step::kArrayHeader && line_.empty(); }
-  // What is wrong with invalid input.
+  // Describes the error in invalid input; empty if there is none.
   const char* error() const { return error_; }
-  // The bytes of an incomplete command; feeding them to a new parser brings it to the same state.
+  // Returns the bytes of an incomplete command. A new parser that is fed these bytes has the same state.
   std::string PartialCommand() const;
-  // Returns the complete command; the next one may be fed afterwards.
+  // Returns the complete command and prepares the parser for the next one.
   std::vector<std::string> Take();
 
  private:
@@ -41,12 +41,12 @@
   const char* error_ = "";
   std::string line_;
   std::size_t argument_count_ = 0;   // of the current command
-  std::size_t argument_length_ = 0;  // of the current argument, bytes
-  std::size_t command_bytes_ = 0;    // of all arguments so far
+  std::size_t argument_length_ = 0;  // of the current argument, in bytes
+  std::size_t command_bytes_ = 0;    // total length of all arguments so far
   std::vector<std::string> command_;
 };
 
-// An error reply and a bulk string reply.
+// Encode an error reply and a bulk string reply.
 std::string RespError(std::string_view text);
 std::string RespBulk(std::string_view text);
 
--- a/src/proto/ring_buffer.cpp
+++ b/src/proto/ring_buffer.cpp
@@ -14,7 +14,8 @@
 void RingBuffer::Consume(std::size_t count) {
   size_ -= count;
   head_ = size_ == 0 ? 0 : (head_ + count) % bytes_.size();
-  // Hundreds of idle connections must not each keep memory for their largest body.
+  // Frees the memory, because hundreds of idle connections must not each keep as much as their largest body
+  // needed.
   if (size_ == 0 && bytes_.size() > kInitialCapacity) std::vector<char>().swap(bytes_);
 }
 
--- a/src/proto/ring_buffer.hpp
+++ b/src/proto/ring_buffer.hpp
@@ -1,4 +1,4 @@
-// Ring buffer of bytes that grows on demand up to a limit; a connection has one for each direction.
+// Ring buffer of bytes. A connection has one for each direction.
 #pragma once
 
 #include <cstddef>
@@ -9,6 +9,8 @@
 
 namespace oxbowspread::proto {
 
+// First-in, first-out buffer that grows on demand up to a limit in bytes. It frees its memory when it becomes
+// empty after having grown.
 class RingBuffer {
  public:
   explicit RingBuffer(std::size_t limit) : limit_(limit) {}
@@ -17,17 +19,18 @@
   bool empty() const { return size_ == 0; }
   bool full() const { return size_ >= limit_; }
 
-  // The longest contiguous run of bytes at the front; valid until the buffer changes.
+  // Returns the longest contiguous run of bytes at the front. It is valid until the buffer changes.
   std::string_view Front() const;
-  // Removes `count` bytes from the front; at most size().
+  // Removes `count` bytes from the front. `count` must be at most size().
   void Consume(std::size_t count);
-  std::string Contents() const;  // a copy of all bytes; consumes nothing
+  std::string Contents() const;  // returns a copy of all bytes; consumes nothing
 
-  // Contiguous free space at the back; empty when the limit is reached. Commit adds the bytes written to it.
+  // Returns contiguous free space at the back; empty when the limit is reached.
   std::span<char> WritableSpan();
+  // Appends `count` bytes that were written to the start of the WritableSpan.
   void Commit(std::size_t count) { size_ += count; }
 
-  // Appends all bytes, or none and returns false if they would exceed the limit.
+  // Appends all bytes. If they would exceed the limit, appends nothing and returns false.
   bool Append(std::string_view bytes);
 
  private:
