--- a/src/journal/entry.hpp
+++ b/src/journal/entry.hpp
@@ -1,4 +1,4 @@
-// The journal entry of an accepted message. Times are in microseconds of Unix time.
+// The journal entry of an accepted message. Times are in microseconds, points in time in Unix time.
 #pragma once
 
 #include <chrono>
@@ -17,18 +17,19 @@
   std::string id;
   std::string key;         // idempotency key; empty if there is none
   std::string class_name;  // name of the class in the settings
-  // The class as it was when the message was accepted; empty if the record was written by an early version.
+  // The class as it was when the message was accepted; empty if an early version, which did not store it,
+  // wrote the record.
   std::optional<wheathub::MessageClass> class_settings;
   std::int64_t destination = 0;
   Time deadline{0};          // Unix time
-  bool resubmitted = false;  // the client may have submitted it before
+  bool resubmitted = false;  // the client may have submitted the message before
   std::string body;
 };
 
 // How an undelivered message has ended. The platform is notified until it answers with status 204.
 struct Ending {
-  bool deferred = false;  // otherwise undeliverable
-  std::int64_t retry_after_ms = 0;
+  bool deferred = false;            // never ran, may be submitted again; if false: undeliverable
+  std::int64_t retry_after_ms = 0;  // suggested wait before that, if deferred; 0 means no advice
 };
 
 // One attempt of a message.
@@ -41,11 +42,11 @@
 // An open message with the history of its attempts.
 struct Entry {
   Message message;
-  int attempts = 0;  // number of attempts started, including one in flight
-  std::optional<Attempt> open_attempt;
+  int attempts = 0;                        // number of attempts begun, including one in flight
+  std::optional<Attempt> open_attempt;     // the attempt in flight
   std::optional<Attempt> first_uncertain;  // the first attempt that may have run the message at the endpoint
-  std::string last_host;
-  std::optional<Ending> ending;
+  std::string last_host;                   // host of the last attempt; empty if there is none
+  std::optional<Ending> ending;  // present if the message has ended and its notice is not accepted yet
 
   void BeginAttempt(const Attempt& attempt) {
     ++attempts;
--- a/src/journal/folder_lock.cpp
+++ b/src/journal/folder_lock.cpp
@@ -33,8 +33,8 @@
   if (fd_ >= 0) close(std::exchange(fd_, -1));
 }
 
-// A line of /proc/locks (see proc(5)) looks like "1: FLOCK  ADVISORY  WRITE 708 08:02:131090 0 EOF", with the
-// device in hexadecimal and the inode in decimal.
+// A line of /proc/locks (see proc(5)) looks like "1: FLOCK  ADVISORY  WRITE 708 08:02:131090 0 EOF". The
+// device is in hexadecimal and the inode in decimal.
 std::optional<pid_t> FolderLock::HolderOf(const std::string& folder) {
   struct stat folder_stat {};
   if (stat(folder.c_str(), &folder_stat) != 0) return std::nullopt;
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -24,14 +24,15 @@
   kHostIncluded
 };
 
-constexpr std::size_t kFrameBytes = 8;
+constexpr std::size_t kFrameBytes = 8;                // length and checksum before each payload
 constexpr std::size_t kMaxPayloadBytes = 256 * 1024;  // a greater length means a corrupt record
-// Upper bound of the records of one message, without its body.
+// Upper bound for the total size of the records of one message, without its body.
 constexpr std::size_t kMaxEntryOverheadBytes = 560;
-// While the file is rewritten, the old and the new one exist together and both count against the budget: 0.45
-// + 0.45 of it.
+// Maximum share of the budget for one file. While the file is rewritten, the old and the new one exist at the
+// same time, so both count: 0.45 + 0.45 of the budget.
 constexpr double kMaxFileShare = 0.45;
-// Less than kMaxFileShare, otherwise a full journal would be rewritten at every append.
+// Maximum share of the budget for open messages. It is less than kMaxFileShare, because otherwise a full
+// journal would be rewritten at every append.
 constexpr double kMaxLiveShare = 0.38;
 
 // Serializes the payload of a record.
@@ -66,7 +67,7 @@
   std::string bytes_;
 };
 
-// Parses the payload of a record. Once a read goes past the end, valid() is false and the values are
+// Parses the payload of a record. After a read beyond the end, valid() is false and the values are
 // meaningless.
 class RecordReader {
  public:
@@ -133,7 +134,7 @@
       .Put(message.destination)
       .Put(message.deadline.count());
   writer.Put(static_cast<std::uint8_t>(message.resubmitted)).Put(message.body);
-  // A rewritten file carries the history of the message in this record; the open attempt follows as a
+  // In a rewritten file this record contains the history of the message. The open attempt follows as a
   // separate record.
   writer.Put(std::int32_t{entry.attempts - (entry.open_attempt ? 1 : 0)}).Put(entry.last_host);
   writer.Put(static_cast<std::uint8_t>(entry.first_uncertain.has_value()))
@@ -210,7 +211,8 @@
     if (Checksum(payload) != header[1] || !Apply(payload)) break;
     offset += kFrameBytes + header[0];
   }
-  // The process was killed during a write: nothing relied on what follows the last complete record.
+  // The process was killed during a write. No action was based on the incomplete record after the last
+  // complete one.
   truncated_bytes_ = bytes.size() - offset;
   if (truncated_bytes_ > 0 && ftruncate(fd_, static_cast<off_t>(offset)) != 0)
     ThrowSystemError("can't truncate " + path_);
@@ -302,15 +304,15 @@
 
 bool Journal::Append(const std::string& payload) {
   if (fd_ < 0) return false;  // the journal was released
-  const std::size_t after = file_bytes_ + kFrameBytes + payload.size();
-  if (static_cast<double>(after) > kMaxFileShare * static_cast<double>(budget_bytes_)) Compact();
+  const std::size_t new_file_bytes = file_bytes_ + kFrameBytes + payload.size();
+  if (static_cast<double>(new_file_bytes) > kMaxFileShare * static_cast<double>(budget_bytes_)) Compact();
   if (WriteRecord(fd_, payload, &file_bytes_)) return true;
-  // A full disk may have stored part of the record: nothing may be appended behind that.
+  // If the disk is full, part of the record may have been written. It must be cut off before the next append.
   if (ftruncate(fd_, static_cast<off_t>(file_bytes_)) != 0) return false;
   return Compact() && WriteRecord(fd_, payload, &file_bytes_);
 }
 
-// Writes all open messages to a new file, which then replaces the old one atomically.
+// Writes all excluded hosts and open messages to a new file, which then replaces the old one atomically.
 bool Journal::Compact() {
   const int next_fd = open(next_path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
   std::size_t file_bytes = 0;
--- a/src/notice/notice.cpp
+++ b/src/notice/notice.cpp
@@ -10,9 +10,10 @@
 
 using namespace std::chrono_literals;
 
-// A notice counts as late 300 ms after its message's deadline, so an unanswered batch is sent again earlier.
+// A notice is late if it arrives more than 300 ms after the deadline of its message, so an unanswered batch
+// is sent again before that.
 constexpr net::Time kResponseTimeout = 200ms;
-constexpr net::Time kMinRetryDelay = 20ms;  // doubles with each retry
+constexpr net::Time kMinRetryDelay = 20ms;  // doubled after each retry, up to kMaxRetryDelay
 constexpr net::Time kMaxRetryDelay = 320ms;
 constexpr std::size_t kMaxBatchSize = 256;
 
@@ -40,8 +41,8 @@
   if (in_flight_.empty() && !send_timer_.active()) send_timer_.After(net::Time(0));
 }
 
-// The batch in flight may have been accepted at the old address. It is sent again nevertheless: a duplicate
-// notice does no harm, a lost one would.
+// The batch in flight may have been accepted at the old address. It is sent again nevertheless, because a
+// duplicate notice does no harm and a lost one would.
 void HttpNoticeSender::SetServer(const net::Address& address, std::string host) {
   address_ = address;
   host_ = std::move(host);
@@ -84,7 +85,7 @@
 
 void HttpNoticeSender::OnBytes(proto::RingBuffer& in) {
   while (!in.empty() && connection_ != nullptr) {
-    if (in_flight_.empty()) return Retry();  // bytes that belong to no request
+    if (in_flight_.empty()) return Retry();  // the bytes belong to no request
     in.Consume(parser_.Feed(in.Front()));
     if (parser_.state() == proto::HttpResponseParser::State::kInvalid) return Retry();
   }
--- a/src/notice/notice.hpp
+++ b/src/notice/notice.hpp
@@ -1,5 +1,5 @@
-// Sends notices about the end of undelivered messages to the platform over HTTP, and repeats each one until
-// the platform has accepted it.
+// Sends notices about the end of undelivered messages to the platform over HTTP, and repeats each notice
+// until the platform has accepted it.
 #pragma once
 
 #include <map>
@@ -24,7 +24,8 @@
   HttpNoticeSender(net::Loop& loop, const net::Address& address, std::string host, relay::Counters& counters);
   void Attach(relay::Relay& relay) { relay_ = &relay; }
 
-  // Changes the platform's address; pending and unanswered notices are sent to the new address at once.
+  // Changes the address of the platform. Pending and unanswered notices are sent to the new address
+  // immediately.
   void SetServer(const net::Address& address, std::string host);
   // Stops sending and drops all pending notices.
   void Stop();
@@ -50,14 +51,14 @@
   proto::HttpResponseParser parser_;
   std::unique_ptr<net::Connection> connection_;
   net::Time retry_delay_;
-  net::Timer send_timer_;                       // next batch or next retry
+  net::Timer send_timer_;                       // starts the next batch or retry
   net::Timer response_timer_;                   // response timeout of the batch in flight
   std::map<std::string, std::string> pending_;  // notice lines by message id
   std::vector<std::string> in_flight_;          // message ids in the batch in flight
   int status_ = 0;
 };
 
-// The notice as one line of JSON with its line end.
+// Returns the notice as one line of JSON, including the line end.
 std::string NoticeLine(const std::string& id, const journal::Ending& ending);
 
 }  // namespace oxbowspread::notice
