--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "config/shape.hpp"
+#include "config/validation.hpp"
 #include "wire.hpp"
 
 namespace oxbowspread::config {
@@ -26,7 +26,8 @@
   return *it;
 }
 
-// Reads limits.KEY, a whole or fractional number of `unit`, into *value. Keeps the default if it is absent.
+// Reads limits.KEY, which may be fractional, and stores it multiplied by `unit` in *value. Leaves *value
+// unchanged if the key is missing.
 void ReadLimit(const Json& limits, const char* key, double minimum, double unit, std::size_t* value) {
   const auto it = limits.find(key);
   if (it == limits.end()) return;
@@ -45,8 +46,8 @@
   if (it->is_number_unsigned()) return *it;
   const std::string text = TextAt(object, "seed");
   std::uint64_t seed = 0;
-  const auto [end, code] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-  if (code != std::errc() || end != text.data() + text.size()) {
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+  if (error != std::errc() || end != text.data() + text.size()) {
     throw Error("seed", "must be up to 16 hex digits, not '" + text + "'");
   }
   return seed;
@@ -64,22 +65,22 @@
   if (text != nullptr && *text != '\0') *value = text;
 }
 
-// Reads $ROUTER_LISTEN_FD; -1 if it is not set. Checks only that it is a descriptor number: whether that is a
-// listening socket is checked where it is used.
+// Returns $ROUTER_LISTEN_FD, or -1 if it is not set. Checks only that it is a descriptor number. The listener
+// checks that the descriptor is a listening socket.
 int ReadListenFd() {
   const char* text = std::getenv("ROUTER_LISTEN_FD");
   if (text == nullptr || *text == '\0') return -1;
   int fd = -1;
   const char* const end = text + std::string_view(text).size();
-  const auto [parsed_end, code] = std::from_chars(text, end, fd);
-  if (code != std::errc() || parsed_end != end || fd < 0) {
+  const auto [parsed_end, error] = std::from_chars(text, end, fd);
+  if (error != std::errc() || parsed_end != end || fd < 0) {
     throw Error("ROUTER_LISTEN_FD", "must be a descriptor's number, not '" + std::string(text) + "'");
   }
   return fd;
 }
 
-// Raises the process's descriptor limit to `sockets` where the system allows it, and otherwise lowers
-// `sockets` to the limit: the shares must be computed from the descriptors that are really available.
+// Raises the descriptor limit of the process to `sockets` if the system allows it. Otherwise lowers `sockets`
+// to the limit, because the shares must be computed from the number of descriptors that are available.
 void FitToDescriptorLimit(Config* config) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= config->sockets) return;
@@ -141,11 +142,12 @@
     throw Error("settings", e.what());
   }
   if (config.settings.tick.count() <= 0) config.settings.tick = std::chrono::milliseconds(5);
-  // A relay makes one call for each message and can't send probes, so the decision module must not plan
-  // with either, even where the settings allow it.
+  // A relay makes a separate call for each message and can't send probes. The decision module must use
+  // neither bundles nor probes, even if the settings allow them.
   config.settings.may_probe = false;
   for (auto& kind : config.settings.kinds) kind.bundle_max = 1;
-  // A goal beyond the deadline is met by every message that is delivered in time.
+  // Every message that is delivered before its deadline also meets a goal time beyond it, so the aim is
+  // limited to the deadline.
   for (auto& message_class : config.settings.classes)
     message_class.aim = std::min(message_class.aim, message_class.deadline);
   return config;
--- a/src/config/shape.cpp
+++ b/src/config/validation.cpp
@@ -1,4 +1,4 @@
-#include "config/shape.hpp"
+#include "config/validation.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -18,8 +18,8 @@
 constexpr double kMaxAttempts = 1000;
 constexpr double kMaxWholeNumber = 1e9;
 
-// Keys that may be absent from a reloaded file: those that change with each start, and those that only some
-// message semantics need.
+// Keys that may be missing in a reloaded file: those that change with each start, and those that only some
+// message semantics require.
 const std::set<std::string> kOptionalKeys = {"known", "seed", "settings.services.key-scope",
                                              "settings.services.repeat-window-s",
                                              "settings.services.one-at-a-time"};
@@ -31,7 +31,7 @@
     throw Error(path, "must be a " + TypeName(running) + ", not " + next.dump());
   if (running.is_array() && !running.empty() && running.front().is_object()) {
     // Each element must have all keys of the first element of the running array.
-    for (const Json& item : next) CompareStructure(path, running.front(), item);
+    for (const Json& element : next) CompareStructure(path, running.front(), element);
   }
   if (!running.is_object()) return;
   for (const auto& [key, value] : running.items()) {
@@ -43,7 +43,8 @@
   }
 }
 
-// The type of a value in the settings. Keys without a type here are not checked.
+// The type of a value in the settings. Keys that are not listed in CheckSettings or CheckClass are not
+// checked.
 enum class ValueType {
   kAnyNumber,
   kNonNegative,
@@ -69,8 +70,8 @@
 }
 
 void CheckValue(const std::string& path, const Json& value, ValueType type) {
-  const auto require = [&](bool good, const char* what) {
-    if (!good) throw Error(path, std::string("must be ") + what + ", not " + value.dump());
+  const auto require = [&](bool is_valid, const char* expected) {
+    if (!is_valid) throw Error(path, std::string("must be ") + expected + ", not " + value.dump());
   };
   switch (type) {
     case ValueType::kAnyNumber:
