--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -1,5 +1,5 @@
-// oxbowspread: one relay process. Creates the components, connects them and runs them through the phases from
-// start to exit.
+// The program oxbowspread: one relay process. Creates and connects the components, and runs them through the
+// phases from start to exit.
 #include <unistd.h>
 
 #include <algorithm>
@@ -40,24 +40,25 @@
 using relay::kPollInterval;
 using relay::kStopSendingAfter;
 constexpr net::Time kPausedCheckInterval = 100ms;
-// A new process must be ready 6 s after its start; the old one may need a moment before it can hand over.
+// A new process must be ready 6 s after its start, and the old process may need some time before it can hand
+// over.
 constexpr handover::Timeout kTakeoverTimeout = 5s;
 
 static_assert(config::Config::kManagementDescriptors == management::ManagementServer::kDescriptors,
               "the configuration must reserve as many descriptors as the management listener uses");
 
-// Exit codes, besides 1 for any other failure to start.
+// Exit codes. Any other failure to start has exit code 1.
 using apps::kExitBadInput;
 constexpr int kExitFolderLocked = 3;  // another process has locked the state folder
 
 // Command-line options, all optional.
 struct Options {
-  char** argv = nullptr;  // as passed to main, for a restart in place
+  char** argv = nullptr;  // as passed to main, for a restart with execv
   std::string control;    // path of the control socket; empty: none
-  std::string stamp;      // opaque; returned by `status`, so that whoever started the process can identify it
+  std::string stamp;      // opaque text that `status` returns, so that the caller can identify this process
 };
 
-// Clock and wake-up timer of the relay core, on the event loop.
+// Implements the clock and wake-up timer of the relay core on the event loop.
 class LoopClock final : public relay::Clock {
  public:
   explicit LoopClock(net::Loop& loop) : timer_(loop, [this] { relay_->ProcessEvents(); }) {}
@@ -71,41 +72,44 @@
   relay::Relay* relay_ = nullptr;
 };
 
+// Parses the address that `key` of the configuration contains. Throws config::Error if it is invalid.
 net::Address RequireAddress(const char* key, const std::string& text) {
   const auto address = net::ParseAddress(text);
   if (!address) throw config::Error(key, "must be an IPv4 address and port, not '" + text + "'");
   return *address;
 }
 
-// The relay process: owns all components and reacts to phases, signals and operators.
-class Program final : public handover::HandoverSender::Owner {
+// Owns all components of the relay process and handles phase changes, signals and operator commands.
+class RelayProcess final : public handover::HandoverSender::Owner {
  public:
-  Program(const config::Config& config, Options options, handover::StartupState start)
+  RelayProcess(const config::Config& config, Options options, handover::StartupState startup_state)
       : config_(config),
         options_(std::move(options)),
-        start_(std::move(start)),
+        startup_state_(std::move(startup_state)),
         phases_([this](Phase phase) { OnPhase(phase); }),
         discovery_address_(RequireAddress("discovery", config.discovery)),
-        journal_(config.state, config.disk_bytes, start_.InFlightIds()),
+        journal_(config.state, config.disk_bytes, startup_state_.InFlightIds()),
         clock_(loop_),
-        endpoints_(loop_, PoolLimitsOf(config), counters_),
-        attempts_(
-            loop_, endpoints_,
-            [this](const std::string& host, relay::Time wait) { endpoints_.RecordRetryAfter(host, wait); },
-            [this](const std::string& word, const std::string& argument) {
-              return HandleManagementCommand({word, argument}).value_or("");
+        endpoint_pool_(loop_, PoolLimitsOf(config), counters_),
+        transport_(
+            loop_, endpoint_pool_,
+            [this](const std::string& host, relay::Time wait) {
+              endpoint_pool_.RecordRetryAfter(host, wait);
+            },
+            [this](const std::string& name, const std::string& argument) {
+              return HandleManagementCommand({name, argument}).value_or("");
             }),
         discovery_(loop_, {discovery_address_, config.discovery}, NamesOf(config), counters_),
         notices_(loop_, discovery_address_, config.discovery, counters_),
-        relay_(config.settings, config.seed, journal_, {clock_, attempts_, notices_}, counters_),
+        relay_(config.settings, config.seed, journal_, {clock_, transport_, notices_}, counters_),
         terminate_signal_(loop_, SIGTERM, [this] { OnTerminate(); }),
         interrupt_signal_(loop_, SIGINT, [this] { OnTerminate(); }),
         report_signal_(loop_, SIGUSR1, [this] { PrintCounters(); }),
         reload_signal_(loop_, SIGHUP, [this] { Reload(); }),
         progress_timer_(loop_, [this] { CheckProgress(); }) {
     clock_.Attach(relay_);
-    endpoints_.Attach(relay_);
-    attempts_.Attach(relay_);
+    endpoint_pool_.Attach(relay_);
+    transport_.Attach(relay_);
     discovery_.Attach(relay_);
     notices_.Attach(relay_);
     counters_.journal_cut_bytes = journal_.truncated_bytes();
@@ -151,7 +155,8 @@
   }
 
   void OnPhase(Phase phase) {
-    // Whoever reads "serving" in the log connects, so kServing logs it only once the listener is open.
+    // Other processes connect once the log contains "serving", so kServing is logged below, after the
+    // listener is open.
     if (phase != Phase::kServing) std::cout << config_.name << ": " << relay::NameOf(phase) << std::endl;
     switch (phase) {
       case Phase::kStarting:
@@ -161,17 +166,19 @@
                                               .value_or(routing::HostList())
                                               .change;
         last_known.scope = wheathub::ListScope::kRemembered;
-        const bool takes_over = start_.channel.has_value();
-        discovery_.SetKnownRevision(takes_over ? start_.state.routing_table.revision : last_known.revision);
-        if (takes_over) attempts_.TakeOver(std::move(*start_.channel), start_.state.in_flight);
-        relay_.Recover(last_known, takes_over ? &start_.state : nullptr);
-        endpoints_.RestoreWaits(start_.state);
+        const bool is_takeover = startup_state_.channel.has_value();
+        discovery_.SetKnownRevision(is_takeover ? startup_state_.state.routing_table.revision
+                                                : last_known.revision);
+        if (is_takeover)
+          transport_.TakeOver(std::move(*startup_state_.channel), startup_state_.state.in_flight);
+        relay_.Recover(last_known, is_takeover ? &startup_state_.state : nullptr);
+        endpoint_pool_.RestoreWaits(startup_state_.state);
         std::optional<wheathub::ListLease::Inherited> lease;
-        if (takes_over) lease = {start_.state.list_valid_until};
+        if (is_takeover) lease = {startup_state_.state.list_valid_until};
         discovery_.Start(ListOptionsOf(config_), ~config_.seed, lease);
-        if (takes_over) {
-          std::cout << config_.name << ": took over " << start_.clients.size() << " clients and "
-                    << start_.state.in_flight.size() << " attempts that go on in the old process"
+        if (is_takeover) {
+          std::cout << config_.name << ": took over " << startup_state_.clients.size() << " clients and "
+                    << startup_state_.state.in_flight.size() << " attempts that continue in the old process"
                     << std::endl;
         }
         std::cout << config_.name << ": " << counters_.recovered << " messages and "
@@ -180,14 +187,15 @@
         break;
       }
       case Phase::kServing:
-        // Opened only now: a client that can connect is answered, and PONG must mean that the relay is ready.
+        // The listener is opened only now, because a client that can connect is answered, and the answer PONG
+        // must mean that the relay is ready.
         if (clients_) {
           clients_->StartListening();
         } else {
           clients_.emplace(loop_, RequireAddress("listen", config_.listen), config_.listen_fd,
                            config_.max_clients(), relay_, counters_, [this] { return CountersText(); });
-          for (const client::ClientState& client : start_.clients) clients_->RestoreClient(client);
-          start_.clients.clear();
+          for (const client::ClientState& client : startup_state_.clients) clients_->RestoreClient(client);
+          startup_state_.clients.clear();
           if (config_.listen_fd >= 0) OfferHandover();
         }
         std::cout << config_.name << ": " << relay::NameOf(phase) << std::endl;
@@ -212,9 +220,9 @@
     }
   }
 
-  // Periodic check after SIGTERM and during an operator's drain: closes the listener, then stops new
-  // attempts, then ends the process. Once no work is left and clients are quiet, the later steps follow
-  // without waiting.
+  // Runs periodically after SIGTERM and during an operator's drain. Closes the listener, then stops new
+  // attempts, then ends the process. Once no work is left and clients have been idle for kKeepAccepting, the
+  // remaining steps follow without their delays.
   void CheckProgress() {
     if (phases_.current() == Phase::kServing) return;  // resumed
     if (phases_.current() == Phase::kHandedOver) return CheckHandedOver();
@@ -223,33 +231,35 @@
     if (!std::exchange(listener_closed_, true)) clients_->StopListening();
     if (phases_.current() == Phase::kPaused) return CheckPaused(elapsed);
     const net::Time idle_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
-    const bool empty = relay_.done() && relay_.in_flight() == 0 && idle_time >= kKeepAccepting;
-    if (empty || elapsed >= kStopSendingAfter) phases_.Enter(Phase::kSettling);
-    // Waits until all clients have disconnected, at most until kExitAfter: requests that they have begun are
-    // still answered, and the answers are still written.
-    const bool settled =
+    const bool is_idle = relay_.done() && relay_.in_flight() == 0 && idle_time >= kKeepAccepting;
+    if (is_idle || elapsed >= kStopSendingAfter) phases_.Enter(Phase::kSettling);
+    // Waits until all clients have disconnected, at most until kExitAfter, so that requests that have begun
+    // are still answered and the answers are written.
+    const bool is_settled =
         phases_.current() == Phase::kSettling && relay_.in_flight() == 0 && clients_->clients() == 0;
-    if (settled || elapsed >= kExitAfter) return FinishAndStop();
+    if (is_settled || elapsed >= kExitAfter) return FinishAndStop();
     progress_timer_.After(kPollInterval);
   }
 
-  // Ends the process. Reads endpoint answers that have already arrived, so that they are recorded: after the
-  // process was suspended, timers run before reads.
+  // Ends the process. First reads the endpoint responses that have already arrived, so that they are
+  // recorded. They may still be unread, because timers run before reads after the process was suspended.
   void FinishAndStop() {
-    endpoints_.ReadNow();
+    endpoint_pool_.ReadNow();
     phases_.Enter(Phase::kStopped);
   }
 
-  // An operator's drain: clients are disconnected as before an exit, but held messages keep their full time.
+  // Check during an operator's drain. Clients are disconnected as before an exit, but held messages keep
+  // their full deadline.
   void CheckPaused(net::Time elapsed) {
     const net::Time idle_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
     if (elapsed >= kStopSendingAfter || idle_time >= kKeepAccepting) {
       clients_closing_ = true;
-      clients_->CloseWhenIdle();  // repeated: a client that was waiting for an answer may be idle by now
+      // Repeated at each check, because a client that was awaiting an answer may be idle now.
+      clients_->CloseWhenIdle();
     }
     progress_timer_.After(kPausedCheckInterval);
   }
-  // Whether a drain is complete: no client can hand in messages, and no work is left.
+  // Returns whether a drain is complete: no client can submit messages, and no work is left.
   bool settled() const {
     return phases_.current() == Phase::kPaused && clients_closing_ && clients_->clients() == 0 &&
            relay_.done() && relay_.in_flight() == 0;
@@ -257,7 +267,7 @@
 
   // ---- handover to the next process ----
 
-  // Lets another process ask for a handover. If that fails, the relay serves without it.
+  // Allows another process to request a handover. If that fails, the relay runs without this feature.
   void OfferHandover() {
     try {
       handover_.emplace(loop_, config_.state, *this);
@@ -271,75 +281,79 @@
   }
   relay::HandoverState PrepareHandover() override {
     relay::HandoverState handover_state = relay_.PrepareHandover();
-    handover_state.host_waits = endpoints_.HostWaits();
-    handover_state.address_waits = endpoints_.AddressWaits();
+    handover_state.host_waits = endpoint_pool_.HostWaits();
+    handover_state.address_waits = endpoint_pool_.AddressWaits();
     handover_state.list_valid_until = discovery_.list_valid_until();
     return handover_state;
   }
   std::vector<client::ClientState> Clients() const override { return clients_->ExportState(); }
-  int LockFd() const override { return start_.lock->fd(); }
+  int LockFd() const override { return startup_state_.lock->fd(); }
   void CompleteHandover() override {
-    relay_.CompleteHandover([this](const std::string& id, const relay::AttemptResult& end) {
-      handover_->SendAttemptEnded(id, end);
+    relay_.CompleteHandover([this](const std::string& id, const relay::AttemptResult& result) {
+      handover_->SendAttemptEnded(id, result);
     });
     clients_.reset();
     discovery_.Stop();
     notices_.Stop();
-    endpoints_.CloseAllIdle();
+    endpoint_pool_.CloseAllIdle();
     control_server_.reset();
-    start_.lock->Release();
+    startup_state_.lock->Release();
     phases_.Enter(Phase::kHandedOver);
   }
   void CancelAttempt(const std::string& id) override { relay_.CancelHandedOver(id); }
-  // The process that took over has exited, so nobody serves. Restarts this process from the journal, unless
-  // the platform has asked it to end.
+  // Called when the process that took over has exited, so that no process serves. Restarts this process from
+  // the journal, unless it has received SIGTERM or SIGINT.
   void OnReceiverLost() override {
     if (exit_deadline_ > net::Time(0)) return;
     std::cerr << config_.name << ": the process that took over has exited: starting anew" << std::endl;
     execv("/proc/self/exe", options_.argv);
-    std::cerr << config_.name << ": cannot start anew from /proc/self/exe" << std::endl;
+    std::cerr << config_.name << ": cannot execute /proc/self/exe" << std::endl;
     phases_.Enter(Phase::kStopped);
   }
-  // On SIGTERM or SIGINT. After a handover, only the attempts that are still pending here delay the exit.
+  // Handles SIGTERM and SIGINT. After a handover, only the attempts that are still in flight here delay the
+  // exit.
   void OnTerminate() {
     if (phases_.current() == Phase::kHandedOver && exit_deadline_ == net::Time(0))
       exit_deadline_ = net::Loop::Now() + kExitAfter;
     phases_.Enter(Phase::kDraining);
   }
   void CheckHandedOver() {
-    const bool late = exit_deadline_ > net::Time(0) && net::Loop::Now() >= exit_deadline_;
-    if (late || relay_.in_flight() == 0) return FinishAndStop();
+    const bool is_overdue = exit_deadline_ > net::Time(0) && net::Loop::Now() >= exit_deadline_;
+    if (is_overdue || relay_.in_flight() == 0) return FinishAndStop();
     progress_timer_.After(kPollInterval);
   }
 
   // ---- management commands ----
 
+  // Returns an empty value if the command succeeded, otherwise the error.
   std::optional<std::string> HandleManagementCommand(const management::Command& command) {
-    const bool takes_host = command.name == "exclude" || command.name == "include";
-    if (command.name != "readyz" && !takes_host)
+    const bool needs_host = command.name == "exclude" || command.name == "include";
+    if (command.name != "readyz" && !needs_host)
       return "no call " + command.name + ": readyz, exclude ID, include ID";
-    if (takes_host == command.argument.empty())
-      return command.name + (takes_host ? " takes a host's id" : " takes nothing");
-    if (!takes_host) {
+    if (needs_host == command.argument.empty())
+      return command.name + (needs_host ? " takes a host's id" : " takes nothing");
+    if (!needs_host) {
       if (phases_.current() == Phase::kServing) return std::nullopt;
       return std::string(relay::NameOf(phases_.current()));
     }
     if (phases_.current() == Phase::kHandedOver)
       return handover_->ForwardCommand(command.name, command.argument);
-    const bool excludes = command.name == "exclude";
-    const auto why = excludes ? relay_.ExcludeHost(command.argument) : relay_.IncludeHost(command.argument);
+    const bool is_exclude = command.name == "exclude";
+    const auto error =
+        is_exclude ? relay_.ExcludeHost(command.argument) : relay_.IncludeHost(command.argument);
     std::cout << config_.name << ": " << command.name << " " << command.argument << ": "
-              << why.value_or("done") << std::endl;
-    return why;
+              << error.value_or("done") << std::endl;
+    return error;
   }
 
   // ---- requests over the control socket ----
 
+  // Returns the answer to a request: the status, or an error.
   control::Json HandleControlRequest(const control::Json& request) {
     const std::string op = control::TextOf(request, "op");
     if (op == "status") return Status();
     if (op == "reload") {
-      if (const auto why = Reload()) return control::ErrorAnswer(*why);
+      if (const auto error = Reload()) return control::ErrorAnswer(*error);
       if (request.contains("stamp")) options_.stamp = control::TextOf(request, "stamp");
     } else if (op == "drain") {
       if (phases_.current() > Phase::kPaused) return control::ErrorAnswer("is ending already");
@@ -386,27 +400,27 @@
     return status;
   }
 
-  // Applies the configuration file again. If it can't be used, the running configuration stays in force and
-  // the reason is logged and returned.
+  // Reads and applies the configuration file again. If it can't be used, the running configuration stays in
+  // force, and the error is logged and returned.
   std::optional<std::string> Reload() {
     if (phases_.current() == Phase::kHandedOver) return "is given over";
     try {
-      config::Config next = config::Reload(config_);
-      const net::Address discovery_address = RequireAddress("discovery", next.discovery);
-      relay_.UpdateSettings(next.settings);  // throws before anything has changed
-      for (const std::string& key : config::KeysNeedingRestart(config_, next)) {
+      config::Config new_config = config::Reload(config_);
+      const net::Address discovery_address = RequireAddress("discovery", new_config.discovery);
+      relay_.UpdateSettings(new_config.settings);  // throws before anything has changed
+      for (const std::string& key : config::KeysNeedingRestart(config_, new_config)) {
         std::cout << config_.name << ": reload: " << key << " stays as it is until a restart" << std::endl;
       }
-      const std::string old_discovery = std::exchange(config_.discovery, next.discovery);
-      config_.sockets = next.sockets;
-      config_.file_text = next.file_text;
-      config_.settings = next.settings;
-      config_.zones = next.zones;
+      const std::string old_discovery = std::exchange(config_.discovery, new_config.discovery);
+      config_.sockets = new_config.sockets;
+      config_.file_text = new_config.file_text;
+      config_.settings = new_config.settings;
+      config_.zones = new_config.zones;
       discovery_.SetNames(NamesOf(config_));
       discovery_.SetOptions(ListOptionsOf(config_));
       counters_.reloads += 1;
       std::cout << config_.name << ": reloaded, discovery at " << config_.discovery << std::endl;
-      endpoints_.SetLimits(PoolLimitsOf(config_));
+      endpoint_pool_.SetLimits(PoolLimitsOf(config_));
       if (clients_) clients_->SetMaxClients(config_.max_clients());
       if (old_discovery == config_.discovery) return std::nullopt;
       discovery_.SetServer({discovery_address, config_.discovery});
@@ -431,15 +445,16 @@
 
   config::Config config_;
   Options options_;
-  handover::StartupState start_;  // the folder lock, and the state of another process until it is applied
+  // The folder lock, and the state that another process handed over, which is applied up to kServing.
+  handover::StartupState startup_state_;
   relay::Counters counters_;
   net::Loop loop_;
   relay::PhaseMachine phases_;
   net::Address discovery_address_;
   journal::Journal journal_;
   LoopClock clock_;
-  endpoint::Pool endpoints_;
-  handover::TakeoverTransport attempts_;
+  endpoint::Pool endpoint_pool_;
+  handover::TakeoverTransport transport_;
   routing::DiscoveryClient discovery_;
   notice::HttpNoticeSender notices_;
   relay::Relay relay_;
@@ -447,7 +462,7 @@
   net::Signal terminate_signal_, interrupt_signal_, report_signal_, reload_signal_;
   net::Timer progress_timer_;
   net::Time drain_started_at_{0};
-  net::Time exit_deadline_{0};  // when to exit at the latest after a handover; 0: not asked to exit
+  net::Time exit_deadline_{0};  // latest time of the exit after a handover; 0: no signal to exit was received
   std::int64_t drain_ms_ = 0;
   bool listener_closed_ = false;
   bool clients_closing_ = false;
@@ -456,13 +471,14 @@
   std::optional<handover::HandoverServer> handover_;
 };
 
-// Locks the state folder, or takes over from the process that has it. Before a handover it checks everything
-// that could keep this process from starting, because nobody would serve if it failed afterwards.
+// Locks the state folder, or takes over from the process that has locked it. Before a handover it checks
+// everything that could prevent this process from starting, because no process would serve if it failed
+// afterwards.
 handover::StartupState LockOrTakeOver(const config::Config& config) {
   if (config.listen_fd < 0) {
-    handover::StartupState start;
-    start.lock = std::make_unique<journal::FolderLock>(config.state);
-    return start;
+    handover::StartupState startup_state;
+    startup_state.lock = std::make_unique<journal::FolderLock>(config.state);
+    return startup_state;
   }
   try {
     net::Listener::CheckListening(config.listen_fd);
@@ -478,7 +494,7 @@
   return handover::AcquireState(config.state, kTakeoverTimeout);
 }
 
-// Checks a configuration file without starting anything. Returns the exit code, after printing one line.
+// Checks a configuration file without starting a relay. Prints one line and returns the exit code.
 int CheckConfig(const std::string& path) {
   std::ifstream file(path);
   std::ostringstream text;
@@ -499,28 +515,30 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"oxbowspread: one relay. Started without arguments it takes all from $ROUTER_CONFIG."};
+  CLI::App app{"oxbowspread: one relay. Reads its configuration from the file that $ROUTER_CONFIG names."};
   Options options;
-  std::string check;
+  std::string file_to_check;
   app.add_option("--control", options.control,
                  "listen for oxbowctl and oxbowagent at this Unix-domain socket");
-  app.add_option("--stamp", options.stamp, "told again by the control socket's status");
-  app.add_option("--check-config", check, "check this configuration file, start nothing");
+  app.add_option("--stamp", options.stamp, "text that the `status` request of the control socket returns");
+  app.add_option("--check-config", file_to_check,
+                 "check this configuration file and exit without starting a relay");
   app.set_version_flag("--version", std::string("oxbowspread " OXBOWSPREAD_VERSION));
   if (const auto code = apps::Parse(app, "oxbowspread", argc, argv)) return *code;
-  if (!check.empty()) return CheckConfig(check);
+  if (!file_to_check.empty()) return CheckConfig(file_to_check);
   std::signal(SIGPIPE, SIG_IGN);
-  // Signals for a reload or a report that arrive during the start are kept until it is complete.
+  // Signals for a reload or a report that arrive during the start stay pending until the process is ready for
+  // them.
   net::Signal::Block(SIGHUP);
   net::Signal::Block(SIGUSR1);
   try {
     options.argv = argv;
     const config::Config config = config::LoadFromEnvironment();
-    // From here on SIGTERM and SIGINT end the process in order. A process that is waiting for a handover has
-    // nothing to finish, so there they end it at once.
+    // From here on SIGTERM and SIGINT cause an orderly shutdown. A process that is waiting for a handover has
+    // no work to finish, so there they end it immediately.
     if (config.listen_fd < 0) net::Signal::Block(SIGTERM);
     if (config.listen_fd < 0) net::Signal::Block(SIGINT);
-    Program(config, options, LockOrTakeOver(config)).Run();
+    RelayProcess(config, options, LockOrTakeOver(config)).Run();
   } catch (const journal::FolderLocked& e) {
     std::cerr << "oxbowspread: " << e.what() << "\n";
     return kExitFolderLocked;
