--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -329,9 +329,9 @@
   std::optional<std::string> HandleManagementCommand(const management::Command& command) {
     const bool needs_host = command.name == "exclude" || command.name == "include";
     if (command.name != "readyz" && !needs_host)
-      return "no call " + command.name + ": readyz, exclude ID, include ID";
+      return "unknown command " + command.name + ": expected readyz, exclude ID or include ID";
     if (needs_host == command.argument.empty())
-      return command.name + (needs_host ? " takes a host's id" : " takes nothing");
+      return command.name + (needs_host ? " needs the id of a host" : " accepts no argument");
     if (!needs_host) {
       if (phases_.current() == Phase::kServing) return std::nullopt;
       return std::string(relay::NameOf(phases_.current()));
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -529,17 +529,18 @@
 }
 
 std::optional<std::string> Relay::ExcludeHost(const std::string& host) {
-  if (!table_.Lists(host) && !table_.IsExcluded(host)) return "no host " + host + " is listed";
+  if (!table_.Lists(host) && !table_.IsExcluded(host)) return "host " + host + " is not listed";
   if (!journal_.ExcludeHost(host))
-    return "it can't be put on record: too many hosts are out, or the disk is full";
+    return "it can't be recorded: too many hosts are excluded, or the disk is full";
   PublishRouting(table_.ExcludeHost(host));
   counters_.hosts_excluded = journal_.excluded_hosts().size();
   return std::nullopt;
 }
 
 std::optional<std::string> Relay::IncludeHost(const std::string& host) {
-  if (!table_.Lists(host) && !table_.IsExcluded(host)) return "no host " + host + " is listed or out";
-  if (!journal_.IncludeHost(host)) return "it can't be put on record: the disk is full";
+  if (!table_.Lists(host) && !table_.IsExcluded(host))
+    return "host " + host + " is neither listed nor excluded";
+  if (!journal_.IncludeHost(host)) return "it can't be recorded: the disk is full";
   PublishRouting(table_.IncludeHost(host));
   counters_.hosts_excluded = journal_.excluded_hosts().size();
   return std::nullopt;
