--- a/src/apps/oxbowfloor.cpp
+++ b/src/apps/oxbowfloor.cpp
@@ -158,7 +158,7 @@
   while (!in.empty()) {
     in.Consume(parser_.Feed(in.Front()));
     if (parser_.state() != proto::RespParser::State::kCommand) continue;
-    std::vector<std::string> command = parser_.Take();
+    std::vector<std::string> command = parser_.TakeCommand();
     if (command[0] == "PING") {
       Send("+PONG\r\n");
     } else {
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -231,12 +231,12 @@
     if (!std::exchange(listener_closed_, true)) clients_->StopListening();
     if (phases_.current() == Phase::kPaused) return CheckPaused(elapsed);
     const net::Time idle_time = net::Loop::Now() - std::max(drain_started_at_, clients_->idle_since());
-    const bool is_idle = relay_.done() && relay_.in_flight() == 0 && idle_time >= kKeepAccepting;
+    const bool is_idle = relay_.done() && relay_.in_flight_count() == 0 && idle_time >= kKeepAccepting;
     if (is_idle || elapsed >= kStopSendingAfter) phases_.Enter(Phase::kSettling);
     // Waits until all clients have disconnected, at most until kExitAfter, so that requests that have begun
     // are still answered and the answers are written.
-    const bool is_settled =
-        phases_.current() == Phase::kSettling && relay_.in_flight() == 0 && clients_->clients() == 0;
+    const bool is_settled = phases_.current() == Phase::kSettling && relay_.in_flight_count() == 0 &&
+                            clients_->client_count() == 0;
     if (is_settled || elapsed >= kExitAfter) return FinishAndStop();
     progress_timer_.After(kPollInterval);
   }
@@ -261,8 +261,8 @@
   }
   // Returns whether a drain is complete: no client can submit messages, and no work is left.
   bool settled() const {
-    return phases_.current() == Phase::kPaused && clients_closing_ && clients_->clients() == 0 &&
-           relay_.done() && relay_.in_flight() == 0;
+    return phases_.current() == Phase::kPaused && clients_closing_ && clients_->client_count() == 0 &&
+           relay_.done() && relay_.in_flight_count() == 0;
   }
 
   // ---- handover to the next process ----
@@ -319,7 +319,7 @@
   }
   void CheckHandedOver() {
     const bool is_overdue = exit_deadline_ > net::Time(0) && net::Loop::Now() >= exit_deadline_;
-    if (is_overdue || relay_.in_flight() == 0) return FinishAndStop();
+    if (is_overdue || relay_.in_flight_count() == 0) return FinishAndStop();
     progress_timer_.After(kPollInterval);
   }
 
@@ -384,9 +384,9 @@
                             {"stamp", options_.stamp},
                             {"state", config_.state},
                             {"listen", config_.listen},
-                            {"clients", clients_ ? clients_->clients() : 0},
-                            {"held", relay_.held()},
-                            {"out", relay_.in_flight()}};
+                            {"clients", clients_ ? clients_->client_count() : 0},
+                            {"held", relay_.held_count()},
+                            {"out", relay_.in_flight_count()}};
     const relay::Counters& counters = counters_;
     status["counters"] = {
         {"authorisations", counters.messages},
@@ -435,7 +435,8 @@
 
   std::string CountersText() const {
     return "phase=" + std::string(relay::NameOf(phases_.current())) +
-           "\nheld=" + std::to_string(relay_.held()) + "\nout=" + std::to_string(relay_.in_flight()) +
+           "\nheld=" + std::to_string(relay_.held_count()) +
+           "\nout=" + std::to_string(relay_.in_flight_count()) +
            "\njournal_bytes=" + std::to_string(journal_.file_bytes()) +
            "\ndrain_ms=" + std::to_string(drain_ms_) +
            "\nlist_age_ms=" + std::to_string(discovery_.time_since_received() / 1ms) + "\n" +
--- a/src/client/clients.cpp
+++ b/src/client/clients.cpp
@@ -59,7 +59,7 @@
       Reply(proto::RespError(std::string("ERR Protocol error: ") + parser_.error()));
       return Disconnect();
     }
-    if (parser_.state() == proto::RespParser::State::kCommand) HandleCommand(parser_.Take());
+    if (parser_.state() == proto::RespParser::State::kCommand) HandleCommand(parser_.TakeCommand());
   }
   has_unread_ = !input.empty();
   if (!connection_.connected() || awaiting_answer_ || disconnecting_) return;
@@ -104,11 +104,11 @@
 void Client::HandlePut(std::vector<std::string> command) {
   try {
     journal::Message message = ParsePut(std::move(command), net::Loop::UnixNow() - TimeUnread());
-    if (!server_.relay_.KnowsClass(message.class_name))
+    if (!server_.relay_.HasClass(message.class_name))
       throw InvalidCommand("c names no class of the settings");
-    if (message.key.empty() && server_.relay_.NeedsKey(message.class_name))
+    if (message.key.empty() && server_.relay_.RequiresKey(message.class_name))
       throw InvalidCommand("k is missing");
-    if (!server_.relay_.KnowsDestination(message.destination))
+    if (!server_.relay_.IsKnownDestination(message.destination))
       throw InvalidCommand("dest names no partner of the list");
     awaiting_answer_ = true;
     server_.relay_.Submit(std::move(message), *this);
--- a/src/client/clients.hpp
+++ b/src/client/clients.hpp
@@ -113,7 +113,7 @@
   // Time at which a client last connected or a message was last answered.
   net::Time idle_since() const { return idle_since_; }
   void SetMaxClients(std::size_t max_clients) { max_clients_ = max_clients; }
-  std::size_t clients() const { return clients_.size(); }
+  std::size_t client_count() const { return clients_.size(); }
 
  private:
   friend class Client;
--- a/src/endpoint/hosts.hpp
+++ b/src/endpoint/hosts.hpp
@@ -30,7 +30,7 @@
 };
 
 // The table of known hosts. Times are microseconds of the clock of net::Loop::Now.
-class Hosts {
+class HostTable {
  public:
   // For each destination kind, by its index in the routing table, whether each of its hosts is a separate
   // route. A wait requested by such a host blocks only that host; otherwise it blocks all hosts of the
--- a/src/endpoint/pool.hpp
+++ b/src/endpoint/pool.hpp
@@ -26,7 +26,7 @@
     std::size_t max_connections = 256;  // over all hosts
     net::Time connect_timeout{0};
     net::Time keepalive{0};
-    std::vector<bool> separate_routes;  // by kind: see Hosts::SetSeparateRoutes
+    std::vector<bool> separate_routes;  // by kind: see HostTable::SetSeparateRoutes
   };
 
   Pool(net::Loop& loop, const Limits& limits, relay::Counters& counters);
@@ -82,7 +82,7 @@
   Limits limits_;
   relay::Counters& counters_;
   relay::Relay* relay_ = nullptr;
-  Hosts hosts_;
+  HostTable hosts_;
   std::map<std::string, Connections> connections_by_host_;  // by host id; no entry is empty
   std::map<relay::AttemptId, EndpointConnection*> in_flight_;
   // Connecting connections, ordered by connect deadline, and idle ones, ordered by the start of their idle
--- a/src/lab/simulated_relay.cpp
+++ b/src/lab/simulated_relay.cpp
@@ -456,7 +456,7 @@
   const Time since = environment_.Now() - terminated_at_;
   if (since >= kStopSendingAfter && !std::exchange(sending_stopped_, true)) relay_->StopSending();
   const bool no_work_left = relay_->done() && environment_.Now() - last_submission_at_ >= kKeepAccepting;
-  if (no_work_left || since >= kExitAfter || (sending_stopped_ && relay_->in_flight() == 0))
+  if (no_work_left || since >= kExitAfter || (sending_stopped_ && relay_->in_flight_count() == 0))
     return environment_.OnExit(options_.relay_index);
   RunAfter(kPollInterval, [this] { CheckShutdown(); });
 }
--- a/src/lab/simulated_relay.hpp
+++ b/src/lab/simulated_relay.hpp
@@ -1,5 +1,5 @@
 // One process of a relay on a virtual clock: the real relay core, decision module, journal and
-// endpoint::Hosts. The connections to hosts are numbers instead of sockets. Stands in for `client`,
+// endpoint::HostTable. The connections to hosts are numbers instead of sockets. Stands in for `client`,
 // `endpoint::Pool`, `routing` and `notice` of the relay program.
 #pragma once
 
@@ -75,7 +75,7 @@
   // Runs the callback now, or after Resume if the process is suspended; never once the process has ended.
   void RunOrDefer(std::function<void()> callback);
   const relay::Counters& counters() const { return counters_; }
-  std::size_t held_messages() const { return relay_->held(); }
+  std::size_t held_messages() const { return relay_->held_count(); }
 
  private:
   struct Submission;
@@ -119,7 +119,7 @@
   Options options_;
   Environment& environment_;
   relay::Counters counters_;
-  endpoint::Hosts hosts_;
+  endpoint::HostTable hosts_;
   std::unique_ptr<journal::Journal> journal_;
   std::unique_ptr<relay::Relay> relay_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -47,7 +47,7 @@
   return address;
 }
 
-std::string AddressText(const Address& address) {
+std::string FormatAddress(const Address& address) {
   char text[INET_ADDRSTRLEN] = {};
   inet_ntop(AF_INET, &address.sin_addr, text, sizeof text);
   return std::string(text) + ":" + std::to_string(ntohs(address.sin_port));
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -23,7 +23,7 @@
 // Parses "IPv4:port", such as "127.0.0.1:80". Returns an empty value if the text has another form.
 std::optional<Address> ParseAddress(std::string_view text);
 // Returns the address in the form that ParseAddress accepts.
-std::string AddressText(const Address& address);
+std::string FormatAddress(const Address& address);
 
 // One stream socket with its receive and send buffers. Owns the descriptor; the handler must outlive it.
 class Connection {
--- a/src/notice/notice.cpp
+++ b/src/notice/notice.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string NoticeLine(const std::string& id, const journal::Ending& ending) {
+std::string FormatNotice(const std::string& id, const journal::Ending& ending) {
   nlohmann::json line = {{"id", id}, {"status", ending.deferred ? "deferred" : "undeliverable"}};
   if (ending.deferred && ending.retry_after_ms > 0) line["again_ms"] = ending.retry_after_ms;
   return line.dump() + "\n";
@@ -37,7 +37,7 @@
       response_timer_(loop, [this] { Retry(); }) {}
 
 void HttpNoticeSender::Post(const std::string& id, const journal::Ending& ending) {
-  pending_[id] = NoticeLine(id, ending);
+  pending_[id] = FormatNotice(id, ending);
   if (in_flight_.empty() && !send_timer_.active()) send_timer_.After(net::Time(0));
 }
 
--- a/src/notice/notice.hpp
+++ b/src/notice/notice.hpp
@@ -59,6 +59,6 @@
 };
 
 // Returns the notice as one line of JSON, including the line end.
-std::string NoticeLine(const std::string& id, const journal::Ending& ending);
+std::string FormatNotice(const std::string& id, const journal::Ending& ending);
 
 }  // namespace oxbowspread::notice
--- a/src/proto/resp.cpp
+++ b/src/proto/resp.cpp
@@ -87,7 +87,7 @@
   return bytes + line_;
 }
 
-std::vector<std::string> RespParser::Take() {
+std::vector<std::string> RespParser::TakeCommand() {
   state_ = State::kIncomplete;
   return std::exchange(command_, {});
 }
--- a/src/proto/resp.hpp
+++ b/src/proto/resp.hpp
@@ -27,7 +27,7 @@
   // Returns the bytes of an incomplete command. A new parser that is fed these bytes has the same state.
   std::string PartialCommand() const;
   // Returns the complete command and prepares the parser for the next one.
-  std::vector<std::string> Take();
+  std::vector<std::string> TakeCommand();
 
  private:
   enum class Step { kArrayHeader, kBulkLength, kBulkBytes, kBulkEnd };
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -66,7 +66,7 @@
   return classes_.IndexOf(message.class_name);
 }
 
-bool Relay::NeedsKey(const std::string& class_name) const {
+bool Relay::RequiresKey(const std::string& class_name) const {
   const int class_index = classes_.IndexOf(class_name);
   return class_index >= 0 && classes_.at(class_index).semantics == wheathub::Semantics::kDeduplicated;
 }
@@ -529,7 +529,7 @@
 }
 
 std::optional<std::string> Relay::ExcludeHost(const std::string& host) {
-  if (!table_.Lists(host) && !table_.IsExcluded(host)) return "host " + host + " is not listed";
+  if (!table_.IsListed(host) && !table_.IsExcluded(host)) return "host " + host + " is not listed";
   if (!journal_.ExcludeHost(host))
     return "it can't be recorded: too many hosts are excluded, or the disk is full";
   PublishRouting(table_.ExcludeHost(host));
@@ -538,7 +538,7 @@
 }
 
 std::optional<std::string> Relay::IncludeHost(const std::string& host) {
-  if (!table_.Lists(host) && !table_.IsExcluded(host))
+  if (!table_.IsListed(host) && !table_.IsExcluded(host))
     return "host " + host + " is neither listed nor excluded";
   if (!journal_.IncludeHost(host)) return "it can't be recorded: the disk is full";
   PublishRouting(table_.IncludeHost(host));
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -64,13 +64,13 @@
   // Must be called when a client disconnects while it waits for an answer. The client is not answered.
   void Withdraw(Client& client);
   // Returns whether the current settings have a class of that name.
-  bool KnowsClass(const std::string& name) const { return classes_.IndexOf(name) >= 0; }
+  bool HasClass(const std::string& name) const { return classes_.IndexOf(name) >= 0; }
   // Returns whether messages of the class must have an idempotency key. For these classes a repeated attempt
   // without the key would run the message twice.
-  bool NeedsKey(const std::string& class_name) const;
+  bool RequiresKey(const std::string& class_name) const;
   // Returns whether any routing table so far listed a host of the destination. Returns true for every
   // destination before the first list, because none can be ruled out then.
-  bool KnowsDestination(wheathub::DestinationId id) const {
+  bool IsKnownDestination(wheathub::DestinationId id) const {
     return known_destinations_.empty() || known_destinations_.count(id) > 0;
   }
 
@@ -115,8 +115,8 @@
   void StopSending();
 
   // Number of accepted messages that have not ended, and number of attempts in flight.
-  std::size_t held() const { return held_.size(); }
-  std::size_t in_flight() const { return in_flight_.size(); }
+  std::size_t held_count() const { return held_.size(); }
+  std::size_t in_flight_count() const { return in_flight_.size(); }
   // Returns whether every accepted message has ended, every notice was accepted, and no client waits for an
   // answer.
   bool done() const { return journal_.entries().empty() && pending_.empty(); }
--- a/src/relay/table.hpp
+++ b/src/relay/table.hpp
@@ -22,7 +22,7 @@
   // reports them ready again. Returns the hosts whose effective state changed.
   RoutingChange ApplyStale(const RoutingChange& older);
   // Returns whether the host is in discovery's current list.
-  bool Lists(const std::string& id) const { return hosts_.count(id) > 0; }
+  bool IsListed(const std::string& id) const { return hosts_.count(id) > 0; }
   bool IsExcluded(const std::string& id) const { return excluded_.count(id) > 0; }
   // Exclude a host and include it again. An excluded host counts as draining whether it is listed or not.
   // Both functions return the hosts whose effective state may have changed; the result may be empty.
--- a/tests/lab/hosts_test.cpp
+++ b/tests/lab/hosts_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace oxbowspread;
 using namespace std::chrono_literals;
-using endpoint::Hosts;
+using endpoint::HostTable;
 using wheathub::Lifecycle;
 using wheathub::ListScope;
 
@@ -30,14 +30,14 @@
 
 using Ids = std::vector<std::string>;
 
-bool MayWrite(const Hosts& hosts, const std::string& id, net::Time now, net::Time write_deadline = 1h) {
+bool MayWrite(const HostTable& hosts, const std::string& id, net::Time now, net::Time write_deadline = 1h) {
   return hosts.MayWrite(id, write_deadline, now);
 }
 
 }  // namespace
 
 TEST_CASE("hosts: nothing is written once the list has expired, until it is valid again", "[hosts]") {
-  Hosts hosts;
+  HostTable hosts;
   hosts.Apply(MakeChange({MakeHost("a", "127.0.0.1:1")}), 10s);
   CHECK(MayWrite(hosts, "a", 30s));
   hosts.SetListValidUntil(20s);
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("hosts: a drain, a retry-after and a write deadline each stop writes", "[hosts]") {
-  Hosts hosts;
+  HostTable hosts;
   CHECK(hosts.Find("a") == nullptr);
   hosts.Apply(MakeChange({MakeHost("a", "127.0.0.1:1"), MakeHost("b", "127.0.0.1:2")}), 10s);
   CHECK(MayWrite(hosts, "a", 10s));
@@ -74,7 +74,7 @@
 TEST_CASE(
     "hosts: a retry-after applies to the destination, or to one host where its kind has separate routes",
     "[hosts]") {
-  Hosts hosts;
+  HostTable hosts;
   hosts.SetSeparateRoutes({true, false});
   std::vector<relay::Host> hosts_listed{
       MakeHost("separate-1", "127.0.0.1:1"), MakeHost("separate-2", "127.0.0.1:2"),
@@ -107,7 +107,7 @@
   // In the state for another process each host has its own wait.
   const auto waits = hosts.HostWaits(12s);
   CHECK(waits.size() == 4);
-  Hosts restored;
+  HostTable restored;
   restored.SetSeparateRoutes({true, false});
   restored.Apply(MakeChange(hosts_listed), 12s);
   for (const relay::HostWait& wait : waits) restored.RestoreWait(wait);
@@ -118,7 +118,7 @@
 }
 
 TEST_CASE("hosts: an address belongs to the host that is up there", "[hosts]") {
-  Hosts hosts;
+  HostTable hosts;
   hosts.Apply(MakeChange({MakeHost("old", "127.0.0.1:1")}), 1s);
   // The new host is listed before the old one is known to be removed.
   CHECK(hosts.Apply(MakeChange({MakeHost("new", "127.0.0.1:1")}), 2s) == Ids{"old"});
@@ -141,7 +141,7 @@
 // The list may be out of date: the host that answers at an address may not be the one that was called.
 TEST_CASE("hosts: a retry-after from an address applies to each host at that address while it runs",
           "[hosts]") {
-  Hosts hosts;
+  HostTable hosts;
   hosts.SetSeparateRoutes({true});
   const auto first_address = *net::ParseAddress("127.0.0.1:1");
   hosts.Apply(MakeChange({MakeHost("old", "127.0.0.1:1"), MakeHost("other", "127.0.0.1:2")}), 1s);
@@ -163,7 +163,7 @@
   const auto waits = hosts.AddressWaits(31s);
   REQUIRE(waits.size() == 1);
   CHECK(waits.front().address == "127.0.0.1:1");
-  Hosts restored;
+  HostTable restored;
   restored.SetSeparateRoutes({true});
   for (const relay::AddressWait& wait : waits) restored.RestoreWait(wait);
   restored.Apply(MakeChange({MakeHost("fourth", "127.0.0.1:1")}), 31s);
@@ -173,7 +173,7 @@
 }
 
 TEST_CASE("hosts: a host that is missing in a full list is removed, and forgotten after a while", "[hosts]") {
-  Hosts hosts;
+  HostTable hosts;
   hosts.Apply(MakeChange({MakeHost("a", "127.0.0.1:1"), MakeHost("b", "127.0.0.1:2")}, ListScope::kAll), 1s);
   hosts.Apply(MakeChange({MakeHost("a", "127.0.0.1:1")}, ListScope::kAll), 2s);
   CHECK_FALSE(MayWrite(hosts, "b", 3s));
--- a/tests/lab/pool_test.cpp
+++ b/tests/lab/pool_test.cpp
@@ -98,7 +98,7 @@
     ports.on_timer = [&] {
       relay.ProcessEvents();
       // The connect has started, and the loop has not reported its result yet.
-      if (relay.in_flight() == 0 || std::exchange(moved, true)) return;
+      if (relay.in_flight_count() == 0 || std::exchange(moved, true)) return;
       relay.RoutingChanged(ChangeWithHostAt(new_server.address(), wheathub::ListScope::kChanges));
     };
     relay.Recover(ChangeWithHostAt(old_server.address(), wheathub::ListScope::kRemembered));
--- a/tests/relay/management_test.cpp
+++ b/tests/relay/management_test.cpp
@@ -86,7 +86,7 @@
   CHECK(moved.address == "2");
   CHECK(apply(ListScope::kChanges, host("a", "2", Lifecycle::kRemoved)).info.lifecycle ==
         Lifecycle::kRemoved);
-  CHECK_FALSE(table.Lists("a"));
+  CHECK_FALSE(table.IsListed("a"));
   CHECK(apply(ListScope::kChanges, host("a", "3", Lifecycle::kUp)).info.lifecycle == Lifecycle::kDraining);
   CHECK(apply(ListScope::kAll, host("a", "3", Lifecycle::kUp)).info.lifecycle == Lifecycle::kDraining);
   CHECK(table.Listed().hosts.at(0).info.lifecycle == Lifecycle::kUp);
