--- a/src/apps/oxbowfloor.cpp
+++ b/src/apps/oxbowfloor.cpp
@@ -13,7 +13,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "client/command.hpp"
+#include "client/put_command.hpp"
 #include "net/connection.hpp"
 #include "net/loop.hpp"
 #include "proto/resp.hpp"
--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -14,7 +14,7 @@
 #include <sstream>
 
 #include "apps/arguments.hpp"
-#include "client/clients.hpp"
+#include "client/client_server.hpp"
 #include "config/config.hpp"
 #include "control/server.hpp"
 #include "endpoint/pool.hpp"
--- a/src/client/clients.cpp
+++ b/src/client/client_server.cpp
@@ -1,4 +1,4 @@
-#include "client/clients.hpp"
+#include "client/client_server.hpp"
 
 #include <strings.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <tuple>
 #include <utility>
 
-#include "client/command.hpp"
+#include "client/put_command.hpp"
 
 namespace oxbowspread::client {
 namespace {
--- a/src/client/command.cpp
+++ b/src/client/put_command.cpp
@@ -1,4 +1,4 @@
-#include "client/command.hpp"
+#include "client/put_command.hpp"
 
 #include <charconv>
 #include <cstdint>
--- a/src/endpoint/hosts.cpp
+++ b/src/endpoint/host_table.cpp
@@ -1,4 +1,4 @@
-#include "endpoint/hosts.hpp"
+#include "endpoint/host_table.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/endpoint/pool.hpp
+++ b/src/endpoint/pool.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "endpoint/endpoint_connection.hpp"
-#include "endpoint/hosts.hpp"
+#include "endpoint/host_table.hpp"
 #include "net/loop.hpp"
 #include "relay/counters.hpp"
 #include "relay/ports.hpp"
--- a/src/handover/record.hpp
+++ b/src/handover/record.hpp
@@ -20,7 +20,7 @@
 #include <variant>
 #include <vector>
 
-#include "client/clients.hpp"
+#include "client/client_server.hpp"
 #include "relay/handover_state.hpp"
 #include "relay/ports.hpp"
 
--- a/src/lab/simulated_relay.hpp
+++ b/src/lab/simulated_relay.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "endpoint/hosts.hpp"
+#include "endpoint/host_table.hpp"
 #include "journal/journal.hpp"
 #include "model/platform_model.hpp"
 #include "relay/counters.hpp"
--- a/src/relay/classes.cpp
+++ b/src/relay/class_registry.cpp
@@ -1,4 +1,4 @@
-#include "relay/classes.hpp"
+#include "relay/class_registry.hpp"
 
 #include <algorithm>
 
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -13,11 +13,11 @@
 #include <vector>
 
 #include "journal/journal.hpp"
-#include "relay/classes.hpp"
+#include "relay/class_registry.hpp"
 #include "relay/counters.hpp"
 #include "relay/handover_state.hpp"
 #include "relay/ports.hpp"
-#include "relay/table.hpp"
+#include "relay/routing_table.hpp"
 #include "wheathub/decide.hpp"
 
 namespace oxbowspread::relay {
--- a/src/relay/table.cpp
+++ b/src/relay/routing_table.cpp
@@ -1,4 +1,4 @@
-#include "relay/table.hpp"
+#include "relay/routing_table.hpp"
 
 #include <utility>
 
--- a/tests/lab/hosts_test.cpp
+++ b/tests/lab/hosts_test.cpp
@@ -1,9 +1,9 @@
 // Tests of the hosts that the endpoint transport knows: which may be written to, and which owns an address.
-#include "endpoint/hosts.hpp"
-
 #include <catch2/catch.hpp>
 #include <chrono>
 
+#include "endpoint/host_table.hpp"
+
 namespace {
 
 using namespace oxbowspread;
--- a/tests/relay/management_test.cpp
+++ b/tests/relay/management_test.cpp
@@ -12,7 +12,7 @@
 
 #include "journal/journal.hpp"
 #include "management/command_reader.hpp"
-#include "relay/table.hpp"
+#include "relay/routing_table.hpp"
 #include "rig.hpp"
 
 namespace oxbowspread::testing {
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-#include "relay/classes.hpp"
+#include "relay/class_registry.hpp"
 #include "rig.hpp"
 
 namespace oxbowspread::testing {
