--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -36,9 +36,9 @@
   return folder;
 }
 
-lead::DurableState ReadDurable(store::Store& store) {
+election::DurableState ReadDurable(store::Store& store) {
   const auto text = store.Get(kElectionKey);
-  return text ? lead::DurableStateFromJson(control::Json::parse(*text)) : lead::DurableState();
+  return text ? election::DurableStateFromJson(control::Json::parse(*text)) : election::DurableState();
 }
 
 template <typename Map>
@@ -67,7 +67,8 @@
   if (own == nullptr) throw group::Error(group_.path + ": agents: none is named '" + options_.name + "'");
   if (!group_.keys_folder.empty()) identity_.emplace(group_.keys_folder, options_.name);
   std::random_device random;
-  election_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_), random());
+  election_.emplace(options_.name, NamesOf(group_.agents), election::Timing(), ReadDurable(*store_),
+                    random());
   for (const group::Agent& agent : group_.agents) {
     if (agent.name == options_.name) continue;
     const auto address = net::ParseAddress(agent.address);
@@ -270,15 +271,16 @@
 control::Json Agent::HandleElectionMessage(const std::string& from, const Json& request) {
   if (callers_.count(from) == 0) return ErrorAnswer("'" + from + "' is no other agent of the group");
   Json reply = ErrorAnswer("not on disk");
-  StepElection({lead::MessageReceived{from, lead::MessageFromJson(request.at("message"))}}, from, &reply);
+  StepElection({election::MessageReceived{from, election::MessageFromJson(request.at("message"))}}, from,
+               &reply);
   return reply;
 }
 
 // Accepts orders only from the leader to which this agent promised the epoch. A leader that was cut off and
 // has been replaced is fenced.
 control::Json Agent::HandleOrder(const std::string& from, const Json& request) {
-  const lead::DurableState& durable = election_->durable();
-  const auto epoch = request.at("epoch").get<lead::Epoch>();
+  const election::DurableState& durable = election_->durable();
+  const auto epoch = request.at("epoch").get<election::Epoch>();
   if (epoch != durable.promised_epoch || from != durable.promised_to) {
     ++fenced_orders_;
     RecordEvent(TextOf(request, "change"), TextOf(request, "instance"),
@@ -542,13 +544,13 @@
 
 // ---- leading ----
 
-void Agent::StepElection(const std::vector<lead::Event>& events, const std::string& sender, Json* reply) {
-  using Kind = lead::Message::Kind;
+void Agent::StepElection(const std::vector<election::Event>& events, const std::string& sender, Json* reply) {
+  using Kind = election::Message::Kind;
   const net::Time now = net::Loop::Now();
   const auto actions = election_->Step(now, events);
   election_timer_.At(election_->wake_at());
-  for (const lead::Action& action : actions) {
-    if (const auto* persist = std::get_if<lead::Persist>(&action)) {
+  for (const election::Action& action : actions) {
+    if (const auto* persist = std::get_if<election::Persist>(&action)) {
       try {
         store_->Put(kElectionKey, ToJson(persist->durable).dump());
       } catch (const store::Error& e) {
@@ -557,12 +559,12 @@
         // later candidacy needs a successful write.
         StopLeading();
         std::random_device random;
-        election_.emplace(options_.name, NamesOf(group_.agents), lead::Timing(), ReadDurable(*store_),
+        election_.emplace(options_.name, NamesOf(group_.agents), election::Timing(), ReadDurable(*store_),
                           random());
         election_timer_.After(kCollectInterval);
         return;
       }
-    } else if (const auto* send = std::get_if<lead::Send>(&action)) {
+    } else if (const auto* send = std::get_if<election::Send>(&action)) {
       const bool is_answer = send->message.kind == Kind::kPromise || send->message.kind == Kind::kReject ||
                              send->message.kind == Kind::kAccepted;
       if (is_answer) {
@@ -574,12 +576,13 @@
                 [this, to = send->to](const Json* response, const std::string&) {
                   if (response == nullptr || !response->value("ok", false)) return;
                   try {
-                    StepElection({lead::MessageReceived{to, lead::MessageFromJson(response->at("message"))}});
+                    StepElection(
+                        {election::MessageReceived{to, election::MessageFromJson(response->at("message"))}});
                   } catch (const Json::exception& e) {
                     log_.Write(warn, {}, {}, to + " sent an answer that can't be read: " + e.what());
                   }
                 });
-    } else if (const auto* leads = std::get_if<lead::BecameLeader>(&action)) {
+    } else if (const auto* leads = std::get_if<election::BecameLeader>(&action)) {
       leading_epoch_ = leads->epoch;
       leading_since_ = now;
       engine_.emplace(group_.instance_capacities(), group_.limits);
@@ -595,10 +598,10 @@
                     std::string("the change on record can't be read and is not continued: ") + e.what());
       }
       CollectStatus();
-    } else if (const auto* stopped = std::get_if<lead::LostLeadership>(&action)) {
+    } else if (const auto* stopped = std::get_if<election::LostLeadership>(&action)) {
       StopLeading();
       RecordEvent({}, {}, "leads no more: " + stopped->reason);
-    } else if (const auto* committed = std::get_if<lead::ValueCommitted>(&action)) {
+    } else if (const auto* committed = std::get_if<election::ValueCommitted>(&action)) {
       for (Queued& queued : queue_) {
         if (queued.seq == 0 || queued.seq > committed->seq) continue;
         auto record = std::get<change::PersistRecord>(std::get<change::Action>(queued.content)).record;
@@ -637,7 +640,7 @@
       if (const auto* persist_record = std::get_if<change::PersistRecord>(first)) {
         if (queue_.front().seq != 0) return;  // proposed and not committed yet
         queue_.front().seq = election_->proposed_seq() + 1;
-        StepElection({lead::Propose{ToJson(persist_record->record).dump()}});
+        StepElection({election::Propose{ToJson(persist_record->record).dump()}});
         return;  // StepElection has called ProcessQueue if the record is committed already
       }
     }
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -1,6 +1,6 @@
 // The agent of a host: supervises the host's relays, takes part in the election of the leader and, as leader,
 // carries out the group's change. It only does the I/O; the decisions are made by the state machines
-// lead::LeaderElection, change::Engine and supervise::Supervisor.
+// election::LeaderElection, change::Engine and supervise::Supervisor.
 #pragma once
 
 #include <deque>
@@ -17,8 +17,8 @@
 #include "agent/relay_controller.hpp"
 #include "change/engine.hpp"
 #include "control/server.hpp"
+#include "election/leader_election.hpp"
 #include "group/group.hpp"
-#include "lead/leader_election.hpp"
 #include "store/store.hpp"
 #include "tls/session.hpp"
 
@@ -77,7 +77,7 @@
   Json NotLeadingAnswer();
 
   // ---- leading ----
-  void StepElection(const std::vector<lead::Event>& events, const std::string& sender = {},
+  void StepElection(const std::vector<election::Event>& events, const std::string& sender = {},
                     Json* reply = nullptr);
   void StepEngine(std::vector<change::Event> events);
   void ProcessQueue();
@@ -114,11 +114,11 @@
   std::optional<tls::Identity> identity_;
   std::map<std::string, std::unique_ptr<RelayController>> controllers_;
   std::map<std::string, std::unique_ptr<control::Caller>> callers_;
-  std::optional<lead::LeaderElection> election_;
+  std::optional<election::LeaderElection> election_;
   std::optional<change::Engine> engine_;
   std::optional<change::Record>
       committed_record_;  // latest record that a majority has stored, while this agent leads
-  lead::Epoch leading_epoch_ = 0;
+  election::Epoch leading_epoch_ = 0;
   net::Time leading_since_{0};
   std::deque<Queued> queue_;
   // By instance: the configuration version that its agent is to run it by.
--- a/src/lead/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -1,9 +1,9 @@
-#include "lead/leader_election.hpp"
+#include "election/leader_election.hpp"
 
 #include <algorithm>
 #include <array>
 
-namespace oxbowspread::lead {
+namespace oxbowspread::election {
 namespace {
 
 using Json = nlohmann::json;
@@ -252,4 +252,4 @@
   if (was_leader) actions->push_back(LostLeadership{reason});
 }
 
-}  // namespace oxbowspread::lead
+}  // namespace oxbowspread::election
--- a/src/lead/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -19,7 +19,7 @@
 #include <variant>
 #include <vector>
 
-namespace oxbowspread::lead {
+namespace oxbowspread::election {
 
 // Microseconds of the monotonic clock.
 using Time = std::chrono::microseconds;
@@ -186,4 +186,4 @@
   Epoch highest_epoch_ = 0;
 };
 
-}  // namespace oxbowspread::lead
+}  // namespace oxbowspread::election
--- a/tests/group/leader_election_test.cpp
+++ b/tests/group/leader_election_test.cpp
@@ -1,13 +1,13 @@
 // Tests of the leader election and its replicated register, with simulated agents on a virtual clock. The
 // network loses, delays and duplicates messages and can be cut in one or both directions; agents are
 // suspended, killed and restarted from their disk.
-#include "lead/leader_election.hpp"
+#include "election/leader_election.hpp"
 
 #include <catch2/catch.hpp>
 #include <queue>
 #include <random>
 
-namespace oxbowspread::lead {
+namespace oxbowspread::election {
 namespace {
 
 using namespace std::chrono_literals;
@@ -304,4 +304,4 @@
 }
 
 }  // namespace
-}  // namespace oxbowspread::lead
+}  // namespace oxbowspread::election
