--- a/tests/group/chaos_test.cpp
+++ b/tests/group/chaos_test.cpp
@@ -10,7 +10,7 @@
 #include <iostream>
 #include <random>
 
-#include "rig.hpp"
+#include "group_harness.hpp"
 
 namespace oxbowspread::testing {
 namespace {
@@ -24,18 +24,18 @@
 };
 
 ChaosResult RunSeed(unsigned seed) {
-  RigOptions options;
+  HarnessOptions options;
   options.seed = seed;
-  GroupRig rig(options);
+  GroupHarness harness(options);
   std::mt19937 random(seed);
   ChaosResult result;
-  rig.StartAll();
-  rig.load->Start();
+  harness.StartAll();
+  harness.load->Start();
   Json answer;
   if (seed % 2 == 0) {
     std::map<std::string, Json> configs;
-    for (const std::string& name : rig.site.instances) {
-      configs[name] = rig.ConfigOf(name);
+    for (const std::string& name : harness.site.instances) {
+      configs[name] = harness.ConfigOf(name);
       // Either a key that a reload can change or a key that needs a restart.
       if (seed % 4 == 0) {
         configs[name]["limits"]["sockets"] = 400;
@@ -43,64 +43,64 @@
         configs[name]["limits"]["disk_mb"] = 4;
       }
     }
-    answer = rig.StartReconfiguration(configs);
+    answer = harness.StartReconfiguration(configs);
   } else {
-    answer = rig.StartChange("restart");
+    answer = harness.StartChange("restart");
   }
   INFO(answer.dump());
   REQUIRE(answer.value("ok", false));
   for (int i = 0; i < 8; ++i) {
-    rig.RunFor(std::chrono::milliseconds(200 + random() % 900));
-    const std::string agent = rig.site.agents[random() % rig.site.agents.size()];
+    harness.RunFor(std::chrono::milliseconds(200 + random() % 900));
+    const std::string agent = harness.site.agents[random() % harness.site.agents.size()];
     switch (random() % 5) {
       case 0:
       case 1:
       case 2:
-        if (const pid_t pid = rig.RelayPid(rig.site.instances[random() % 5]); pid > 0) {
+        if (const pid_t pid = harness.RelayPid(harness.site.instances[random() % 5]); pid > 0) {
           kill(pid, SIGKILL);
           ++result.relays_killed;
         }
         break;
       case 3:
-        if (rig.IsAgentRunning(agent)) {
-          rig.SignalAgent(agent, SIGKILL);
+        if (harness.IsAgentRunning(agent)) {
+          harness.SignalAgent(agent, SIGKILL);
           ++result.agents_killed;
         }
         break;
       default:
-        if (rig.IsAgentRunning(agent)) {
-          rig.SignalAgent(agent, SIGSTOP);
+        if (harness.IsAgentRunning(agent)) {
+          harness.SignalAgent(agent, SIGSTOP);
           ++result.agents_suspended;
-          rig.RunFor(std::chrono::milliseconds(random() % 3000));
-          rig.SignalAgent(agent, SIGCONT);
+          harness.RunFor(std::chrono::milliseconds(random() % 3000));
+          harness.SignalAgent(agent, SIGCONT);
         }
         break;
     }
     // Stands for the host's service manager, which restarts an agent a little after its exit.
-    for (const std::string& name : rig.site.agents) {
-      if (!rig.IsAgentRunning(name) && random() % 2 == 0) rig.StartAgent(name);
+    for (const std::string& name : harness.site.agents) {
+      if (!harness.IsAgentRunning(name) && random() % 2 == 0) harness.StartAgent(name);
     }
   }
   const net::Time faults_ended_at = net::Loop::Now();
-  for (const std::string& name : rig.site.agents) {
-    if (!rig.IsAgentRunning(name)) rig.StartAgent(name);
+  for (const std::string& name : harness.site.agents) {
+    if (!harness.IsAgentRunning(name)) harness.StartAgent(name);
   }
-  REQUIRE(rig.WaitUntilFinished(90s));
+  REQUIRE(harness.WaitUntilFinished(90s));
   std::string inconsistency;
   const bool consistent =
-      rig.WaitUntil([&] { return (inconsistency = rig.FindInconsistency()).empty(); }, 40s);
+      harness.WaitUntil([&] { return (inconsistency = harness.FindInconsistency()).empty(); }, 40s);
   INFO(inconsistency);
   REQUIRE(consistent);
   result.recovery_ms = static_cast<double>((net::Loop::Now() - faults_ended_at).count()) * 1e-3;
-  result.state = rig.ChangeState();
-  result.totals = rig.StopLoadAndWait();
+  result.state = harness.ChangeState();
+  result.totals = harness.StopLoadAndWait();
   // A change that is done was applied to every instance: the stamp names the order that the instance runs by.
-  const auto beliefs = rig.Beliefs();
+  const auto beliefs = harness.Beliefs();
   for (const auto& [name, belief] : beliefs) {
     INFO(name << " " << belief.dump());
     if (result.state == "done") CHECK(belief.at("stamp").get<std::string>().find("@c") != std::string::npos);
   }
-  CHECK(rig.FindInconsistency().empty());
+  CHECK(harness.FindInconsistency().empty());
   return result;
 }
 
@@ -140,31 +140,31 @@
 }
 
 TEST_CASE("time until the group is consistent after each of forty kills run by hand", "[.][kills]") {
-  GroupRig rig;
-  rig.StartAll();
-  rig.load->Start();
+  GroupHarness harness;
+  harness.StartAll();
+  harness.load->Start();
   std::vector<double> relay_ms, agent_ms;
   for (int i = 0; i < 40; ++i) {
     const bool kill_agent = i % 4 == 3;
-    const std::string name = rig.site.agents[static_cast<std::size_t>(i / 4) % 3];
+    const std::string name = harness.site.agents[static_cast<std::size_t>(i / 4) % 3];
     const net::Time killed_at = net::Loop::Now();
     if (kill_agent) {
-      rig.SignalAgent(name, SIGKILL);
-      rig.StartAgent(name);
+      harness.SignalAgent(name, SIGKILL);
+      harness.StartAgent(name);
     } else {
-      kill(rig.RelayPid(rig.site.instances[static_cast<std::size_t>(i) % 5]), SIGKILL);
+      kill(harness.RelayPid(harness.site.instances[static_cast<std::size_t>(i) % 5]), SIGKILL);
     }
-    rig.RunFor(10ms);
-    REQUIRE(rig.WaitUntil([&] { return rig.FindInconsistency().empty(); }));
+    harness.RunFor(10ms);
+    REQUIRE(harness.WaitUntil([&] { return harness.FindInconsistency().empty(); }));
     (kill_agent ? agent_ms : relay_ms)
         .push_back(static_cast<double>((net::Loop::Now() - killed_at).count()) * 1e-3);
-    rig.RunFor(3s);  // each relay runs for over 10 s between two kills, so none counts as a crash loop
+    harness.RunFor(3s);  // each relay runs for over 10 s between two kills, so none counts as a crash loop
   }
   for (const auto& [target, times_ms] : {std::pair("relay", relay_ms), std::pair("agent", agent_ms)}) {
     std::cout << target << "\t" << times_ms.size() << " kills\tmedian " << standin::Percentile(times_ms, 0.5)
               << " ms\tmost " << standin::Percentile(times_ms, 1) << " ms" << std::endl;
   }
-  CheckResult({0, 0, 0, 0, "done", rig.StopLoadAndWait()});
+  CheckResult({0, 0, 0, 0, "done", harness.StopLoadAndWait()});
 }
 
 }  // namespace
--- a/tests/group/rig.cpp
+++ b/tests/group/group_harness.cpp
@@ -1,4 +1,4 @@
-#include "rig.hpp"
+#include "group_harness.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -19,14 +19,14 @@
 namespace oxbowspread::testing {
 namespace {
 
-standin::SiteOptions MakeSiteOptions(const std::string& folder, const RigOptions& rig_options,
+standin::SiteOptions MakeSiteOptions(const std::string& folder, const HarnessOptions& harness_options,
                                      int discovery_port) {
   standin::SiteOptions site_options;
   site_options.folder = folder;
-  site_options.instances = rig_options.instances;
-  site_options.agents = rig_options.agents;
+  site_options.instances = harness_options.instances;
+  site_options.agents = harness_options.agents;
   site_options.discovery_port = discovery_port;
-  site_options.limits = rig_options.limits;
+  site_options.limits = harness_options.limits;
   return site_options;
 }
 
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-GroupRig::GroupRig(const RigOptions& options) : folder(MakeTemporaryFolder()) {
+GroupHarness::GroupHarness(const HarnessOptions& options) : folder(MakeTemporaryFolder()) {
   signal(SIGPIPE, SIG_IGN);
   standin::PlatformOptions platform_options;
   platform_options.seed = options.seed;
@@ -58,7 +58,7 @@
   }
 }
 
-GroupRig::~GroupRig() {
+GroupHarness::~GroupHarness() {
   for (const auto& [name, pid] : agent_pids_) {
     if (pid <= 0) continue;
     kill(pid, SIGKILL);
@@ -76,7 +76,7 @@
   std::filesystem::remove_all(folder);
 }
 
-void GroupRig::StartAgent(const std::string& name, std::vector<std::string> extra_arguments) {
+void GroupHarness::StartAgent(const std::string& name, std::vector<std::string> extra_arguments) {
   std::vector<std::string> arguments = {OXBOWAGENT, "--group",           site.group_file, "--name",   name,
                                         "--folder", folder + "/" + name, "--relay",       OXBOWSPREAD};
   arguments.insert(arguments.end(), extra_arguments.begin(), extra_arguments.end());
@@ -102,12 +102,12 @@
   agent_pids_[name] = pid;
 }
 
-void GroupRig::StartAll() {
+void GroupHarness::StartAll() {
   for (const std::string& name : site.agents) StartAgent(name);
   REQUIRE(WaitUntil([this] { return AllServing() && !Leader().empty(); }));
 }
 
-void GroupRig::SignalAgent(const std::string& agent, int signal_number) {
+void GroupHarness::SignalAgent(const std::string& agent, int signal_number) {
   const pid_t pid = agent_pids_.at(agent);
   if (pid <= 0) return;
   kill(pid, signal_number);
@@ -117,20 +117,20 @@
   callers_.at(agent)->Disconnect("agent exited");
 }
 
-bool GroupRig::IsAgentRunning(const std::string& name) {
+bool GroupHarness::IsAgentRunning(const std::string& name) {
   const auto it = agent_pids_.find(name);
   if (it == agent_pids_.end() || it->second <= 0) return false;
   if (waitpid(it->second, nullptr, WNOHANG) == it->second) it->second = 0;
   return it->second > 0;
 }
 
-void GroupRig::RunFor(net::Time duration) {
+void GroupHarness::RunFor(net::Time duration) {
   net::Timer stop_timer(loop, [this] { loop.Stop(); });
   stop_timer.After(duration);
   loop.Run();
 }
 
-bool GroupRig::WaitUntil(const std::function<bool()>& condition, net::Time timeout) {
+bool GroupHarness::WaitUntil(const std::function<bool()>& condition, net::Time timeout) {
   const net::Time deadline = net::Loop::Now() + timeout;
   while (!condition()) {
     if (net::Loop::Now() >= deadline) return false;
@@ -139,7 +139,7 @@
   return true;
 }
 
-std::optional<Json> GroupRig::AskAgent(const std::string& agent, const Json& request) {
+std::optional<Json> GroupHarness::AskAgent(const std::string& agent, const Json& request) {
   std::optional<Json> answer;
   callers_.at(agent)->Call(request, 2s, [&](const Json* response, const std::string&) {
     if (response != nullptr) answer = *response;
@@ -149,13 +149,13 @@
   return answer;
 }
 
-void GroupRig::SendRequest(const std::string& agent, const Json& request, std::optional<Json>* answer) {
+void GroupHarness::SendRequest(const std::string& agent, const Json& request, std::optional<Json>* answer) {
   callers_.at(agent)->Call(request, 20s, [answer](const Json* response, const std::string&) {
     if (response != nullptr) *answer = *response;
   });
 }
 
-Json GroupRig::AskLeader(const Json& request, net::Time timeout) {
+Json GroupHarness::AskLeader(const Json& request, net::Time timeout) {
   const net::Time deadline = net::Loop::Now() + timeout;
   std::string next = site.agents.front();
   for (std::size_t i = 0;; ++i) {
@@ -171,7 +171,7 @@
   }
 }
 
-std::string GroupRig::Leader() {
+std::string GroupHarness::Leader() {
   for (const std::string& name : site.agents) {
     const auto answer = AskAgent(name, {{"op", "local"}});
     if (answer && control::TextOf(*answer, "leader") == name) return name;
@@ -179,7 +179,7 @@
   return {};
 }
 
-Json GroupRig::StartChange(const std::string& kind, std::vector<std::string> instances) {
+Json GroupHarness::StartChange(const std::string& kind, std::vector<std::string> instances) {
   if (instances.empty()) instances = site.instances;
   return AskLeader({{"op", "begin"},
                     {"kind", kind},
@@ -188,11 +188,11 @@
                     {"request", "test " + std::to_string(++request_count_)}});
 }
 
-Json GroupRig::ConfigOf(const std::string& instance) const {
+Json GroupHarness::ConfigOf(const std::string& instance) const {
   return Json::parse(group::ReadFile(folder + "/" + instance + ".json"));
 }
 
-Json GroupRig::StartReconfiguration(const std::map<std::string, Json>& configs) {
+Json GroupHarness::StartReconfiguration(const std::map<std::string, Json>& configs) {
   Json all = Json::object();
   for (const std::string& name : site.instances) all[name] = group::ReadFile(folder + "/" + name + ".json");
   for (const auto& [name, config] : configs) all[name] = config.dump();
@@ -203,17 +203,17 @@
                     {"request", "test " + std::to_string(++request_count_)}});
 }
 
-std::string GroupRig::ChangeState() {
+std::string GroupHarness::ChangeState() {
   const Json answer = GetChange();
   return answer.contains("change") ? control::TextOf(answer.at("change"), "state") : std::string();
 }
 
-bool GroupRig::WaitUntilFinished(net::Time timeout) {
+bool GroupHarness::WaitUntilFinished(net::Time timeout) {
   const std::set<std::string> final_states = {"done", "aborted", "rolled-back", "failed"};
   return WaitUntil([&] { return final_states.count(ChangeState()) > 0; }, timeout);
 }
 
-std::map<std::string, Json> GroupRig::Beliefs() {
+std::map<std::string, Json> GroupHarness::Beliefs() {
   std::map<std::string, Json> all;
   for (const std::string& name : site.agents) {
     const auto answer = AskAgent(name, {{"op", "local"}});
@@ -225,14 +225,14 @@
   return all;
 }
 
-bool GroupRig::AllServing() {
+bool GroupHarness::AllServing() {
   const auto beliefs = Beliefs();
   return beliefs.size() == site.instances.size() &&
          std::all_of(beliefs.begin(), beliefs.end(),
                      [](const auto& entry) { return entry.second.at("phase") == "serving"; });
 }
 
-std::map<std::string, std::vector<pid_t>> GroupRig::RelayProcesses() const {
+std::map<std::string, std::vector<pid_t>> GroupHarness::RelayProcesses() const {
   std::map<std::string, std::vector<pid_t>> all;
   for (const auto& entry : std::filesystem::directory_iterator("/proc")) {
     const std::string name = entry.path().filename();
@@ -249,13 +249,13 @@
   return all;
 }
 
-pid_t GroupRig::RelayPid(const std::string& instance) const {
+pid_t GroupHarness::RelayPid(const std::string& instance) const {
   const auto relays = RelayProcesses();
   const auto it = relays.find(instance);
   return it == relays.end() ? 0 : it->second.front();
 }
 
-std::string GroupRig::FindInconsistency() {
+std::string GroupHarness::FindInconsistency() {
   const auto relays = RelayProcesses();
   const auto beliefs = Beliefs();
   for (std::size_t i = 0; i < site.instances.size(); ++i) {
@@ -277,20 +277,20 @@
   return {};
 }
 
-standin::Totals GroupRig::StopLoadAndWait(net::Time timeout) {
+standin::Totals GroupHarness::StopLoadAndWait(net::Time timeout) {
   load->Stop();
   WaitUntil([this] { return load->idle() && tracker.PendingIds().empty(); }, timeout);
   return tracker.ComputeTotals();
 }
 
-std::string GroupRig::AgentLog(const std::string& name) const {
+std::string GroupHarness::AgentLog(const std::string& name) const {
   std::ifstream file(folder + "/" + name + ".log");
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-int GroupRig::RunOxbowctl(const std::vector<std::string>& arguments, std::string* output) {
+int GroupHarness::RunOxbowctl(const std::vector<std::string>& arguments, std::string* output) {
   std::string command = std::string(OXBOWCTL);
   if (arguments.front() != "--group") command += " --group " + site.group_file;
   for (const std::string& argument : arguments) command += " '" + argument + "'";
--- a/tests/group/rig.hpp
+++ b/tests/group/group_harness.hpp
@@ -1,5 +1,5 @@
-// Test rig that runs a whole group: the real agent and relay programs as child processes, with stand-ins for
-// every other service inside the test process.
+// Test harness that runs a whole group: the real agent and relay programs as child processes, with stand-ins
+// for every other service inside the test process.
 #pragma once
 
 #include <sys/types.h>
@@ -24,7 +24,7 @@
 using namespace std::chrono_literals;
 
 // Size, load and limits of the group under test.
-struct RigOptions {
+struct HarnessOptions {
   int instances = 5, agents = 3;
   double load_rate_per_s = 60;
   // The "limits" section of the group file, as YAML lines.
@@ -35,13 +35,13 @@
 };
 
 // Owns the group's temporary folder and its agent processes. Members that wait run the event loop meanwhile.
-class GroupRig {
+class GroupHarness {
  public:
-  explicit GroupRig(const RigOptions& options = {});
+  explicit GroupHarness(const HarnessOptions& options = {});
   // Kills by process id every agent and relay that runs from the folder, then removes the folder.
-  ~GroupRig();
-  GroupRig(const GroupRig&) = delete;
-  GroupRig& operator=(const GroupRig&) = delete;
+  ~GroupHarness();
+  GroupHarness(const GroupHarness&) = delete;
+  GroupHarness& operator=(const GroupHarness&) = delete;
 
   // Starts an agent process with the usual arguments and the extra ones; its output goes to NAME.log.
   void StartAgent(const std::string& name, std::vector<std::string> extra_arguments = {});
