--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -244,9 +244,9 @@
                    {"want", NameOf(controller->supervisor().desired().want)},
                    {"wanted_stamp", controller->supervisor().desired().stamp},
                    {"deaths", controller->supervisor().unexpected_exits()}};
-    if (const auto belief = controller->CurrentBelief()) {
-      status["belief"] = ToJson(*belief);
-      status["age_ms"] = (now - belief->requested_at) / 1ms;
+    if (const auto instance_status = controller->CurrentStatus()) {
+      status["belief"] = ToJson(*instance_status);
+      status["age_ms"] = (now - instance_status->requested_at) / 1ms;
     }
     instances.push_back(std::move(status));
   }
@@ -401,12 +401,12 @@
     spec.kind = kind == "restart" ? change::Kind::kRestart
                 : kind == "drain" ? change::Kind::kDrain
                                   : change::Kind::kResume;
-    const net::Time now = net::Loop::Now();  // used for both checks, because a belief may expire in between
+    const net::Time now = net::Loop::Now();  // one time for both checks: a status may expire in between
     std::set<std::string> agents_without_status;
     for (const Json& name : instances) {
       const group::Instance* const instance = group_.FindInstance(name);
       if (kind != "restart" || instance == nullptr) continue;
-      if (engine_->FreshBelief(now, name) == nullptr) agents_without_status.insert(instance->agent);
+      if (engine_->FreshStatus(now, name) == nullptr) agents_without_status.insert(instance->agent);
     }
     if (!agents_without_status.empty() && unreachable == nullptr) {
       // This agent may have missed answers itself because a disk or a suspension held it up. Another agent
@@ -417,11 +417,11 @@
                            });
     }
     for (const Json& name : instances) {
-      const change::Belief* belief = engine_->FreshBelief(now, name);
+      const change::InstanceStatus* instance_status = engine_->FreshStatus(now, name);
       if (group_.FindInstance(name) == nullptr)
         return answer(ErrorAnswer("the group has no instance '" + name.get<std::string>() + "'"));
-      if (belief == nullptr && kind == "restart") {
-        const bool recently_elected = now - leading_since_ < group_.limits.max_belief_age + kNewLeaderGrace;
+      if (instance_status == nullptr && kind == "restart") {
+        const bool recently_elected = now - leading_since_ < group_.limits.max_status_age + kNewLeaderGrace;
         if (!recently_elected && unreachable->count(group_.FindInstance(name)->agent) > 0)
           return answer(ErrorAnswer(name.get<std::string>() + " is unknown: its agent is out of reach"));
         // The leader is new, or the agent is reachable but has no status of its relay yet. The empty leader
@@ -724,11 +724,12 @@
     for (const Json& status : answer.at("instances")) {
       desired_versions_[status.at("instance")] = change::VersionOf(status.at("wanted_stamp"));
       if (!status.contains("belief")) continue;
-      change::Belief belief = change::BeliefFromJson(status.at("belief"));
+      change::InstanceStatus instance_status = change::InstanceStatusFromJson(status.at("belief"));
       // The greatest possible age: counted back from the time of the request by the age that the agent
       // states.
-      belief.requested_at = requested_at - std::chrono::milliseconds(status.at("age_ms").get<std::int64_t>());
-      events.push_back(change::BeliefReceived{std::move(belief)});
+      instance_status.requested_at =
+          requested_at - std::chrono::milliseconds(status.at("age_ms").get<std::int64_t>());
+      events.push_back(change::StatusReceived{std::move(instance_status)});
     }
   } catch (const std::exception& e) {
     log_.Write(warn, {}, {}, e.what());
--- a/src/agent/relay_controller.cpp
+++ b/src/agent/relay_controller.cpp
@@ -16,16 +16,16 @@
 namespace {
 
 using namespace std::chrono_literals;
-using change::Belief;
+using change::InstanceStatus;
 
 constexpr net::Time kAnswerTimeout = 1s;
 constexpr net::Time kLivenessInterval = 100ms;
 
-Belief::Phase PhaseOf(const std::string& name) {
-  if (name == "serving") return Belief::Phase::kServing;
-  if (name == "paused") return Belief::Phase::kPaused;
-  if (name == "starting" || name == "recovering") return Belief::Phase::kStarting;
-  return Belief::Phase::kEnding;
+InstanceStatus::Phase PhaseOf(const std::string& name) {
+  if (name == "serving") return InstanceStatus::Phase::kServing;
+  if (name == "paused") return InstanceStatus::Phase::kPaused;
+  if (name == "starting" || name == "recovering") return InstanceStatus::Phase::kStarting;
+  return InstanceStatus::Phase::kEnding;
 }
 
 supervise::Status StatusFrom(const control::Json& json) {
--- a/src/agent/relay_controller.hpp
+++ b/src/agent/relay_controller.hpp
@@ -37,9 +37,9 @@
   // Stores and applies a new desired state. It is on disk when the call returns; throws store::Error without
   // any change if it can't be stored. With an empty stamp, the present stamp and reload flag stay.
   void SetDesired(supervise::Desired desired);
-  // See supervise::Supervisor::CurrentBelief.
-  std::optional<change::Belief> CurrentBelief() const {
-    return supervisor_.CurrentBelief(instance_, net::Loop::Now());
+  // See supervise::Supervisor::CurrentStatus.
+  std::optional<change::InstanceStatus> CurrentStatus() const {
+    return supervisor_.CurrentStatus(instance_, net::Loop::Now());
   }
   const supervise::Supervisor& supervisor() const { return supervisor_; }
   // Checks whether the relay's process has exited. To be called after a SIGCHLD; a timer calls it too,
--- a/src/apps/oxbowctl.cpp
+++ b/src/apps/oxbowctl.cpp
@@ -60,7 +60,7 @@
     const net::Time end_time = EndTime();
     while (true) {
       const auto responses = AskLocalState();
-      const Json status = ctl::StatusOf(group_, responses, group_.limits.max_belief_age / 1ms);
+      const Json status = ctl::StatusOf(group_, responses, group_.limits.max_status_age / 1ms);
       if (options_.json) {
         std::cout << status.dump() << std::endl;
       } else {
@@ -88,7 +88,7 @@
     if (group_.FindInstance(options_.instance) == nullptr)
       throw group::Error("the group has no instance '" + options_.instance + "'");
     const auto responses = AskLocalState();
-    for (const Json& one : ctl::StatusOf(group_, responses, group_.limits.max_belief_age / 1ms)) {
+    for (const Json& one : ctl::StatusOf(group_, responses, group_.limits.max_status_age / 1ms)) {
       if (control::TextOf(one, "instance") != options_.instance) continue;
       if (options_.json) {
         std::cout << one.dump() << "\n";
--- a/src/change/engine.cpp
+++ b/src/change/engine.cpp
@@ -54,8 +54,8 @@
 }
 
 void Engine::HandleEvent(const ClockReading& clock, const Event& event) {
-  if (const auto* received = std::get_if<BeliefReceived>(&event)) {
-    UpdateBelief(received->belief);
+  if (const auto* received = std::get_if<StatusReceived>(&event)) {
+    UpdateStatus(received->status);
   } else if (const auto* start = std::get_if<StartChange>(&event)) {
     if (!RejectionReason(start->spec).empty()) return;
     record_ = Record{start->spec, State::kRunning, {}, std::vector<Progress>(start->spec.targets.size())};
@@ -95,22 +95,22 @@
   }
 }
 
-void Engine::UpdateBelief(const Belief& belief) {
-  const auto it = instances_.find(belief.instance);
+void Engine::UpdateStatus(const InstanceStatus& status) {
+  const auto it = instances_.find(status.instance);
   if (it == instances_.end()) return;
   InstanceState& state = it->second;
-  if (state.belief && state.belief->requested_at >= belief.requested_at) return;
-  state.belief = belief;
+  if (state.status && state.status->requested_at >= status.requested_at) return;
+  state.status = status;
   auto& samples = state.samples;
-  if (!samples.empty() && samples.back().pid != belief.pid) samples.clear();
-  samples.push_back({belief.requested_at, belief.pid, belief.counts});
+  if (!samples.empty() && samples.back().pid != status.pid) samples.clear();
+  samples.push_back({status.requested_at, status.pid, status.counts});
   while (samples.size() > 2 && samples.back().at - samples[1].at >= kSampleWindow) samples.pop_front();
 }
 
-const Belief* Engine::FreshBelief(Time now, const std::string& instance) const {
+const InstanceStatus* Engine::FreshStatus(Time now, const std::string& instance) const {
   const auto it = instances_.find(instance);
-  if (it == instances_.end() || !it->second.belief) return nullptr;
-  return now - it->second.belief->requested_at <= limits_.max_belief_age ? &*it->second.belief : nullptr;
+  if (it == instances_.end() || !it->second.status) return nullptr;
+  return now - it->second.status->requested_at <= limits_.max_status_age ? &*it->second.status : nullptr;
 }
 
 // An instance that no longer reports counts with its last known rate, since its clients still send messages.
@@ -182,21 +182,21 @@
 
 // An instance that doesn't serve may always be taken out: that loses no capacity.
 std::string Engine::AvailabilityGuard(const ClockReading& clock, const std::string& instance) const {
-  const Belief* own = FreshBelief(clock.now, instance);
+  const InstanceStatus* own = FreshStatus(clock.now, instance);
   if (own == nullptr) return instance + " is unknown";
-  if (own->phase != Belief::Phase::kServing) return {};
+  if (own->phase != InstanceStatus::Phase::kServing) return {};
   int unavailable = 0;
   double capacity = 0;
   bool all_capacities_known = true;
   std::string unavailable_list;
   for (const auto& [name, state] : instances_) {
     if (name == instance) continue;
-    const Belief* belief = FreshBelief(clock.now, name);
-    // Counts as unavailable even if its last belief still shows it serving.
+    const InstanceStatus* status = FreshStatus(clock.now, name);
+    // Counts as unavailable even if its last status still shows it serving.
     const bool taken_out = IsBeingTakenOut(name);
-    if (belief == nullptr || belief->phase != Belief::Phase::kServing || taken_out) {
+    if (status == nullptr || status->phase != InstanceStatus::Phase::kServing || taken_out) {
       ++unavailable;
-      const char* how = belief == nullptr ? "unknown" : taken_out ? "being turned" : NameOf(belief->phase);
+      const char* how = status == nullptr ? "unknown" : taken_out ? "being turned" : NameOf(status->phase);
       unavailable_list += (unavailable_list.empty() ? "" : ", ") + name + " " + how;
       continue;
     }
@@ -291,9 +291,9 @@
 void Engine::Advance(const ClockReading& clock, std::size_t index) {
   if (!IsActive(index)) return;
   const std::string& instance = record_->spec.targets[index].instance;
-  const Belief* belief = FreshBelief(clock.now, instance);
+  const InstanceStatus* status = FreshStatus(clock.now, instance);
   TargetWork& work = work_[index];
-  if (belief == nullptr) {
+  if (status == nullptr) {
     // An unknown instance may be up or down: nothing is decided about it, and its timeouts stand still.
     if (!work.unknown_since) work.unknown_since = clock.now;
     blocked_reason_ = instance + " is unknown since " + Seconds(clock.now - *work.unknown_since);
@@ -303,64 +303,65 @@
   if (work.unknown_since) work.stage_since += clock.now - *std::exchange(work.unknown_since, std::nullopt);
   switch (record_->progress[index].stage) {
     case Stage::kPausing:
-      return AdvancePausing(clock, index, *belief);
+      return AdvancePausing(clock, index, *status);
     case Stage::kApplying:
-      return AdvanceApplying(clock, index, *belief);
+      return AdvanceApplying(clock, index, *status);
     case Stage::kWatching:
-      return AdvanceWatching(clock, index, *belief);
+      return AdvanceWatching(clock, index, *status);
     default:
       return;
   }
 }
 
-void Engine::AdvancePausing(const ClockReading& clock, std::size_t index, const Belief& belief) {
+void Engine::AdvancePausing(const ClockReading& clock, std::size_t index, const InstanceStatus& status) {
   const bool drain = record_->spec.kind == Kind::kDrain;
   const bool timed_out = clock.now - work_[index].stage_since >= limits_.settle_timeout;
-  const bool empty = belief.phase == Belief::Phase::kPaused && belief.settled;
+  const bool empty = status.phase == InstanceStatus::Phase::kPaused && status.settled;
   if (drain) {
     if (empty) return EnterStage(clock, index, Stage::kDone);
-    if (timed_out && belief.phase == Belief::Phase::kPaused) {
-      return EnterStage(clock, index, Stage::kDone, std::to_string(belief.held_messages) + " still held");
+    if (timed_out && status.phase == InstanceStatus::Phase::kPaused) {
+      return EnterStage(clock, index, Stage::kDone, std::to_string(status.held_messages) + " still held");
     }
     return GiveOrder(clock, index);
   }
   // An instance that ended meanwhile is already out of service, and a restart brings it back.
-  if (belief.phase == Belief::Phase::kDown) return EnterStage(clock, index, Stage::kApplying, "was down");
+  if (status.phase == InstanceStatus::Phase::kDown)
+    return EnterStage(clock, index, Stage::kApplying, "was down");
   if (empty) return EnterStage(clock, index, Stage::kApplying);
   if (timed_out)
     return EnterStage(clock, index, Stage::kApplying,
-                      std::to_string(belief.held_messages) + " left to the journal");
+                      std::to_string(status.held_messages) + " left to the journal");
   GiveOrder(clock, index);
 }
 
-void Engine::AdvanceApplying(const ClockReading& clock, std::size_t index, const Belief& belief) {
+void Engine::AdvanceApplying(const ClockReading& clock, std::size_t index, const InstanceStatus& status) {
   const bool undo = record_->progress[index].undo;
   const bool any_stamp = AcceptsAnyStamp(index);
   const std::string stamp = StampOf(index);
-  if (belief.phase == Belief::Phase::kServing && (any_stamp || belief.stamp == stamp)) {
+  if (status.phase == InstanceStatus::Phase::kServing && (any_stamp || status.stamp == stamp)) {
     if (undo) return EnterStage(clock, index, Stage::kReverted);
     if (any_stamp) return EnterStage(clock, index, Stage::kDone);
     EnterStage(clock, index, Stage::kWatching);
-    work_[index].watch_start_counts = belief.counts;
-    work_[index].watched_pid = belief.pid;
+    work_[index].watch_start_counts = status.counts;
+    work_[index].watched_pid = status.pid;
     return;
   }
-  if (!belief.fault.empty() && belief.fault_stamp == stamp) return Fail(clock, index, belief.fault);
+  if (!status.fault.empty() && status.fault_stamp == stamp) return Fail(clock, index, status.fault);
   if (clock.now - work_[index].stage_since >= limits_.ready_timeout) {
     return Fail(clock, index, "not ready within " + Seconds(limits_.ready_timeout));
   }
   GiveOrder(clock, index);
 }
 
-void Engine::AdvanceWatching(const ClockReading& clock, std::size_t index, const Belief& belief) {
+void Engine::AdvanceWatching(const ClockReading& clock, std::size_t index, const InstanceStatus& status) {
   TargetWork& work = work_[index];
   Progress& progress = record_->progress[index];
-  if (belief.stamp != StampOf(index)) {
-    if (belief.phase != Belief::Phase::kServing) return;  // being restarted
-    return Fail(clock, index, "runs by another order: " + belief.stamp);
+  if (status.stamp != StampOf(index)) {
+    if (status.phase != InstanceStatus::Phase::kServing) return;  // being restarted
+    return Fail(clock, index, "runs by another order: " + status.stamp);
   }
-  if (!belief.fault.empty() && belief.fault_stamp == belief.stamp) return Fail(clock, index, belief.fault);
-  if (work.watched_pid != 0 && belief.pid != work.watched_pid && belief.pid != 0) {
+  if (!status.fault.empty() && status.fault_stamp == status.stamp) return Fail(clock, index, status.fault);
+  if (work.watched_pid != 0 && status.pid != work.watched_pid && status.pid != 0) {
     ++progress.unexpected_exits;
     record_changed_ = true;
     if (progress.unexpected_exits > limits_.max_unexpected_exits) {
@@ -369,20 +370,20 @@
     }
     work.watched_pid = 0;
   }
-  if (belief.phase != Belief::Phase::kServing) {
+  if (status.phase != InstanceStatus::Phase::kServing) {
     if (clock.now - work.stage_since >= limits_.ready_timeout + limits_.watch_time) {
       return Fail(clock, index, "not ready again within " + Seconds(limits_.ready_timeout));
     }
     return;
   }
   if (work.watched_pid == 0) {  // the process is new: watch it from the start
-    work.watched_pid = belief.pid;
-    work.watch_start_counts = belief.counts;
+    work.watched_pid = status.pid;
+    work.watch_start_counts = status.counts;
     work.stage_since = clock.now;
     return;
   }
   if (clock.now - work.stage_since < limits_.watch_time) return;
-  const OutcomeShares after = OutcomeSharesBetween(work.watch_start_counts, belief.counts);
+  const OutcomeShares after = OutcomeSharesBetween(work.watch_start_counts, status.counts);
   if (after.received >= limits_.min_sample &&
       after.rejected > work.shares_before.rejected + limits_.max_rejected_increase) {
     return Fail(clock, index,
@@ -455,7 +456,7 @@
         reason = "frozen: " + freeze;
       } else if (!rolling_back && clock.now - *observing_since_ < limits_.observation_time) {
         reason = "observing the group for " + Seconds(limits_.observation_time);
-      } else if (FreshBelief(clock.now, target.instance) == nullptr) {
+      } else if (FreshStatus(clock.now, target.instance) == nullptr) {
         reason = target.instance + " is unknown";
       } else if (!reload) {
         reason = AvailabilityGuard(clock, target.instance);
--- a/src/change/engine.hpp
+++ b/src/change/engine.hpp
@@ -28,9 +28,9 @@
 
 // ---- events ----
 
-// Ignored if a newer belief is known.
-struct BeliefReceived {
-  Belief belief;
+// Ignored if a newer status is known.
+struct StatusReceived {
+  InstanceStatus status;
 };
 // Ignored if RejectionReason() gives a reason against it, such as another running change.
 struct StartChange {
@@ -48,7 +48,7 @@
 struct OrderRejected {
   std::string instance, stamp, reason;
 };
-using Event = std::variant<BeliefReceived, StartChange, TakeOverChange, OperatorRequest, OrderRejected>;
+using Event = std::variant<StatusReceived, StartChange, TakeOverChange, OperatorRequest, OrderRejected>;
 
 // ---- actions, to be carried out in order ----
 
@@ -88,7 +88,7 @@
   // Why the change makes no progress; empty if it does.
   const std::string& blocked_reason() const { return blocked_reason_; }
   // Null if the instance's state is unknown or older than the limit.
-  const Belief* FreshBelief(Time now, const std::string& instance) const;
+  const InstanceStatus* FreshStatus(Time now, const std::string& instance) const;
   // Messages a second that the whole group receives, by the last known counts of each instance.
   double MessageRate() const;
 
@@ -100,7 +100,7 @@
   };
   struct InstanceState {
     double capacity = 0;
-    std::optional<Belief> belief;
+    std::optional<InstanceStatus> status;
     // Of one process only: emptied when the process identifier changes.
     std::deque<Sample> samples;
   };
@@ -123,11 +123,11 @@
   };
 
   void HandleEvent(const ClockReading& clock, const Event& event);
-  void UpdateBelief(const Belief& belief);
+  void UpdateStatus(const InstanceStatus& status);
   void Advance(const ClockReading& clock, std::size_t index);
-  void AdvancePausing(const ClockReading& clock, std::size_t index, const Belief& belief);
-  void AdvanceApplying(const ClockReading& clock, std::size_t index, const Belief& belief);
-  void AdvanceWatching(const ClockReading& clock, std::size_t index, const Belief& belief);
+  void AdvancePausing(const ClockReading& clock, std::size_t index, const InstanceStatus& status);
+  void AdvanceApplying(const ClockReading& clock, std::size_t index, const InstanceStatus& status);
+  void AdvanceWatching(const ClockReading& clock, std::size_t index, const InstanceStatus& status);
   void StartNext(const ClockReading& clock);
   void EnterStage(const ClockReading& clock, std::size_t index, Stage stage, const std::string& note = {});
   void Fail(const ClockReading& clock, std::size_t index, const std::string& reason);
--- a/src/change/record.cpp
+++ b/src/change/record.cpp
@@ -29,7 +29,7 @@
 const char* NameOf(Kind kind) { return kKinds[static_cast<std::size_t>(kind)]; }
 const char* NameOf(Stage stage) { return kStages[static_cast<std::size_t>(stage)]; }
 const char* NameOf(State state) { return kStates[static_cast<std::size_t>(state)]; }
-const char* NameOf(Belief::Phase phase) { return kPhases[static_cast<std::size_t>(phase)]; }
+const char* NameOf(InstanceStatus::Phase phase) { return kPhases[static_cast<std::size_t>(phase)]; }
 
 Json ToJson(const Record& record) {
   Json targets = Json::array();
@@ -74,34 +74,34 @@
   }
 }
 
-Json ToJson(const Belief& belief) {
-  return {{"instance", belief.instance},
-          {"phase", NameOf(belief.phase)},
-          {"settled", belief.settled},
-          {"stamp", belief.stamp},
-          {"pid", belief.pid},
-          {"held", belief.held_messages},
-          {"fault", belief.fault},
-          {"fault_stamp", belief.fault_stamp},
-          {"asked", belief.counts.received},
-          {"refused", belief.counts.rejected},
-          {"ended", belief.counts.ended},
-          {"failed", belief.counts.failed}};
+Json ToJson(const InstanceStatus& status) {
+  return {{"instance", status.instance},
+          {"phase", NameOf(status.phase)},
+          {"settled", status.settled},
+          {"stamp", status.stamp},
+          {"pid", status.pid},
+          {"held", status.held_messages},
+          {"fault", status.fault},
+          {"fault_stamp", status.fault_stamp},
+          {"asked", status.counts.received},
+          {"refused", status.counts.rejected},
+          {"ended", status.counts.ended},
+          {"failed", status.counts.failed}};
 }
 
-Belief BeliefFromJson(const Json& json) {
+InstanceStatus InstanceStatusFromJson(const Json& json) {
   try {
-    Belief belief;
-    belief.instance = json.at("instance");
-    belief.phase = EnumFromName<Belief::Phase>(kPhases, json, "phase");
-    belief.settled = json.at("settled");
-    belief.stamp = json.at("stamp");
-    belief.pid = json.at("pid");
-    belief.held_messages = json.at("held");
-    belief.fault = json.at("fault");
-    belief.fault_stamp = json.at("fault_stamp");
-    belief.counts = {json.at("asked"), json.at("refused"), json.at("ended"), json.at("failed")};
-    return belief;
+    InstanceStatus status;
+    status.instance = json.at("instance");
+    status.phase = EnumFromName<InstanceStatus::Phase>(kPhases, json, "phase");
+    status.settled = json.at("settled");
+    status.stamp = json.at("stamp");
+    status.pid = json.at("pid");
+    status.held_messages = json.at("held");
+    status.fault = json.at("fault");
+    status.fault_stamp = json.at("fault_stamp");
+    status.counts = {json.at("asked"), json.at("refused"), json.at("ended"), json.at("failed")};
+    return status;
   } catch (const Json::exception& e) {
     throw std::runtime_error(std::string("what an agent says of an instance: ") + e.what());
   }
--- a/src/change/record.hpp
+++ b/src/change/record.hpp
@@ -32,8 +32,8 @@
   int max_in_progress = 1;
   // Share of the other instances' capacity that the observed message rate may take.
   double max_load_share = 0.8;
-  // An instance whose last belief is older than this is unknown.
-  Time max_belief_age{2'000'000};
+  // An instance whose last status is older than this is unknown.
+  Time max_status_age{2'000'000};
   // Time for which rates and shares are observed before the first instance is taken out.
   Time observation_time{2'000'000};
   // Time that a paused instance has to finish the messages it holds; what is left stays in its journal.
@@ -147,11 +147,11 @@
 };
 
 // The last known state of an instance.
-struct Belief {
+struct InstanceStatus {
   enum class Phase { kDown, kStarting, kServing, kPaused, kEnding };
 
   std::string instance;
-  // When the state was asked for. It was read later than that, so a belief is never taken to be newer than it
+  // When the state was requested. The agent read it later, so a status never counts as newer than it
   // is.
   Time requested_at{0};
   Phase phase = Phase::kDown;
@@ -168,11 +168,11 @@
   Counts counts;
 };
 
-const char* NameOf(Belief::Phase phase);
+const char* NameOf(InstanceStatus::Phase phase);
 // Without `requested_at`, which belongs to the clock of the reader.
-Json ToJson(const Belief& belief);
+Json ToJson(const InstanceStatus& status);
 // Throws std::runtime_error that names the invalid field.
-Belief BeliefFromJson(const Json& json);
+InstanceStatus InstanceStatusFromJson(const Json& json);
 
 // What an order asks of an instance.
 enum class DesiredPhase { kServing, kPaused };
--- a/src/ctl/view.cpp
+++ b/src/ctl/view.cpp
@@ -42,7 +42,7 @@
 }
 
 Json StatusOf(const group::Group& group, const std::map<std::string, Response>& responses,
-              std::int64_t belief_age_ms) {
+              std::int64_t max_status_age_ms) {
   std::map<std::string, Json> reported;
   for (const auto& [agent, response] : responses) {
     if (!response.answer) continue;
@@ -59,17 +59,17 @@
       row["want"] = TextOf(one, "want");
       row["deaths"] = NumberOf(one, "deaths");
       const std::int64_t age = NumberOf(one, "age_ms", -1);
-      if (one.contains("belief") && age <= belief_age_ms) {
-        const Json& belief = one.at("belief");
+      if (one.contains("belief") && age <= max_status_age_ms) {
+        const Json& instance_status = one.at("belief");
         row["known"] = true;
         row["age_ms"] = age;
-        row["phase"] = TextOf(belief, "phase");
-        row["version"] = Version(TextOf(belief, "stamp"));
-        row["stamp"] = TextOf(belief, "stamp");
+        row["phase"] = TextOf(instance_status, "phase");
+        row["version"] = Version(TextOf(instance_status, "stamp"));
+        row["stamp"] = TextOf(instance_status, "stamp");
         for (const char* key : {"held", "asked", "refused", "ended", "failed", "pid"})
-          row[key] = NumberOf(belief, key);
-        row["settled"] = belief.value("settled", false);
-        row["fault"] = TextOf(belief, "fault");
+          row[key] = NumberOf(instance_status, key);
+        row["settled"] = instance_status.value("settled", false);
+        row["fault"] = TextOf(instance_status, "fault");
       }
     } else if (const auto agent = responses.find(instance.agent);
                agent != responses.end() && !agent->second.answer) {
--- a/src/ctl/view.hpp
+++ b/src/ctl/view.hpp
@@ -16,9 +16,9 @@
 
 // One entry for each instance of the group, whether or not its agent answered:
 //   instance, agent, known, phase, held, asked, refused, version, wanted, pid, deaths, age_ms, fault
-// If no state newer than `belief_age_ms` is known, `known` is false and `phase` is "unknown".
+// If no state newer than `max_status_age_ms` is known, `known` is false and `phase` is "unknown".
 control::Json StatusOf(const group::Group& group, const std::map<std::string, Response>& responses,
-                       std::int64_t belief_age_ms);
+                       std::int64_t max_status_age_ms);
 std::string StatusTable(const control::Json& status);
 std::string AgentTable(const group::Group& group, const std::map<std::string, Response>& responses);
 
--- a/src/group/group.cpp
+++ b/src/group/group.cpp
@@ -67,7 +67,7 @@
     limits.max_unavailable = Integer(node, "most_out", "limits.", 1, 1000, limits.max_unavailable);
     limits.max_in_progress = Integer(node, "batch", "limits.", 1, 1000, limits.max_in_progress);
     limits.max_load_share = Number(node, "headroom", "limits.", 0.01, 1, limits.max_load_share);
-    limits.max_belief_age = Duration(node, "belief_age", "limits.", limits.max_belief_age);
+    limits.max_status_age = Duration(node, "belief_age", "limits.", limits.max_status_age);
     limits.observation_time = Duration(node, "observe_for", "limits.", limits.observation_time);
     limits.settle_timeout = Duration(node, "settle_within", "limits.", limits.settle_timeout);
     limits.ready_timeout = Duration(node, "ready_within", "limits.", limits.ready_timeout);
@@ -78,7 +78,7 @@
     limits.min_sample = Integer(node, "least_sample", "limits.", 1, 1'000'000, limits.min_sample);
     limits.max_unexpected_exits =
         Integer(node, "most_deaths", "limits.", 0, 100, limits.max_unexpected_exits);
-    if (limits.max_belief_age < std::chrono::milliseconds(500)) {
+    if (limits.max_status_age < std::chrono::milliseconds(500)) {
       Fail(node["belief_age"].Mark(), "limits.belief_age",
            "must be at least 500ms: agents are asked each 300ms");
     }
--- a/src/supervise/supervisor.cpp
+++ b/src/supervise/supervisor.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using change::Belief;
 using change::DesiredPhase;
+using change::InstanceStatus;
 
 constexpr Time kSearchInterval = 200ms;
 constexpr Time kStartingQueryInterval = 50ms, kRunningQueryInterval = 250ms;
@@ -96,7 +96,8 @@
     state_ = State::kSearching;
     return;
   }
-  const bool ready = status.phase == Belief::Phase::kServing || status.phase == Belief::Phase::kPaused;
+  const bool ready =
+      status.phase == InstanceStatus::Phase::kServing || status.phase == InstanceStatus::Phase::kPaused;
   if (state_ == State::kStarting && ready) {
     state_ = State::kRunning;
     state_since_ = now;
@@ -217,8 +218,10 @@
     }
     return;
   }
-  const bool pause = desired_.want == DesiredPhase::kPaused && status_->phase == Belief::Phase::kServing;
-  const bool resume = desired_.want == DesiredPhase::kServing && status_->phase == Belief::Phase::kPaused;
+  const bool pause =
+      desired_.want == DesiredPhase::kPaused && status_->phase == InstanceStatus::Phase::kServing;
+  const bool resume =
+      desired_.want == DesiredPhase::kServing && status_->phase == InstanceStatus::Phase::kPaused;
   if ((!pause && !resume) || now < next_command_at_) return;
   next_command_at_ = now + kCommandRetryInterval;
   actions->push_back(SendCommand{pause ? "drain" : "resume", {}});
@@ -232,36 +235,36 @@
   actions->push_back(SendSignal{pid_, SIGTERM});
 }
 
-std::optional<change::Belief> Supervisor::CurrentBelief(const std::string& instance, Time now) const {
-  Belief belief;
-  belief.instance = instance;
-  belief.requested_at = now;
-  belief.pid = pid_;
-  belief.fault = fault_;
-  belief.fault_stamp = fault_stamp_;
+std::optional<change::InstanceStatus> Supervisor::CurrentStatus(const std::string& instance, Time now) const {
+  InstanceStatus instance_status;
+  instance_status.instance = instance;
+  instance_status.requested_at = now;
+  instance_status.pid = pid_;
+  instance_status.fault = fault_;
+  instance_status.fault_stamp = fault_stamp_;
   switch (state_) {
     case State::kSearching:
       return std::nullopt;
     case State::kDown:
-      belief.phase = Belief::Phase::kDown;
-      return belief;
+      instance_status.phase = InstanceStatus::Phase::kDown;
+      return instance_status;
     case State::kStopping:
-      belief.phase = Belief::Phase::kEnding;
-      return belief;
+      instance_status.phase = InstanceStatus::Phase::kEnding;
+      return instance_status;
     case State::kStarting:
       // Nothing is known of an adopted process until it reports its status.
       if (adopted_) return std::nullopt;
-      belief.phase = Belief::Phase::kStarting;
-      return belief;
+      instance_status.phase = InstanceStatus::Phase::kStarting;
+      return instance_status;
     case State::kRunning:
       if (!status_ || now - status_received_at_ > kMaxStatusAge) return std::nullopt;
-      belief.requested_at = status_received_at_;
-      belief.phase = status_->phase;
-      belief.settled = status_->settled;
-      belief.stamp = status_->stamp;
-      belief.held_messages = status_->held;
-      belief.counts = status_->counts;
-      return belief;
+      instance_status.requested_at = status_received_at_;
+      instance_status.phase = status_->phase;
+      instance_status.settled = status_->settled;
+      instance_status.stamp = status_->stamp;
+      instance_status.held_messages = status_->held;
+      instance_status.counts = status_->counts;
+      return instance_status;
   }
   return std::nullopt;
 }
--- a/src/supervise/supervisor.hpp
+++ b/src/supervise/supervisor.hpp
@@ -38,7 +38,7 @@
 struct NoProcessFound {};
 // Status that the relay reported on its control socket.
 struct Status {
-  change::Belief::Phase phase = change::Belief::Phase::kStarting;
+  change::InstanceStatus::Phase phase = change::InstanceStatus::Phase::kStarting;
   bool settled = false;
   std::string stamp;
   std::int64_t pid = 0, held = 0;
@@ -108,8 +108,8 @@
   std::int64_t pid() const { return pid_; }
   const Desired& desired() const { return desired_; }
   std::int64_t unexpected_exits() const { return unexpected_exits_; }
-  // What is known of the instance, valid as of the belief's `at`; nullopt while its state is unknown.
-  std::optional<change::Belief> CurrentBelief(const std::string& instance, Time now) const;
+  // The last known state of the instance, as of its `requested_at`; nullopt while the state is unknown.
+  std::optional<change::InstanceStatus> CurrentStatus(const std::string& instance, Time now) const;
 
  private:
   void HandleEvent(Time now, const Event& event, std::vector<Action>* actions);
--- a/tests/group/chaos_test.cpp
+++ b/tests/group/chaos_test.cpp
@@ -95,10 +95,11 @@
   result.state = harness.ChangeState();
   result.totals = harness.StopLoadAndWait();
   // A change that is done was applied to every instance: the stamp names the order that the instance runs by.
-  const auto beliefs = harness.Beliefs();
-  for (const auto& [name, belief] : beliefs) {
-    INFO(name << " " << belief.dump());
-    if (result.state == "done") CHECK(belief.at("stamp").get<std::string>().find("@c") != std::string::npos);
+  const auto statuses = harness.InstanceStatuses();
+  for (const auto& [name, instance_status] : statuses) {
+    INFO(name << " " << instance_status.dump());
+    if (result.state == "done")
+      CHECK(instance_status.at("stamp").get<std::string>().find("@c") != std::string::npos);
   }
   CHECK(harness.FindInconsistency().empty());
   return result;
--- a/tests/group/engine_test.cpp
+++ b/tests/group/engine_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using Phase = Belief::Phase;
+using Phase = InstanceStatus::Phase;
 
 // Model of the instances under their agents, on a virtual clock. An order takes effect after a delay, and an
 // instance that was killed restarts by its latest order.
@@ -46,7 +46,7 @@
     return spec;
   }
 
-  // Advances the clock by 100 ms: updates the instances, reports the beliefs of those that are reachable to
+  // Advances the clock by 100 ms: updates the instances, reports the statuses of those that are reachable to
   // the engine, and executes the engine's actions.
   void Tick(std::vector<Event> events = {}) {
     REQUIRE(++tick_count < 20'000);  // ends a test that would wait forever
@@ -54,17 +54,17 @@
     for (auto& [name, instance] : instances) {
       UpdateInstance(instance);
       if (!instance.reachable) continue;
-      Belief belief;
-      belief.instance = name;
-      belief.requested_at = now;
-      belief.phase = instance.phase;
-      belief.settled = instance.phase == Phase::kPaused && now >= instance.settled_at;
-      belief.stamp = instance.phase == Phase::kDown ? "" : instance.stamp;
-      belief.pid = instance.phase == Phase::kDown ? 0 : instance.pid;
-      belief.fault = instance.fault;
-      belief.fault_stamp = instance.fault_stamp;
-      belief.counts = instance.counts;
-      events.push_back(BeliefReceived{belief});
+      InstanceStatus status;
+      status.instance = name;
+      status.requested_at = now;
+      status.phase = instance.phase;
+      status.settled = instance.phase == Phase::kPaused && now >= instance.settled_at;
+      status.stamp = instance.phase == Phase::kDown ? "" : instance.stamp;
+      status.pid = instance.phase == Phase::kDown ? 0 : instance.pid;
+      status.fault = instance.fault;
+      status.fault_stamp = instance.fault_stamp;
+      status.counts = instance.counts;
+      events.push_back(StatusReceived{status});
     }
     ExecuteActions(engine->Step({now, weekday, minute}, events));
   }
@@ -289,18 +289,18 @@
   for (int i = 0; i < 30; ++i) model.Tick();
   CHECK(model.engine->MessageRate() == Approx(150).margin(10));
   CHECK(model.engine->BlockedBy({model.now, 3, 600}, "n1") == "at most 1 may be out: n3 unknown");
-  CHECK(model.engine->FreshBelief(model.now, "n3") == nullptr);
+  CHECK(model.engine->FreshStatus(model.now, "n3") == nullptr);
 }
 
-TEST_CASE("an older belief never replaces a newer one") {
+TEST_CASE("an older status never replaces a newer one") {
   GroupModel model(2, ShortLimits());
   model.Tick();
-  Belief old_belief;
-  old_belief.instance = "n1";
-  old_belief.requested_at = model.now - 50ms;
-  old_belief.phase = Phase::kDown;
-  model.engine->Step({model.now, 3, 600}, {BeliefReceived{old_belief}});
-  CHECK(model.engine->FreshBelief(model.now, "n1")->phase == Phase::kServing);
+  InstanceStatus old_status;
+  old_status.instance = "n1";
+  old_status.requested_at = model.now - 50ms;
+  old_status.phase = Phase::kDown;
+  model.engine->Step({model.now, 3, 600}, {StatusReceived{old_status}});
+  CHECK(model.engine->FreshStatus(model.now, "n1")->phase == Phase::kServing);
 }
 
 TEST_CASE("a configuration that an instance can't start with is rolled back and the others stay unchanged") {
@@ -506,7 +506,7 @@
         std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - started_at).count());
   }
   std::sort(step_times_us.begin(), step_times_us.end());
-  std::cout << "200 instances, " << step_times_us.size() << " steps with 200 beliefs each: median "
+  std::cout << "200 instances, " << step_times_us.size() << " steps with 200 statuses each: median "
             << step_times_us[step_times_us.size() / 2] << " us, most " << step_times_us.back()
             << " us (including the model's own time), memory grown by " << resident_kb() - kb_before << " kB"
             << std::endl;
--- a/tests/group/group_harness.cpp
+++ b/tests/group/group_harness.cpp
@@ -213,7 +213,7 @@
   return WaitUntil([&] { return final_states.count(ChangeState()) > 0; }, timeout);
 }
 
-std::map<std::string, Json> GroupHarness::Beliefs() {
+std::map<std::string, Json> GroupHarness::InstanceStatuses() {
   std::map<std::string, Json> all;
   for (const std::string& name : site.agents) {
     const auto answer = AskAgent(name, {{"op", "local"}});
@@ -226,9 +226,9 @@
 }
 
 bool GroupHarness::AllServing() {
-  const auto beliefs = Beliefs();
-  return beliefs.size() == site.instances.size() &&
-         std::all_of(beliefs.begin(), beliefs.end(),
+  const auto statuses = InstanceStatuses();
+  return statuses.size() == site.instances.size() &&
+         std::all_of(statuses.begin(), statuses.end(),
                      [](const auto& entry) { return entry.second.at("phase") == "serving"; });
 }
 
@@ -257,18 +257,18 @@
 
 std::string GroupHarness::FindInconsistency() {
   const auto relays = RelayProcesses();
-  const auto beliefs = Beliefs();
+  const auto statuses = InstanceStatuses();
   for (std::size_t i = 0; i < site.instances.size(); ++i) {
     const std::string& name = site.instances[i];
     const auto it = relays.find(name);
     if (it == relays.end()) return name + ": no process";
     if (it->second.size() != 1) return name + ": " + std::to_string(it->second.size()) + " processes";
-    const auto belief = beliefs.find(name);
-    if (belief == beliefs.end()) return name + ": its agent reports no belief";
-    if (belief->second.at("pid") != it->second.front())
+    const auto instance_status = statuses.find(name);
+    if (instance_status == statuses.end()) return name + ": its agent reports no status";
+    if (instance_status->second.at("pid") != it->second.front())
       return name + ": its agent reports another process id";
-    if (belief->second.at("phase") != "serving")
-      return name + ": " + belief->second.at("phase").get<std::string>();
+    if (instance_status->second.at("phase") != "serving")
+      return name + ": " + instance_status->second.at("phase").get<std::string>();
     const auto holder = journal::FolderLock::HolderOf(folder + "/" + site.agent_of[i] + "/state/" + name);
     if (!holder || *holder != it->second.front())
       return name + ": its state folder is locked by another process or by none";
--- a/tests/group/group_harness.hpp
+++ b/tests/group/group_harness.hpp
@@ -78,8 +78,8 @@
   std::string ChangeState();
   // Waits until the latest change is in a final state; returns false on timeout.
   bool WaitUntilFinished(net::Time timeout = 60s);
-  // Belief of each instance as its agent reports it; an instance whose state is unknown has no entry.
-  std::map<std::string, Json> Beliefs();
+  // Status of each instance as its agent reports it; an instance whose state is unknown has no entry.
+  std::map<std::string, Json> InstanceStatuses();
   bool AllServing();
 
   // Ids of the group's live relay processes by instance; more than one id means a second copy.
--- a/tests/group/group_process_test.cpp
+++ b/tests/group/group_process_test.cpp
@@ -40,7 +40,7 @@
   CHECK(totals.rejected + totals.unanswered == 0);
 }
 
-// Guards against a failure of the random kill test (seeds 113 and 477): a new leader that had no belief of
+// Guards against a failure of the random kill test (seeds 113 and 477): a new leader that had no status of
 // every instance yet rejected the change.
 TEST_CASE("a new leader starts a change that is requested right after its election") {
   GroupHarness harness;
@@ -268,7 +268,8 @@
     CHECK(harness.ChangeState() == "done");
     REQUIRE(harness.WaitUntil([&] { return harness.FindInconsistency().empty(); }));
     const std::string id = StringField(harness.GetChange().at("change"), "change");
-    CHECK(StringField(harness.Beliefs().at("n2"), "stamp").find("@" + id + ".1") != std::string::npos);
+    CHECK(StringField(harness.InstanceStatuses().at("n2"), "stamp").find("@" + id + ".1") !=
+          std::string::npos);
     harness.RunFor(500ms);
   }
   const standin::Totals totals = harness.StopLoadAndWait();
@@ -308,17 +309,17 @@
   GroupHarness harness;
   harness.StartAll();
   const auto before = RelayPids(harness);
-  const std::string first = StringField(harness.Beliefs().at("n2"), "stamp");
+  const std::string first = StringField(harness.InstanceStatuses().at("n2"), "stamp");
   Json next = harness.ConfigOf("n2");
   next["limits"]["sockets"] = 400;
   REQUIRE(harness.StartReconfiguration({{"n2", next}}).value("ok", false));
   REQUIRE(harness.WaitUntilFinished());
   CHECK(harness.ChangeState() == "done");
-  const std::string second = StringField(harness.Beliefs().at("n2"), "stamp");
+  const std::string second = StringField(harness.InstanceStatuses().at("n2"), "stamp");
   CHECK(oxbowspread::change::VersionOf(second) != oxbowspread::change::VersionOf(first));
   REQUIRE(harness.StartChange("rollback").value("ok", false));
   REQUIRE(harness.WaitUntilFinished());
-  CHECK(oxbowspread::change::VersionOf(StringField(harness.Beliefs().at("n2"), "stamp")) ==
+  CHECK(oxbowspread::change::VersionOf(StringField(harness.InstanceStatuses().at("n2"), "stamp")) ==
         oxbowspread::change::VersionOf(first));
   CHECK(RelayPids(harness) == before);
 }
@@ -362,7 +363,7 @@
                                         " holds its state folder and does not answer") != std::string::npos;
   }));
   CHECK(harness.RelayProcesses().at(n1).size() == 1);
-  CHECK(harness.Beliefs().count(n1) == 0);  // its state is unknown: neither running nor down
+  CHECK(harness.InstanceStatuses().count(n1) == 0);  // its state is unknown: neither running nor down
   kill(pid, SIGCONT);
   CHECK(harness.WaitUntil([&] { return harness.FindInconsistency().empty(); }));
   CHECK(harness.RelayPid(n1) == pid);
@@ -466,8 +467,8 @@
   REQUIRE(harness.WaitUntilFinished());
   std::string leader;
   REQUIRE(harness.WaitUntil([&] { return !(leader = harness.Leader()).empty(); }));
-  // The leader is suspended for longer than a belief stays valid and for less than its lease, with the
-  // request in its receive buffer. When it resumes, its beliefs of the other agents have expired although
+  // The leader is suspended for longer than a status stays valid and for less than its lease, with the
+  // request in its receive buffer. When it resumes, its statuses of the other agents have expired although
   // those agents were reachable all the time.
   harness.SignalAgent(leader, SIGSTOP);
   net::Timer resume_timer(harness.loop, [&] { harness.SignalAgent(leader, SIGCONT); });
@@ -501,7 +502,7 @@
                         {"dry_run", true},
                         {"instances", harness.site.instances}};
   std::optional<Json> answer;
-  // Until the beliefs of the agent's instances expire, the leader may accept the change, which then waits.
+  // Until the statuses of the agent's instances expire, the leader may accept the change, which then waits.
   REQUIRE(harness.WaitUntil([&] {
     const std::string leader_now = harness.Leader();
     answer.reset();
@@ -558,7 +559,7 @@
     harness.SendRequest(next, request, &repeated_answer);
     harness.SendRequest(next, other_request, &other_answer);  // sent after it on the same connection
     const bool both_answered = harness.WaitUntil([&] { return repeated_answer && other_answer; });
-    // Without a leader, or with one that has no beliefs of its instances yet, both requests have to be
+    // Without a leader, or with one that has no statuses of its instances yet, both requests have to be
     // retried.
     return both_answered &&
            (repeated_answer->value("ok", false) ||
@@ -603,7 +604,7 @@
   check_exit_code({"apply"}, 0);
   CHECK(output.find("nothing differs") != output.npos);
   check_exit_code({"drain", "n1"}, 0);
-  CHECK(StringField(harness.Beliefs().at("n1"), "phase") == "paused");
+  CHECK(StringField(harness.InstanceStatuses().at("n1"), "phase") == "paused");
   check_exit_code({"resume", "n1"}, 0);
   CHECK(harness.AllServing());
   check_exit_code({"restart", "--all", "--no-wait"}, 0);
--- a/tests/group/supervisor_test.cpp
+++ b/tests/group/supervisor_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 using namespace std::chrono_literals;
-using change::Belief;
 using change::DesiredPhase;
-using Phase = Belief::Phase;
+using change::InstanceStatus;
+using Phase = InstanceStatus::Phase;
 
 // Model of the relay process, the lock of its state folder and the answers of its control socket. Executes
 // the supervisor's actions and feeds the results back as events.
@@ -79,8 +79,8 @@
     pending.push_back(ProcessExited{exit_code});
   }
   Phase reported_phase() const {
-    const auto belief = supervisor.CurrentBelief("n1", now);
-    return belief ? belief->phase : Phase::kDown;
+    const auto instance_status = supervisor.CurrentStatus("n1", now);
+    return instance_status ? instance_status->phase : Phase::kDown;
   }
 
   Supervisor supervisor;
@@ -103,7 +103,7 @@
   model.Run(2s);
   CHECK(model.spawn_count == 1);
   CHECK(model.reported_phase() == Phase::kServing);
-  CHECK(model.supervisor.CurrentBelief("n1", model.now)->stamp == "v1@first");
+  CHECK(model.supervisor.CurrentStatus("n1", model.now)->stamp == "v1@first");
 }
 
 TEST_CASE("a relay that already runs is adopted and neither started nor restarted") {
@@ -118,12 +118,12 @@
   CHECK(model.reported_phase() == Phase::kServing);
 }
 
-TEST_CASE("while a search finds no clear result nothing is started and no belief is reported") {
+TEST_CASE("while a search finds no clear result nothing is started and no status is reported") {
   RelayModel model;
   model.search_inconclusive = true;
   model.Run(20s);
   CHECK(model.spawn_count == 0);
-  CHECK_FALSE(model.supervisor.CurrentBelief("n1", model.now).has_value());
+  CHECK_FALSE(model.supervisor.CurrentStatus("n1", model.now).has_value());
   model.search_inconclusive = false;
   model.Run(2s);
   CHECK(model.spawn_count == 1);
@@ -142,7 +142,7 @@
     model.Run(5s);
   }
   const int spawns_before = model.spawn_count;
-  CHECK(model.supervisor.CurrentBelief("n1", model.now)->fault.find("died 6 times in a minute") == 0);
+  CHECK(model.supervisor.CurrentStatus("n1", model.now)->fault.find("died 6 times in a minute") == 0);
   model.Run(20s);
   CHECK(model.spawn_count == spawns_before);  // in a crash loop the delay is 30 s
   model.Run(15s);
@@ -153,10 +153,10 @@
   RelayModel model;
   model.immediate_exit_code = 1;
   model.Run(2s);
-  const auto belief = model.supervisor.CurrentBelief("n1", model.now);
-  REQUIRE(belief);
-  CHECK(belief->fault == "does not come up: it ended with code 1");
-  CHECK(belief->fault_stamp == "v1@first");
+  const auto instance_status = model.supervisor.CurrentStatus("n1", model.now);
+  REQUIRE(instance_status);
+  CHECK(instance_status->fault == "does not come up: it ended with code 1");
+  CHECK(instance_status->fault_stamp == "v1@first");
   CHECK(model.spawn_count >= 3);
   CHECK(model.spawn_count <= 6);
   // Another order clears the fault and starts the relay at once.
@@ -164,7 +164,7 @@
   model.Step({DesiredChanged{{DesiredPhase::kServing, "v0@c1.1u", false}}});
   model.Run(1s);
   CHECK(model.reported_phase() == Phase::kServing);
-  CHECK(model.supervisor.CurrentBelief("n1", model.now)->fault.empty());
+  CHECK(model.supervisor.CurrentStatus("n1", model.now)->fault.empty());
 }
 
 TEST_CASE("a process that finds the folder locked leads to a new search and is not counted as a crash") {
@@ -209,7 +209,7 @@
   model.Step({DesiredChanged{{DesiredPhase::kServing, "v3@c2.1", true}}});
   model.Run(3s);
   CHECK(model.pid == pid);
-  CHECK(model.supervisor.CurrentBelief("n1", model.now)->fault ==
+  CHECK(model.supervisor.CurrentStatus("n1", model.now)->fault ==
         "refused the configuration: limits.sockets: must be at least 48");
   CHECK(std::count(model.commands.begin(), model.commands.end(), "reload") == 2);
 }
@@ -231,7 +231,7 @@
   model.Run(1s);
   model.unresponsive = true;
   model.Run(30s);
-  CHECK_FALSE(model.supervisor.CurrentBelief("n1", model.now).has_value());
+  CHECK_FALSE(model.supervisor.CurrentStatus("n1", model.now).has_value());
   CHECK(model.spawn_count == 1);
   CHECK(model.signals.empty());
 }
@@ -250,7 +250,7 @@
   RelayModel model;
   model.spawn_fails = true;
   model.Run(25s);
-  CHECK(model.supervisor.CurrentBelief("n1", model.now)->fault == "can't be started: no such file");
+  CHECK(model.supervisor.CurrentStatus("n1", model.now)->fault == "can't be started: no such file");
   CHECK(model.spawn_count == 3);
 }
 
@@ -286,7 +286,7 @@
       }
     }
     model.Run(60s);
-    REQUIRE(model.supervisor.CurrentBelief("n1", model.now).has_value());
+    REQUIRE(model.supervisor.CurrentStatus("n1", model.now).has_value());
     CHECK(model.reported_phase() ==
           (last_order.want == DesiredPhase::kPaused ? Phase::kPaused : Phase::kServing));
     CHECK(model.stamp == last_order.stamp);
