--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -139,14 +139,14 @@
     if (controllers_.count(instance.name) > 0) continue;
     supervise::Desired initial;
     if (const auto it = desired.find(instance.name); it != desired.end()) {
-      initial = {change::DesiredPhaseFromName(it->second.want), it->second.stamp, it->second.reload};
+      initial = {change::DesiredPhaseFromName(it->second.phase), it->second.stamp, it->second.reload};
     } else {
       // A new instance starts with the present content of its configuration file.
       const std::string text = group::ReadFile(instance.config_path);
       config::ParseAndValidate(text);
       initial = {change::DesiredPhase::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
       store_->PutConfig(instance.name, change::VersionOf(initial.stamp), text);
-      store_->PutDesired(instance.name, {NameOf(initial.want), initial.stamp, false});
+      store_->PutDesired(instance.name, {NameOf(initial.phase), initial.stamp, false});
     }
     controllers_[instance.name] = std::make_unique<RelayController>(
         loop_, instance.name, Paths{options_.folder, options_.relay_program}, *store_, initial,
@@ -241,7 +241,7 @@
   Json instances = Json::array();
   for (const auto& [name, controller] : controllers_) {
     Json status = {{"instance", name},
-                   {"want", NameOf(controller->supervisor().desired().want)},
+                   {"want", NameOf(controller->supervisor().desired().phase)},
                    {"wanted_stamp", controller->supervisor().desired().stamp},
                    {"deaths", controller->supervisor().unexpected_exits()}};
     if (const auto instance_status = controller->CurrentStatus()) {
--- a/src/agent/relay_controller.cpp
+++ b/src/agent/relay_controller.cpp
@@ -71,7 +71,7 @@
     desired.reload = supervisor_.desired().reload;
   }
   if (desired == supervisor_.desired()) return;
-  store_.PutDesired(instance_, {NameOf(desired.want), desired.stamp, desired.reload});
+  store_.PutDesired(instance_, {NameOf(desired.phase), desired.stamp, desired.reload});
   Step({supervise::DesiredChanged{std::move(desired)}});
 }
 
--- a/src/apps/oxbowagent.cpp
+++ b/src/apps/oxbowagent.cpp
@@ -13,7 +13,7 @@
 namespace {
 using namespace oxbowspread;
 using apps::kExitBadInput;
-constexpr int kFolderLocked = 3;
+constexpr int kFolderLockedExitCode = 3;
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -56,7 +56,7 @@
     loop.Run();
   } catch (const journal::FolderLocked& e) {
     std::cerr << "oxbowagent: " << e.what() << "\n";
-    return kFolderLocked;
+    return kFolderLockedExitCode;
   } catch (const std::exception& e) {
     std::cerr << "oxbowagent: " << e.what() << "\n";
     return kExitBadInput;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -44,7 +44,7 @@
 void Store::PutDesired(const std::string& instance, const Desired& desired) {
   Statement(database_, "INSERT OR REPLACE INTO desired VALUES (?, ?, ?, ?)")
       .Bind(instance)
-      .Bind(desired.want)
+      .Bind(desired.phase)
       .Bind(desired.stamp)
       .Bind(std::int64_t{desired.reload})
       .Step();
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -16,7 +16,7 @@
 
 // The state that an instance is to be brought to, see supervise::Desired.
 struct Desired {
-  std::string want, stamp;
+  std::string phase, stamp;
   bool reload = false;
 };
 
--- a/src/supervise/supervisor.cpp
+++ b/src/supervise/supervisor.cpp
@@ -122,7 +122,7 @@
   const bool was_running = state_ == State::kRunning;
   pid_ = 0;
   status_.reset();
-  if (exited.exit_code == kFolderLocked && !was_running && !was_stopping) {
+  if (exited.exit_code == kFolderLockedExitCode && !was_running && !was_stopping) {
     actions->push_back(RecordEvent{"found its state folder held by another process"});
     state_ = State::kSearching;
     searched_at_ = now;  // delays the search: the holder may be about to exit
@@ -219,9 +219,9 @@
     return;
   }
   const bool pause =
-      desired_.want == DesiredPhase::kPaused && status_->phase == InstanceStatus::Phase::kServing;
+      desired_.phase == DesiredPhase::kPaused && status_->phase == InstanceStatus::Phase::kServing;
   const bool resume =
-      desired_.want == DesiredPhase::kServing && status_->phase == InstanceStatus::Phase::kPaused;
+      desired_.phase == DesiredPhase::kServing && status_->phase == InstanceStatus::Phase::kPaused;
   if ((!pause && !resume) || now < next_command_at_) return;
   next_command_at_ = now + kCommandRetryInterval;
   actions->push_back(SendCommand{pause ? "drain" : "resume", {}});
--- a/src/supervise/supervisor.hpp
+++ b/src/supervise/supervisor.hpp
@@ -3,8 +3,8 @@
 // without I/O or a clock of its own: the caller passes in events and carries out the returned actions.
 //
 // At most one relay runs for an instance: a process is spawned only after a search found none or after the
-// known process exited. A process that finds the state folder locked exits by itself (kFolderLocked), and
-// the search starts again.
+// known process exited. A process that finds the state folder locked exits by itself (kFolderLockedExitCode),
+// and the search starts again.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 // The state that the relay is to be brought to.
 struct Desired {
-  change::DesiredPhase want = change::DesiredPhase::kServing;
+  change::DesiredPhase phase = change::DesiredPhase::kServing;
   std::string stamp;    // names the order and the configuration version that the relay is to run by
   bool reload = false;  // a running relay takes the new stamp by a reload instead of a restart
 
@@ -89,7 +89,7 @@
 using Action = std::variant<FindProcess, Spawn, QueryStatus, SendCommand, SendSignal, RecordEvent>;
 
 // Exit code of a relay that found its state folder locked by another process.
-constexpr int kFolderLocked = 3;
+constexpr int kFolderLockedExitCode = 3;
 
 // State machine for one relay process. Not thread-safe.
 class Supervisor {
--- a/tests/group/files_test.cpp
+++ b/tests/group/files_test.cpp
@@ -140,7 +140,7 @@
   CHECK_FALSE(store.GetConfig("n1", "v1").has_value());
   CHECK(store.AllDesired().at("n1").stamp == "v1@first");
   store.PutDesired("n1", {"paused", "v1@first", false});
-  CHECK(store.AllDesired().at("n1").want == "paused");
+  CHECK(store.AllDesired().at("n1").phase == "paused");
 }
 
 TEST_CASE("a file that is no store and a store of a later version are rejected and left unchanged") {
--- a/tests/group/supervisor_test.cpp
+++ b/tests/group/supervisor_test.cpp
@@ -169,7 +169,7 @@
 
 TEST_CASE("a process that finds the folder locked leads to a new search and is not counted as a crash") {
   RelayModel model;
-  model.immediate_exit_code = kFolderLocked;
+  model.immediate_exit_code = kFolderLockedExitCode;
   model.Run(150ms);
   CHECK(model.supervisor.unexpected_exits() == 0);
   model.immediate_exit_code.reset();
@@ -288,7 +288,7 @@
     model.Run(60s);
     REQUIRE(model.supervisor.CurrentStatus("n1", model.now).has_value());
     CHECK(model.reported_phase() ==
-          (last_order.want == DesiredPhase::kPaused ? Phase::kPaused : Phase::kServing));
+          (last_order.phase == DesiredPhase::kPaused ? Phase::kPaused : Phase::kServing));
     CHECK(model.stamp == last_order.stamp);
   }
 }
