--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -177,7 +177,7 @@
     if (text == group_text_) return group_fault_.clear();  // also after a rejected edit was reverted
     const auto record = StoredRecord();
     if (record && !change::IsFinished(record->state))
-      return refuse("change " + record->spec.id + " is not over yet");
+      return refuse("change " + record->spec.id + " has not finished yet");
     group::Group next = group::Read(options_.group_file);
     const auto address = [&](const group::Group& g) {
       std::string all;
--- a/src/change/engine.cpp
+++ b/src/change/engine.cpp
@@ -7,22 +7,22 @@
 namespace oxbowspread::change {
 namespace {
 
-// Time after which an order is given again if nothing shows that it was carried out.
+// Time after which an order is repeated if no status shows that it was carried out.
 constexpr Time kOrderRetryInterval = std::chrono::seconds(2);
-// Length of the history from which rates and shares are computed.
+// Length of the window of samples from which rates and shares are computed.
 constexpr Time kSampleWindow = std::chrono::seconds(10);
 
-std::string Percent(double share) {
+std::string FormatPercent(double share) {
   char text[32];
   std::snprintf(text, sizeof text, "%.1f%%", share * 100);
   return text;
 }
-std::string Number(double value) {
+std::string FormatNumber(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.0f", value);
   return text;
 }
-std::string Seconds(Time span) {
+std::string FormatSeconds(Time span) {
   char text[32];
   std::snprintf(text, sizeof text, "%.1f s", static_cast<double>(span.count()) * 1e-6);
   return text;
@@ -42,7 +42,7 @@
   for (const Event& event : events) HandleEvent(clock, event);
   if (record_ && !IsFinished(record_->state)) {
     blocked_reason_.clear();
-    for (std::size_t index = 0; index < work_.size(); ++index) Advance(clock, index);
+    for (std::size_t index = 0; index < target_runtimes_.size(); ++index) Advance(clock, index);
     StartNext(clock);
     FinishIfComplete(clock);
   }
@@ -59,16 +59,17 @@
   } else if (const auto* start = std::get_if<StartChange>(&event)) {
     if (!RejectionReason(start->spec).empty()) return;
     record_ = Record{start->spec, State::kRunning, {}, std::vector<Progress>(start->spec.targets.size())};
-    work_.assign(start->spec.targets.size(), TargetWork{});
+    target_runtimes_.assign(start->spec.targets.size(), TargetRuntime{});
     record_changed_ = true;
-    AddNote({}, std::string(NameOf(start->spec.kind)) + " of " + std::to_string(work_.size()) +
-                    " instances begun by " + start->spec.requested_by);
+    AddHistoryEntry({}, std::string(NameOf(start->spec.kind)) + " of " +
+                            std::to_string(target_runtimes_.size()) + " instances started by " +
+                            start->spec.requested_by);
   } else if (const auto* take_over = std::get_if<TakeOverChange>(&event)) {
     record_ = take_over->record;
-    work_.assign(record_->spec.targets.size(), TargetWork{});
-    for (TargetWork& work : work_) work.stage_since = clock.now;
+    target_runtimes_.assign(record_->spec.targets.size(), TargetRuntime{});
+    for (TargetRuntime& runtime : target_runtimes_) runtime.stage_since = clock.now;
     record_changed_ = true;
-    if (!IsFinished(record_->state)) AddNote({}, "taken over");
+    if (!IsFinished(record_->state)) AddHistoryEntry({}, "taken over");
   } else if (const auto* request = std::get_if<OperatorRequest>(&event)) {
     if (!record_ || IsFinished(record_->state)) return;
     switch (request->command) {
@@ -86,7 +87,7 @@
         break;
     }
   } else if (const auto* rejected = std::get_if<OrderRejected>(&event)) {
-    for (std::size_t index = 0; index < work_.size(); ++index) {
+    for (std::size_t index = 0; index < target_runtimes_.size(); ++index) {
       const bool is_target =
           record_->spec.targets[index].instance == rejected->instance && StampOf(index) == rejected->stamp;
       if (is_target && IsActive(index) && !IsFinished(record_->state))
@@ -158,7 +159,7 @@
 std::string Engine::RejectionReason(const Spec& spec) const {
   if (record_ && !IsFinished(record_->state)) {
     return "change " + record_->spec.id + " (" + NameOf(record_->spec.kind) + " by " +
-           record_->spec.requested_by + ") is not over yet";
+           record_->spec.requested_by + ") has not finished yet";
   }
   if (spec.targets.empty()) return "names no instance";
   for (const Target& target : spec.targets) {
@@ -168,8 +169,8 @@
       return target.instance + " is named twice";
   }
   if (spec.kind == Kind::kDrain && static_cast<int>(spec.targets.size()) > limits_.max_unavailable) {
-    return "would leave " + std::to_string(spec.targets.size()) + " instances out, and the limits allow " +
-           std::to_string(limits_.max_unavailable);
+    return "would leave " + std::to_string(spec.targets.size()) +
+           " instances out of service, and the limits allow " + std::to_string(limits_.max_unavailable);
   }
   return {};
 }
@@ -180,7 +181,7 @@
   return AvailabilityGuard(clock, instance);
 }
 
-// An instance that doesn't serve may always be taken out: that loses no capacity.
+// An instance that doesn't serve may always be taken out of service, since that loses no capacity.
 std::string Engine::AvailabilityGuard(const ClockReading& clock, const std::string& instance) const {
   const InstanceStatus* own = FreshStatus(clock.now, instance);
   if (own == nullptr) return instance + " is unknown";
@@ -192,25 +193,27 @@
   for (const auto& [name, state] : instances_) {
     if (name == instance) continue;
     const InstanceStatus* status = FreshStatus(clock.now, name);
-    // Counts as unavailable even if its last status still shows it serving.
-    const bool taken_out = IsBeingTakenOut(name);
-    if (status == nullptr || status->phase != InstanceStatus::Phase::kServing || taken_out) {
+    // Such an instance counts as unavailable even if its last status still shows it serving.
+    const bool is_taken_out = IsBeingTakenOut(name);
+    if (status == nullptr || status->phase != InstanceStatus::Phase::kServing || is_taken_out) {
       ++unavailable;
-      const char* how = status == nullptr ? "unknown" : taken_out ? "being turned" : NameOf(status->phase);
-      unavailable_list += (unavailable_list.empty() ? "" : ", ") + name + " " + how;
+      const char* availability = status == nullptr ? "unknown"
+                                 : is_taken_out    ? "being taken out of service"
+                                                   : NameOf(status->phase);
+      unavailable_list += (unavailable_list.empty() ? "" : ", ") + name + " " + availability;
       continue;
     }
     capacity += state.capacity;
     all_capacities_known = all_capacities_known && state.capacity > 0;
   }
   if (unavailable + 1 > limits_.max_unavailable) {
-    return "at most " + std::to_string(limits_.max_unavailable) + " may be out" +
+    return "at most " + std::to_string(limits_.max_unavailable) + " may be out of service" +
            (unavailable_list.empty() ? "" : ": " + unavailable_list);
   }
   const double rate = MessageRate();
   if (all_capacities_known && rate > limits_.max_load_share * capacity) {
-    return "the rest can carry " + Number(limits_.max_load_share * capacity) +
-           " messages a second and is asked " + Number(rate);
+    return "the other instances can process " + FormatNumber(limits_.max_load_share * capacity) +
+           " messages a second and the group receives " + FormatNumber(rate);
   }
   return {};
 }
@@ -228,7 +231,7 @@
 
 bool Engine::IsBeingTakenOut(const std::string& instance) const {
   if (!record_ || IsFinished(record_->state)) return false;
-  for (std::size_t index = 0; index < work_.size(); ++index) {
+  for (std::size_t index = 0; index < target_runtimes_.size(); ++index) {
     const Stage stage = record_->progress[index].stage;
     if (record_->spec.targets[index].instance != instance) continue;
     return stage == Stage::kPausing || (stage == Stage::kApplying && !record_->spec.targets[index].reload);
@@ -243,7 +246,7 @@
                          record_->spec.id + "." + std::to_string(index + 1) + (undo ? "u" : ""));
 }
 
-void Engine::AddNote(const std::string& instance, const std::string& text, const std::string& step) {
+void Engine::AddHistoryEntry(const std::string& instance, const std::string& text, const std::string& step) {
   history_.push_back(AddHistory{instance, step, text});
 }
 
@@ -251,7 +254,7 @@
   record_->state = state;
   record_->reason = reason;
   record_changed_ = true;
-  AddNote({}, std::string(NameOf(state)) + (reason.empty() ? "" : ": " + reason));
+  AddHistoryEntry({}, std::string(NameOf(state)) + (reason.empty() ? "" : ": " + reason));
 }
 
 void Engine::EnterStage(const ClockReading& clock, std::size_t index, Stage stage, const std::string& note) {
@@ -259,27 +262,27 @@
   progress.stage = stage;
   progress.note = note;
   progress.applied = progress.applied || (stage == Stage::kApplying && !progress.undo);
-  TargetWork& work = work_[index];
-  work.stage_since = clock.now;
-  work.last_order_at = Time::min() / 2;
-  work.watched_pid = 0;
+  TargetRuntime& runtime = target_runtimes_[index];
+  runtime.stage_since = clock.now;
+  runtime.last_order_at = Time::min() / 2;
+  runtime.watched_pid = 0;
   record_changed_ = true;
   const std::string step = std::string(progress.undo ? "back: " : "") + NameOf(stage);
-  AddNote(record_->spec.targets[index].instance, step + (note.empty() ? "" : ": " + note), step);
+  AddHistoryEntry(record_->spec.targets[index].instance, step + (note.empty() ? "" : ": " + note), step);
   if (stage == Stage::kPausing || stage == Stage::kApplying) GiveOrder(clock, index);
 }
 
 void Engine::GiveOrder(const ClockReading& clock, std::size_t index) {
-  TargetWork& work = work_[index];
-  if (clock.now - work.last_order_at < kOrderRetryInterval) return;
-  work.last_order_at = clock.now;
+  TargetRuntime& runtime = target_runtimes_[index];
+  if (clock.now - runtime.last_order_at < kOrderRetryInterval) return;
+  runtime.last_order_at = clock.now;
   const Target& target = record_->spec.targets[index];
   const Kind kind = record_->spec.kind;
   Order order{target.instance, DesiredPhase::kServing, StampOf(index),
               target.reload && kind == Kind::kReconfigure};
   if (record_->progress[index].stage == Stage::kPausing) {
     order.desired_phase = DesiredPhase::kPaused;
-    // The instance keeps the order that it runs by.
+    // With an empty stamp the instance keeps its present configuration and stamp.
     order.stamp.clear();
     order.reload = false;
   } else if (AcceptsAnyStamp(index)) {
@@ -292,15 +295,16 @@
   if (!IsActive(index)) return;
   const std::string& instance = record_->spec.targets[index].instance;
   const InstanceStatus* status = FreshStatus(clock.now, instance);
-  TargetWork& work = work_[index];
+  TargetRuntime& runtime = target_runtimes_[index];
   if (status == nullptr) {
-    // An unknown instance may be up or down: nothing is decided about it, and its timeouts stand still.
-    if (!work.unknown_since) work.unknown_since = clock.now;
-    blocked_reason_ = instance + " is unknown since " + Seconds(clock.now - *work.unknown_since);
+    // An unknown instance may be up or down. Nothing is decided about it, and its timeouts are suspended.
+    if (!runtime.unknown_since) runtime.unknown_since = clock.now;
+    blocked_reason_ = instance + " has been unknown for " + FormatSeconds(clock.now - *runtime.unknown_since);
     GiveOrder(clock, index);
     return;
   }
-  if (work.unknown_since) work.stage_since += clock.now - *std::exchange(work.unknown_since, std::nullopt);
+  if (runtime.unknown_since)
+    runtime.stage_since += clock.now - *std::exchange(runtime.unknown_since, std::nullopt);
   switch (record_->progress[index].stage) {
     case Stage::kPausing:
       return AdvancePausing(clock, index, *status);
@@ -314,23 +318,24 @@
 }
 
 void Engine::AdvancePausing(const ClockReading& clock, std::size_t index, const InstanceStatus& status) {
-  const bool drain = record_->spec.kind == Kind::kDrain;
-  const bool timed_out = clock.now - work_[index].stage_since >= limits_.settle_timeout;
-  const bool empty = status.phase == InstanceStatus::Phase::kPaused && status.settled;
-  if (drain) {
-    if (empty) return EnterStage(clock, index, Stage::kDone);
+  const bool is_drain = record_->spec.kind == Kind::kDrain;
+  const bool timed_out = clock.now - target_runtimes_[index].stage_since >= limits_.settle_timeout;
+  const bool has_settled = status.phase == InstanceStatus::Phase::kPaused && status.settled;
+  if (is_drain) {
+    if (has_settled) return EnterStage(clock, index, Stage::kDone);
     if (timed_out && status.phase == InstanceStatus::Phase::kPaused) {
-      return EnterStage(clock, index, Stage::kDone, std::to_string(status.held_messages) + " still held");
+      return EnterStage(clock, index, Stage::kDone,
+                        std::to_string(status.held_messages) + " messages still held");
     }
     return GiveOrder(clock, index);
   }
-  // An instance that ended meanwhile is already out of service, and a restart brings it back.
+  // An instance whose process has exited meanwhile is already out of service, and a restart brings it back.
   if (status.phase == InstanceStatus::Phase::kDown)
     return EnterStage(clock, index, Stage::kApplying, "was down");
-  if (empty) return EnterStage(clock, index, Stage::kApplying);
+  if (has_settled) return EnterStage(clock, index, Stage::kApplying);
   if (timed_out)
     return EnterStage(clock, index, Stage::kApplying,
-                      std::to_string(status.held_messages) + " left to the journal");
+                      std::to_string(status.held_messages) + " messages left in its journal");
   GiveOrder(clock, index);
 }
 
@@ -342,59 +347,60 @@
     if (undo) return EnterStage(clock, index, Stage::kReverted);
     if (any_stamp) return EnterStage(clock, index, Stage::kDone);
     EnterStage(clock, index, Stage::kWatching);
-    work_[index].watch_start_counts = status.counts;
-    work_[index].watched_pid = status.pid;
+    target_runtimes_[index].watch_start_counts = status.counts;
+    target_runtimes_[index].watched_pid = status.pid;
     return;
   }
   if (!status.fault.empty() && status.fault_stamp == stamp) return Fail(clock, index, status.fault);
-  if (clock.now - work_[index].stage_since >= limits_.ready_timeout) {
-    return Fail(clock, index, "not ready within " + Seconds(limits_.ready_timeout));
+  if (clock.now - target_runtimes_[index].stage_since >= limits_.ready_timeout) {
+    return Fail(clock, index, "not ready within " + FormatSeconds(limits_.ready_timeout));
   }
   GiveOrder(clock, index);
 }
 
 void Engine::AdvanceWatching(const ClockReading& clock, std::size_t index, const InstanceStatus& status) {
-  TargetWork& work = work_[index];
+  TargetRuntime& runtime = target_runtimes_[index];
   Progress& progress = record_->progress[index];
   if (status.stamp != StampOf(index)) {
     if (status.phase != InstanceStatus::Phase::kServing) return;  // being restarted
-    return Fail(clock, index, "runs by another order: " + status.stamp);
+    return Fail(clock, index, "runs with the stamp of another order: " + status.stamp);
   }
   if (!status.fault.empty() && status.fault_stamp == status.stamp) return Fail(clock, index, status.fault);
-  if (work.watched_pid != 0 && status.pid != work.watched_pid && status.pid != 0) {
+  if (runtime.watched_pid != 0 && status.pid != runtime.watched_pid && status.pid != 0) {
     ++progress.unexpected_exits;
     record_changed_ = true;
     if (progress.unexpected_exits > limits_.max_unexpected_exits) {
-      return Fail(clock, index,
-                  "died " + std::to_string(progress.unexpected_exits) + " times while it was watched");
+      return Fail(
+          clock, index,
+          "exited unexpectedly " + std::to_string(progress.unexpected_exits) + " times while it was watched");
     }
-    work.watched_pid = 0;
+    runtime.watched_pid = 0;
   }
   if (status.phase != InstanceStatus::Phase::kServing) {
-    if (clock.now - work.stage_since >= limits_.ready_timeout + limits_.watch_time) {
-      return Fail(clock, index, "not ready again within " + Seconds(limits_.ready_timeout));
+    if (clock.now - runtime.stage_since >= limits_.ready_timeout + limits_.watch_time) {
+      return Fail(clock, index, "not ready again within " + FormatSeconds(limits_.ready_timeout));
     }
     return;
   }
-  if (work.watched_pid == 0) {  // the process is new: watch it from the start
-    work.watched_pid = status.pid;
-    work.watch_start_counts = status.counts;
-    work.stage_since = clock.now;
+  if (runtime.watched_pid == 0) {  // a new process: the watch time starts again
+    runtime.watched_pid = status.pid;
+    runtime.watch_start_counts = status.counts;
+    runtime.stage_since = clock.now;
     return;
   }
-  if (clock.now - work.stage_since < limits_.watch_time) return;
-  const OutcomeShares after = OutcomeSharesBetween(work.watch_start_counts, status.counts);
+  if (clock.now - runtime.stage_since < limits_.watch_time) return;
+  const OutcomeShares after = OutcomeSharesBetween(runtime.watch_start_counts, status.counts);
   if (after.received >= limits_.min_sample &&
-      after.rejected > work.shares_before.rejected + limits_.max_rejected_increase) {
+      after.rejected > runtime.shares_before.rejected + limits_.max_rejected_increase) {
     return Fail(clock, index,
-                "refused " + Percent(after.rejected) + " of " + std::to_string(after.received) + ", before " +
-                    Percent(work.shares_before.rejected));
+                "refused " + FormatPercent(after.rejected) + " of " + std::to_string(after.received) +
+                    " messages, before the change " + FormatPercent(runtime.shares_before.rejected));
   }
   if (after.ended >= limits_.min_sample &&
-      after.failed > work.shares_before.failed + limits_.max_failed_increase) {
+      after.failed > runtime.shares_before.failed + limits_.max_failed_increase) {
     return Fail(clock, index,
-                "did not deliver " + Percent(after.failed) + " of " + std::to_string(after.ended) +
-                    ", before " + Percent(work.shares_before.failed));
+                "did not deliver " + FormatPercent(after.failed) + " of " + std::to_string(after.ended) +
+                    " messages, before the change " + FormatPercent(runtime.shares_before.failed));
   }
   EnterStage(clock, index, Stage::kDone);
 }
@@ -419,13 +425,13 @@
 void Engine::RollBack(const ClockReading& clock, const std::string& reason) {
   if (record_->state == State::kRollingBack) return;
   SetState(State::kRollingBack, reason);
-  for (std::size_t index = 0; index < work_.size(); ++index) {
+  for (std::size_t index = 0; index < target_runtimes_.size(); ++index) {
     Progress& progress = record_->progress[index];
     if (progress.stage == Stage::kWaiting || record_->spec.kind == Kind::kResume) continue;
     const bool was_active = IsActive(index);
     progress.undo = true;
     progress.unexpected_exits = 0;
-    // Instances that are out of service are brought back at once, the others one after the other.
+    // Instances that are out of service return to service at once. The others are reverted one by one.
     if (was_active && progress.stage != Stage::kWatching) {
       EnterStage(clock, index, Stage::kApplying, progress.note);
     } else {
@@ -438,15 +444,17 @@
 void Engine::StartNext(const ClockReading& clock) {
   const bool rolling_back = record_->state == State::kRollingBack;
   if (!rolling_back && record_->state != State::kRunning) return;
-  int active = 0;
-  for (std::size_t index = 0; index < work_.size(); ++index) active += IsActive(index);
-  for (std::size_t position = 0; position < work_.size() && active < limits_.max_in_progress; ++position) {
-    const std::size_t index = rolling_back ? work_.size() - 1 - position : position;
+  int active_count = 0;
+  for (std::size_t index = 0; index < target_runtimes_.size(); ++index) active_count += IsActive(index);
+  for (std::size_t position = 0; position < target_runtimes_.size() && active_count < limits_.max_in_progress;
+       ++position) {
+    const std::size_t index = rolling_back ? target_runtimes_.size() - 1 - position : position;
     Progress& progress = record_->progress[index];
     if (progress.stage != Stage::kWaiting || progress.undo != rolling_back) continue;
     const Target& target = record_->spec.targets[index];
     const Kind kind = record_->spec.kind;
-    // Neither a reload nor a return to service takes the instance out, so the guard doesn't apply.
+    // Neither a reload nor a return to service makes the instance unavailable, so the availability check is
+    // skipped.
     const bool reload = kind == Kind::kReconfigure && target.reload;
     const bool returns_to_service = AcceptsAnyStamp(index);
     std::string reason;
@@ -455,7 +463,7 @@
       if (!rolling_back && InFreeze(clock, &freeze)) {
         reason = "frozen: " + freeze;
       } else if (!rolling_back && clock.now - *observing_since_ < limits_.observation_time) {
-        reason = "observing the group for " + Seconds(limits_.observation_time);
+        reason = "observing the group for " + FormatSeconds(limits_.observation_time);
       } else if (FreshStatus(clock.now, target.instance) == nullptr) {
         reason = target.instance + " is unknown";
       } else if (!reload) {
@@ -465,39 +473,41 @@
     }
     if (!reason.empty()) {
       blocked_reason_ = reason;
-      // Targets are started in order: no later one before this one.
+      // Targets are started strictly in order, so a blocked target also blocks the later ones.
       return;
     }
     const auto& samples = instances_.at(target.instance).samples;
     if (samples.size() >= 2)
-      work_[index].shares_before = OutcomeSharesBetween(samples.front().counts, samples.back().counts);
+      target_runtimes_[index].shares_before =
+          OutcomeSharesBetween(samples.front().counts, samples.back().counts);
     EnterStage(clock, index, reload || returns_to_service ? Stage::kApplying : Stage::kPausing);
-    ++active;
+    ++active_count;
   }
 }
 
 void Engine::FinishIfComplete(const ClockReading&) {
-  bool unfinished = false, failed = false;
-  for (std::size_t index = 0; index < work_.size(); ++index) {
+  bool has_unfinished = false, has_failed = false;
+  for (std::size_t index = 0; index < target_runtimes_.size(); ++index) {
     const Progress& progress = record_->progress[index];
-    unfinished =
-        unfinished || IsActive(index) ||
+    has_unfinished =
+        has_unfinished || IsActive(index) ||
         (progress.stage == Stage::kWaiting && progress.undo == (record_->state == State::kRollingBack));
-    failed = failed || progress.stage == Stage::kFailed;
+    has_failed = has_failed || progress.stage == Stage::kFailed;
   }
   switch (record_->state) {
     case State::kRunning:
     case State::kPaused:
-      if (!unfinished) SetState(failed ? State::kFailed : State::kDone, record_->reason);
+      if (!has_unfinished) SetState(has_failed ? State::kFailed : State::kDone, record_->reason);
       break;
     case State::kAborting: {
-      bool active = false;
-      for (std::size_t index = 0; index < work_.size(); ++index) active = active || IsActive(index);
-      if (!active) SetState(failed ? State::kFailed : State::kAborted, record_->reason);
+      bool any_active = false;
+      for (std::size_t index = 0; index < target_runtimes_.size(); ++index)
+        any_active = any_active || IsActive(index);
+      if (!any_active) SetState(has_failed ? State::kFailed : State::kAborted, record_->reason);
       break;
     }
     case State::kRollingBack:
-      if (!unfinished) SetState(failed ? State::kFailed : State::kRolledBack, record_->reason);
+      if (!has_unfinished) SetState(has_failed ? State::kFailed : State::kRolledBack, record_->reason);
       break;
     default:
       break;
--- a/src/change/engine.hpp
+++ b/src/change/engine.hpp
@@ -1,10 +1,9 @@
-// The engine of a rolling change: decides which instance of a group is taken out of service, changed, watched
-// and returned to service, and when none may be. It has no clock, socket or thread: it is given events and
-// returns actions.
+// The engine of a rolling change. It decides which instance of a group is taken out of service, changed,
+// watched and returned to service, and when no instance may be taken out. It is a state machine without I/O,
+// threads or a clock of its own: the caller passes in events and carries out the returned actions.
 //
-// An order states the wanted state of an instance ("serve with this stamp") and is idempotent: it may be
-// given again, also by another process that takes the change over. All that such a process needs is the
-// Record.
+// An order states the desired state of an instance ("serve with this stamp") and is idempotent, so it may be
+// repeated, also by another process that takes over the change. Such a process needs only the Record.
 #pragma once
 
 #include <deque>
@@ -18,25 +17,26 @@
 
 namespace oxbowspread::change {
 
+// The time of a call of the engine.
 struct ClockReading {
-  // Monotonic time. All timeouts and waits go by it.
+  // Monotonic time, used for all timeouts and delays.
   Time now{0};
-  // Day of the week and minute of the day in local time, for freezes only; day 0 is Sunday.
+  // Day of the week (0 is Sunday) and minute of the day in local time, used only for freezes.
   int weekday = 0;
   int minute = 0;
 };
 
 // ---- events ----
 
-// Ignored if a newer status is known.
+// The status of an instance. Ignored if a newer status is known.
 struct StatusReceived {
   InstanceStatus status;
 };
-// Ignored if RejectionReason() gives a reason against it, such as another running change.
+// Starts a change. Ignored if RejectionReason() returns a reason, such as another running change.
 struct StartChange {
   Spec spec;
 };
-// Continues a change that another process ran, or that is on disk.
+// Continues a change that another process ran, or that was read from disk.
 struct TakeOverChange {
   Record record;
 };
@@ -44,7 +44,7 @@
 struct OperatorRequest {
   OperatorCommand command;
 };
-// An agent will never carry out the order with this stamp.
+// An agent has permanently rejected the order with this stamp.
 struct OrderRejected {
   std::string instance, stamp, reason;
 };
@@ -56,40 +56,42 @@
 struct PersistRecord {
   Record record;
 };
+// To be sent to the agent of the instance.
 struct Order {
   std::string instance;
   DesiredPhase desired_phase = DesiredPhase::kServing;
-  // Empty: the instance keeps the order that it runs by.
+  // If empty, the instance keeps its present configuration and stamp.
   std::string stamp;
-  // Reload the process if it runs, rather than restart it.
+  // A running process is reloaded instead of restarted.
   bool reload = false;
 };
-// An entry for the log and the history. `instance` is empty if it concerns the change as a whole.
+// An entry for the log and the history. `instance` is empty if the entry concerns the change as a whole.
 struct AddHistory {
   std::string instance, step, text;
 };
 using Action = std::variant<PersistRecord, Order, AddHistory>;
 
+// Runs one change at a time. Not thread-safe.
 class Engine {
  public:
   Engine(std::vector<InstanceCapacity> instances, Limits limits);
 
   // Processes the events, in the order in which they happened, and the timeouts that are due. `clock.now`
-  // never goes back. To be called several times a second while a change is running, with or without events,
-  // since timeouts are checked nowhere else.
+  // must not decrease. To be called several times a second while a change is running, with or without
+  // events, because timeouts are checked only here.
   std::vector<Action> Step(const ClockReading& clock, const std::vector<Event>& events);
 
-  // Why this change can't be started; empty if it can.
+  // The reason why this change can't be started; empty if it can.
   std::string RejectionReason(const Spec& spec) const;
-  // Why this instance would not be taken out of service now; empty if it would.
+  // The reason why this instance can't be taken out of service now; empty if it can.
   std::string BlockedBy(const ClockReading& clock, const std::string& instance) const;
 
   const std::optional<Record>& record() const { return record_; }
-  // Why the change makes no progress; empty if it does.
+  // The reason why the change makes no progress; empty if it does.
   const std::string& blocked_reason() const { return blocked_reason_; }
-  // Null if the instance's state is unknown or older than the limit.
+  // The last status of the instance; null if there is none or it is older than Limits::max_status_age.
   const InstanceStatus* FreshStatus(Time now, const std::string& instance) const;
-  // Messages a second that the whole group receives, by the last known counts of each instance.
+  // Messages a second that the whole group receives, computed from the last known counts of each instance.
   double MessageRate() const;
 
  private:
@@ -101,24 +103,28 @@
   struct InstanceState {
     double capacity = 0;
     std::optional<InstanceStatus> status;
-    // Of one process only: emptied when the process identifier changes.
+    // Samples of one process only; cleared when the process identifier changes.
     std::deque<Sample> samples;
   };
-  // Shares of messages refused and not delivered, and the numbers of messages that they are taken of.
+  // Share of the received messages that were refused and share of the ended messages that were not delivered,
+  // with the number of received and ended messages.
   struct OutcomeShares {
     double rejected = 0, failed = 0;
     std::int64_t received = 0, ended = 0;
   };
-  // State of a target beside its Progress. Lost when another process takes the change over.
-  struct TargetWork {
+  // State of a target that is not part of its Progress. It is lost when another process takes over the
+  // change.
+  struct TargetRuntime {
     // When the current stage began.
     Time stage_since{0};
-    // When the last order was given.
+    // When the last order was sent.
     Time last_order_at{0};
     OutcomeShares shares_before;
-    // Counts and process when the watch began; the process identifier is 0 while the watch has yet to begin.
+    // Counts and process identifier at the start of the watch; the identifier is 0 until the watch has
+    // started.
     Counts watch_start_counts;
     std::int64_t watched_pid = 0;
+    // Since when the instance has had no fresh status; empty if it has one.
     std::optional<Time> unknown_since;
   };
 
@@ -134,25 +140,27 @@
   void RollBack(const ClockReading& clock, const std::string& reason);
   void SetState(State state, const std::string& reason);
   void FinishIfComplete(const ClockReading& clock);
-  // Gives the order of the target's stage, and gives it again while nothing shows that it was carried out.
+  // Sends the order of the target's stage, at most once per kOrderRetryInterval.
   void GiveOrder(const ClockReading& clock, std::size_t index);
   std::string StampOf(std::size_t index) const;
-  // Why the other instances can't do without this one; empty if they can.
+  // The reason why the other instances can't replace this one, because too many are out of service or they
+  // lack capacity; empty if they can.
   std::string AvailabilityGuard(const ClockReading& clock, const std::string& instance) const;
   OutcomeShares OutcomeSharesBetween(const Counts& from, const Counts& to) const;
-  // Whether a freeze is in effect; `description` gets its text.
+  // Whether a freeze is in effect; if so, `description` is set to its text.
   bool InFreeze(const ClockReading& clock, std::string* description) const;
   bool IsActive(std::size_t index) const;
-  // Whether the target has to serve only, by whichever order, so that it needs no restart.
+  // Whether the target only has to serve, whatever stamp it runs with, so that it needs no restart.
   bool AcceptsAnyStamp(std::size_t index) const;
   bool IsBeingTakenOut(const std::string& instance) const;
-  void AddNote(const std::string& instance, const std::string& text, const std::string& step = {});
+  void AddHistoryEntry(const std::string& instance, const std::string& text, const std::string& step = {});
 
   Limits limits_;
   std::map<std::string, InstanceState> instances_;
   std::optional<Record> record_;
-  // One entry for each target of the record.
-  std::vector<TargetWork> work_;
+  // One entry for each target of the record, in the same order.
+  std::vector<TargetRuntime> target_runtimes_;
+  // When Step() was first called; empty before.
   std::optional<Time> observing_since_;
   std::string blocked_reason_;
   // Results of the current step.
--- a/src/change/record.cpp
+++ b/src/change/record.cpp
@@ -6,7 +6,7 @@
 namespace oxbowspread::change {
 namespace {
 
-// Names of the enumerators in their order, as they are stored in records and shown to operators.
+// Names of the enumerators, in the order of their declaration, as stored in records and shown to operators.
 constexpr std::array kKinds = {"restart", "reconfigure", "drain", "resume"};
 constexpr std::array kStages = {"waiting", "pausing", "turning", "watching", "done", "undone", "failed"};
 constexpr std::array kStates = {"running", "held",    "aborting",    "rolling-back",
@@ -70,7 +70,7 @@
     }
     return record;
   } catch (const Json::exception& e) {
-    throw std::runtime_error(std::string("a change's record: ") + e.what());
+    throw std::runtime_error(std::string("invalid change record: ") + e.what());
   }
 }
 
@@ -103,7 +103,7 @@
     status.counts = {json.at("asked"), json.at("refused"), json.at("ended"), json.at("failed")};
     return status;
   } catch (const Json::exception& e) {
-    throw std::runtime_error(std::string("what an agent says of an instance: ") + e.what());
+    throw std::runtime_error(std::string("invalid instance status: ") + e.what());
   }
 }
 
--- a/tests/group/engine_test.cpp
+++ b/tests/group/engine_test.cpp
@@ -15,8 +15,8 @@
 using namespace std::chrono_literals;
 using Phase = InstanceStatus::Phase;
 
-// Model of the instances under their agents, on a virtual clock. An order takes effect after a delay, and an
-// instance that was killed restarts by its latest order.
+// Model of the instances and their agents, on a virtual clock. An order takes effect after a delay, and a
+// killed instance restarts with the stamp of its latest order.
 class GroupModel {
  public:
   struct Instance {
@@ -49,7 +49,7 @@
   // Advances the clock by 100 ms: updates the instances, reports the statuses of those that are reachable to
   // the engine, and executes the engine's actions.
   void Tick(std::vector<Event> events = {}) {
-    REQUIRE(++tick_count < 20'000);  // ends a test that would wait forever
+    REQUIRE(++tick_count < 20'000);  // fails a test that would wait forever
     now += 100ms;
     for (auto& [name, instance] : instances) {
       UpdateInstance(instance);
@@ -215,11 +215,12 @@
 
 TEST_CASE("a change waits while the other instances lack capacity and continues when the rate falls") {
   GroupModel model(3, ShortLimits());
-  model.messages_per_tick = 9;  // 270 messages a second in total; two instances can carry 0.8 * 200
+  model.messages_per_tick = 9;  // 270 messages a second in total; the limit of two instances is 0.8 * 200
   model.Tick({StartChange{model.MakeSpec(Kind::kRestart)}});
   for (int i = 0; i < 100; ++i) model.Tick();
   CHECK(model.orders.empty());
-  CHECK(model.engine->blocked_reason().find("the rest can carry 160 messages a second") != std::string::npos);
+  CHECK(model.engine->blocked_reason().find("the other instances can process 160 messages a second") !=
+        std::string::npos);
   model.messages_per_tick = 2;
   model.RunUntilFinished();
   CHECK(model.state() == State::kDone);
@@ -238,7 +239,7 @@
   CHECK(model.state() == State::kDone);
 }
 
-TEST_CASE("an instance killed at any stage ends up serving by the new order") {
+TEST_CASE("an instance killed at any stage ends up serving with the stamp of the new order") {
   for (const Stage stage :
        {Stage::kWaiting, Stage::kPausing, Stage::kApplying, Stage::kWatching, Stage::kDone}) {
     GroupModel model(3, ShortLimits());
@@ -263,7 +264,7 @@
       model.Kill("n1");
   }
   CHECK(model.state() == State::kFailed);
-  CHECK(model.record->reason.find("n1: died 3 times") == 0);
+  CHECK(model.record->reason.find("n1: exited unexpectedly 3 times") == 0);
   CHECK(model.instances["n2"].stamp == "v1@first");
 }
 
@@ -276,7 +277,7 @@
   for (int i = 0; i < 200; ++i) model.Tick();  // 20 s, four times the ready timeout
   CHECK(model.engine->record()->progress[0].stage == Stage::kApplying);
   CHECK(model.orders.size() == before);
-  CHECK(model.engine->blocked_reason().find("n1 is unknown since") == 0);
+  CHECK(model.engine->blocked_reason().find("n1 has been unknown for") == 0);
   model.instances["n1"].reachable = true;
   model.RunUntilFinished();
   CHECK(model.state() == State::kDone);
@@ -288,7 +289,7 @@
   model.instances["n3"].reachable = false;
   for (int i = 0; i < 30; ++i) model.Tick();
   CHECK(model.engine->MessageRate() == Approx(150).margin(10));
-  CHECK(model.engine->BlockedBy({model.now, 3, 600}, "n1") == "at most 1 may be out: n3 unknown");
+  CHECK(model.engine->BlockedBy({model.now, 3, 600}, "n1") == "at most 1 may be out of service: n3 unknown");
   CHECK(model.engine->FreshStatus(model.now, "n3") == nullptr);
 }
 
@@ -377,7 +378,7 @@
   model.Tick({StartChange{model.MakeSpec(Kind::kRestart)}});
   Spec second = model.MakeSpec(Kind::kDrain);
   second.id = "c2";
-  CHECK(model.engine->RejectionReason(second) == "change c1 (restart by test) is not over yet");
+  CHECK(model.engine->RejectionReason(second) == "change c1 (restart by test) has not finished yet");
   model.Tick({StartChange{second}});
   CHECK(model.engine->record()->spec.id == "c1");
 }
@@ -385,7 +386,7 @@
 TEST_CASE("a drain pauses an instance and resume returns it and a drain beyond the limit is rejected") {
   GroupModel model(3, ShortLimits());
   CHECK(model.engine->RejectionReason(model.MakeSpec(Kind::kDrain)) ==
-        "would leave 3 instances out, and the limits allow 1");
+        "would leave 3 instances out of service, and the limits allow 1");
   Spec drain{"c1", Kind::kDrain, "test", {{"n2", "v1", "v1", false}}};
   model.Tick({StartChange{drain}});
   model.RunUntilFinished();
@@ -402,7 +403,7 @@
   Limits limits = ShortLimits();
   limits.freezes = {{1u << 6, 22 * 60, 6 * 60, "sat 22:00 to 06:00"}};
   GroupModel model(2, limits);
-  model.messages_per_tick = 2;  // one instance alone can carry the load
+  model.messages_per_tick = 2;  // one instance alone has enough capacity for the load
   model.weekday = 6;
   model.minute = 23 * 60;
   model.Tick({StartChange{model.MakeSpec(Kind::kRestart)}});
@@ -442,7 +443,7 @@
 
 // The engine is replaced at random moments by a new one that has only the persisted record, as after a change
 // of the leader.
-TEST_CASE("a change completes despite new leaders and kills and lost contact over many seeds") {
+TEST_CASE("a change completes despite new leaders and kills and unreachable instances over many seeds") {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     INFO("seed " << seed);
     std::mt19937 random(seed);
@@ -485,7 +486,7 @@
   }
 }
 
-TEST_CASE("step time of the engine for 200 instances run by hand", "[.][scale]") {
+TEST_CASE("step time of the engine with 200 instances run by hand", "[.][scale]") {
   Limits limits = ShortLimits();
   limits.max_unavailable = limits.max_in_progress = 5;
   GroupModel model(200, limits);
@@ -507,8 +508,8 @@
   }
   std::sort(step_times_us.begin(), step_times_us.end());
   std::cout << "200 instances, " << step_times_us.size() << " steps with 200 statuses each: median "
-            << step_times_us[step_times_us.size() / 2] << " us, most " << step_times_us.back()
-            << " us (including the model's own time), memory grown by " << resident_kb() - kb_before << " kB"
+            << step_times_us[step_times_us.size() / 2] << " us, maximum " << step_times_us.back()
+            << " us (including the model's own time), memory growth " << resident_kb() - kb_before << " kB"
             << std::endl;
   CHECK(model.state() == State::kDone);
 }
--- a/tests/group/group_process_test.cpp
+++ b/tests/group/group_process_test.cpp
@@ -334,7 +334,7 @@
   std::ofstream(harness.site.group_file) << text + "  least_sample: 77\n";
   const std::string leader = harness.Leader();
   REQUIRE(harness.WaitUntil(
-      [&] { return harness.AgentLog(leader).find("is not over yet") != std::string::npos; }));
+      [&] { return harness.AgentLog(leader).find("has not finished yet") != std::string::npos; }));
   REQUIRE(harness.WaitUntilFinished());
   CHECK(harness.ChangeState() == "done");
   REQUIRE(harness.WaitUntil(
@@ -563,7 +563,7 @@
     // retried.
     return both_answered &&
            (repeated_answer->value("ok", false) ||
-            StringField(*repeated_answer, "error").find("not over yet") != std::string::npos);
+            StringField(*repeated_answer, "error").find("not finished yet") != std::string::npos);
   }));
   INFO(repeated_answer->dump());
   REQUIRE(repeated_answer->value("ok", false));
@@ -599,7 +599,7 @@
   CHECK(output == "oxbowctl: name instances, or --all\n");
   check_exit_code({"dance"}, 2);
   check_exit_code({"drain", "--all", "--no-wait"}, 1);
-  CHECK(output.find("refused: would leave 5 instances out") != output.npos);
+  CHECK(output.find("refused: would leave 5 instances out of service") != output.npos);
   check_exit_code({"change", "pause"}, 1);
   check_exit_code({"apply"}, 0);
   CHECK(output.find("nothing differs") != output.npos);
@@ -610,7 +610,7 @@
   check_exit_code({"restart", "--all", "--no-wait"}, 0);
   const std::string id = StringField(harness.GetChange().at("change"), "change");
   check_exit_code({"drain", "n2"}, 1);
-  CHECK(output.find("refused: change " + id + " (restart by operator) is not over yet") != output.npos);
+  CHECK(output.find("refused: change " + id + " (restart by operator) has not finished yet") != output.npos);
   check_exit_code({"change", "abort"}, 0);
   REQUIRE(harness.WaitUntilFinished());
   CHECK(harness.ChangeState() == "aborted");
