--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 using Json = nlohmann::json;
-// By Message::Kind; part of the protocol between agents.
+// Names of Message::Kind in the order of its enumerators; part of the protocol between agents.
 constexpr std::array kKinds = {"claim", "promise", "deny", "keep", "kept"};
 
 Json RegisterToJson(const Register& content, bool with_value) {
@@ -66,8 +66,9 @@
   return now + timing_.election_timeout + Time(static_cast<Time::rep>((random_state_ >> 33) % max_delay));
 }
 
-// Until when a majority of agents is known to follow this one. Counted from when the requests were sent,
-// never from when the answers arrived, since an agent's own lease may start at any time in between.
+// The time until which a majority of agents certainly follows this one. It is computed from the times at
+// which the requests were sent, not from those at which the answers arrived, because the lease that an agent
+// grants may start at any time in between.
 Time LeaderElection::LeaseEnd() const {
   std::vector<Time> times;
   for (const auto& [member, sent_at] : answered_request_sent_at_) times.push_back(sent_at);
@@ -86,7 +87,8 @@
 std::vector<Action> LeaderElection::Step(Time now, const std::vector<Event>& events) {
   std::vector<Action> actions;
   if (!std::exchange(started_, true)) {
-    // A group of one leads at once; other agents first wait to hear from a leader.
+    // The only member of a group leads at once. In a larger group an agent first waits for a leader's
+    // message.
     election_at_ = members_.size() == 1 ? now : NextElection(now);
   }
   // Checked before any event: a leader whose process was suspended past its lease must not act on the
@@ -108,14 +110,14 @@
     switch (message.kind) {
       case Message::Kind::kPrepare:
       case Message::Kind::kAccept: {
-        const Message answer = Answer(now, received.from, message, &actions);
+        const Message answer = AnswerRequest(now, received.from, message, &actions);
         actions.push_back(Send{received.from, answer});
         break;
       }
       case Message::Kind::kReject:
         if (message.epoch > durable_.promised_epoch && role_ != Role::kFollower) {
           BecomeFollower(now, &actions,
-                         "epoch " + std::to_string(message.epoch) + " was promised to another");
+                         "epoch " + std::to_string(message.epoch) + " was promised to another agent");
         }
         break;
       case Message::Kind::kPromise:
@@ -145,8 +147,8 @@
   return actions;
 }
 
-Message LeaderElection::Answer(Time now, const std::string& from, const Message& message,
-                               std::vector<Action>* actions) {
+Message LeaderElection::AnswerRequest(Time now, const std::string& from, const Message& message,
+                                      std::vector<Action>* actions) {
   Message answer{Message::Kind::kReject, durable_.promised_epoch, message.round, false, {}};
   if (message.kind == Message::Kind::kPrepare) {
     const bool other_leads = now - leader_heard_at_ < timing_.lease && durable_.promised_to != from;
--- a/src/election/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -1,12 +1,13 @@
 // Leader election among the agents of a group, and one replicated register (the record of the group's change)
-// that outlives the leader. Holds no clock, socket or file: it is fed messages and times and returns actions.
+// that survives a change of the leader. It is a state machine without I/O or a clock of its own: the caller
+// passes in messages and times and carries out the returned actions.
 //
 // The protocol is single-register Paxos with a leader lease. A candidate asks the agents to promise an epoch.
-// An agent promises each epoch to one candidate only and from then on rejects all older epochs. A candidate
-// with promises of a majority takes the newest register among them, has a majority accept it under its own
-// epoch, and only then leads. Any two majorities share an agent, so a committed value is never lost. Of two
-// leaders, the older one can commit nothing more, and agents that promised the newer epoch refuse its orders.
-// A leader also steps down on its own when no majority has answered within the lease.
+// An agent promises each epoch to one candidate only and then rejects all older epochs. A candidate with
+// promises of a majority takes the newest register among the promises and proposes it under its own epoch. It
+// leads only after a majority has accepted that register. Any two majorities share an agent, so a committed
+// value is never lost. A leader that was replaced can commit nothing more, and agents that promised the newer
+// epoch refuse its orders. A leader also steps down by itself when no majority has answered within the lease.
 #pragma once
 
 #include <chrono>
@@ -49,17 +50,19 @@
 // Throws nlohmann::json::exception if a field is missing or of the wrong type.
 DurableState DurableStateFromJson(const nlohmann::json& json);
 
+// A request between two agents, or the answer to one.
 struct Message {
   enum class Kind {
     // Request: promise `epoch` to the sender.
     kPrepare,
     // Answer: the epoch is promised; `content` is the register that the sender has accepted.
     kPromise,
-    // Answer: the epoch is promised to another member or there is a leader; `epoch` is the highest promised.
+    // Answer: the epoch is promised to another member, or another member leads. `epoch` is the highest epoch
+    // that the sender has promised.
     kReject,
-    // Request: accept `content`. Without a value it is the leader's heartbeat only.
+    // Request: accept `content`. Without a value, the request is only the leader's heartbeat.
     kAccept,
-    // Answer: everything up to `content.seq` is accepted.
+    // Answer: the sender has accepted everything up to `content.seq`.
     kAccepted,
   };
   Kind kind = Kind::kPrepare;
@@ -74,13 +77,15 @@
 // Throws nlohmann::json::exception if a field is missing, of the wrong type, or the kind is unknown.
 Message MessageFromJson(const nlohmann::json& json);
 
+// Intervals and timeouts of the protocol.
 struct Timing {
   // Time between two heartbeats of a leader.
   Time heartbeat_interval{300'000};
   // A leader steps down when no majority has answered for this long, and a follower promises no other
   // candidate an epoch for this long after it heard from the leader.
   Time lease{1'500'000};
-  // Silence after which a follower starts an election. A random delay of up to half as much is added.
+  // A follower that has heard from no leader for this long starts an election. A random delay of up to half
+  // of it is added, so that the members rarely become candidates at the same time.
   Time election_timeout{2'500'000};
 };
 
@@ -90,7 +95,7 @@
   std::string from;
   Message message;
 };
-// A new value for the register. Ignored unless this agent leads.
+// Proposes a new value for the register. Ignored unless this agent leads.
 struct Propose {
   std::string value;
 };
@@ -98,15 +103,16 @@
 
 // ---- actions, to be carried out in order ----
 
-// Actions after a Persist must wait until the state is on disk, and are dropped if the write fails.
+// Writes the state to disk. Later actions must wait until it is on disk and are dropped if the write fails.
 struct Persist {
   DurableState durable;
 };
+// Sends the message to the member `to`.
 struct Send {
   std::string to;
   Message message;
 };
-// This agent leads from now on; `value` is the register's value.
+// This agent has become the leader; `value` is the register's value.
 struct BecameLeader {
   Epoch epoch = 0;
   std::string value;
@@ -121,18 +127,19 @@
 };
 using Action = std::variant<Persist, Send, BecameLeader, LostLeadership, ValueCommitted>;
 
+// The election and the register as seen by one agent. Not thread-safe.
 class LeaderElection {
  public:
   // `members` includes `self`. `random_state` seeds the random delay of elections and may be any number.
   LeaderElection(std::string self, std::vector<std::string> members, Timing timing, DurableState durable,
                  std::uint64_t random_state);
 
-  // Processes the events and the timers that are due. `now` never goes back. To be called again at wake_at()
-  // at the latest. Messages from other than members are ignored. Never fails.
+  // Processes the events and the timers that are due. `now` must not decrease. To be called again at
+  // wake_at() at the latest. Ignores messages from senders that are not members. Never fails.
   std::vector<Action> Step(Time now, const std::vector<Event>& events);
   Time wake_at() const { return wake_at_; }
 
-  // Whether this agent leads and may give orders. The lease is checked on each call, so the answer is right
+  // Whether this agent leads and may send orders. The lease is checked on each call, so the result is correct
   // even if the process was suspended since the last step.
   bool IsLeader(Time now) const {
     return role_ == Role::kLeader && leadership_announced_ && now < LeaseEnd();
@@ -148,11 +155,12 @@
   enum class Role { kFollower, kCandidate, kLeader };
 
   void HandleMessage(Time now, const MessageReceived& received);
-  Message Answer(Time now, const std::string& from, const Message& message, std::vector<Action>* actions);
+  Message AnswerRequest(Time now, const std::string& from, const Message& message,
+                        std::vector<Action>* actions);
   void StartElection(Time now, std::vector<Action>* actions);
   void AssumeLeadership(Time now, std::vector<Action>* actions);
   void SendHeartbeats(Time now, std::vector<Action>* actions);
-  // Accepts the proposal at this agent and reports it once a majority has accepted it.
+  // Accepts the proposal at this agent. Reports the leadership or the commit once a majority has accepted it.
   void AcceptProposal(std::vector<Action>* actions);
   void BecomeFollower(Time now, std::vector<Action>* actions, const std::string& reason);
   Time LeaseEnd() const;
@@ -165,7 +173,7 @@
   DurableState durable_;
   std::uint64_t random_state_;
   Role role_ = Role::kFollower;
-  // BecameLeader was returned in this epoch.
+  // Whether BecameLeader was returned in this epoch.
   bool leadership_announced_ = false;
   Time election_at_{0}, heartbeat_at_{0}, wake_at_{0};
   // When the leader to which the epoch is promised was last heard from.
--- a/src/supervise/process.cpp
+++ b/src/supervise/process.cpp
@@ -14,7 +14,7 @@
 
 namespace oxbowspread::supervise {
 namespace {
-// A longer log is renamed to *.old before the next start and replaces the previous one.
+// A longer log is renamed to *.old before the next start, which replaces an earlier *.old file.
 constexpr off_t kMaxLogBytes = 4 << 20;
 }  // namespace
 
--- a/src/supervise/supervisor.cpp
+++ b/src/supervise/supervisor.cpp
@@ -12,9 +12,9 @@
 
 constexpr Time kSearchInterval = 200ms;
 constexpr Time kStartingQueryInterval = 50ms, kRunningQueryInterval = 250ms;
-constexpr Time kCommandRetryInterval = 1s;  // repeats a command whose effect doesn't show yet
-constexpr Time kStartTimeout = 10s;       // a spawned process without status by then is killed and restarted
-constexpr Time kTerminationTimeout = 5s;  // from SIGTERM to SIGKILL; a relay takes up to 3.55 s to exit
+constexpr Time kCommandRetryInterval = 1s;  // repeats a command without visible effect
+constexpr Time kStartTimeout = 10s;         // a new process without a status by then is killed and restarted
+constexpr Time kTerminationTimeout = 5s;    // from SIGTERM to SIGKILL; a relay takes up to 3.55 s to exit
 constexpr Time kMinBackoff = 100ms, kMaxBackoff = 10s;
 constexpr Time kStableRunTime = 10s;    // after running this long, earlier exits no longer count
 constexpr Time kCrashLoopWindow = 60s;  // period in which unexpected exits are counted
@@ -24,9 +24,9 @@
 constexpr Time kMaxStatusAge = 1500ms;  // an older status is reported as unknown
 
 std::string DescribeExit(int exit_code) {
-  if (exit_code == 0) return "has ended";
-  if (exit_code < 0) return "was ended by signal " + std::to_string(-exit_code);
-  return "ended with code " + std::to_string(exit_code);
+  if (exit_code == 0) return "has exited";
+  if (exit_code < 0) return "was terminated by signal " + std::to_string(-exit_code);
+  return "exited with code " + std::to_string(exit_code);
 }
 
 }  // namespace
@@ -71,7 +71,7 @@
     desired_ = desire->desired;
     next_command_at_ = now;
     if (!new_stamp) return;
-    // Earlier failures say nothing about the newly ordered stamp.
+    // Earlier failures don't apply to the newly ordered stamp.
     fault_.clear();
     fault_stamp_.clear();
     refused_reload_stamp_.clear();
@@ -89,8 +89,8 @@
 void Supervisor::HandleStatus(Time now, const Status& status, std::vector<Action>* actions) {
   if (state_ != State::kStarting && state_ != State::kRunning) return;
   if (status.pid != pid_) {
-    // Another process than the known one answers. Search for the holder of the state folder before anything
-    // is started.
+    // A different process answers than the known one. The supervisor searches for the holder of the state
+    // folder before it starts anything.
     actions->push_back(
         RecordEvent{"process " + std::to_string(status.pid) + " answers instead of " + std::to_string(pid_)});
     state_ = State::kSearching;
@@ -123,7 +123,7 @@
   pid_ = 0;
   status_.reset();
   if (exited.exit_code == kFolderLockedExitCode && !was_running && !was_stopping) {
-    actions->push_back(RecordEvent{"found its state folder held by another process"});
+    actions->push_back(RecordEvent{"found its state folder locked by another process"});
     state_ = State::kSearching;
     searched_at_ = now;  // delays the search: the holder may be about to exit
     return;
@@ -149,10 +149,10 @@
   const bool crash_loop = static_cast<int>(recent_unexpected_exits_.size()) > kCrashLoopThreshold;
   if (crash_loop) next_spawn_at_ = now + kCrashLoopDelay;
   if (failed_starts_ >= kFailedStartsLimit) {
-    SetFault("does not come up: it " + DescribeExit(exited.exit_code), actions);
+    SetFault("does not start up: it " + DescribeExit(exited.exit_code), actions);
   } else if (crash_loop) {
-    SetFault("died " + std::to_string(recent_unexpected_exits_.size()) + " times in a minute, last it " +
-                 DescribeExit(exited.exit_code),
+    SetFault("exited unexpectedly " + std::to_string(recent_unexpected_exits_.size()) +
+                 " times in a minute; the last time it " + DescribeExit(exited.exit_code),
              actions);
   }
 }
@@ -187,7 +187,7 @@
       }
       // An adopted process isn't killed: it may be serving messages while only its control socket fails.
       if (!adopted_ && pid_ != 0 && now - state_since_ >= kStartTimeout) {
-        SetFault("says nothing " + std::to_string(kStartTimeout / 1s) + " s after its start", actions);
+        SetFault("reports no status " + std::to_string(kStartTimeout / 1s) + " s after its start", actions);
         actions->push_back(SendSignal{pid_, SIGKILL});
         state_since_ = now;
       }
@@ -211,7 +211,7 @@
 void Supervisor::ReconcileRunning(Time now, std::vector<Action>* actions) {
   if (!status_) return;
   if (!desired_.stamp.empty() && status_->stamp != desired_.stamp) {
-    if (!desired_.reload) return StopProcess(now, actions, "restarted by order " + desired_.stamp);
+    if (!desired_.reload) return StopProcess(now, actions, "is restarted for order " + desired_.stamp);
     if (refused_reload_stamp_ != desired_.stamp && now >= next_command_at_) {
       next_command_at_ = now + kCommandRetryInterval;
       actions->push_back(SendCommand{"reload", desired_.stamp});
@@ -252,7 +252,7 @@
       instance_status.phase = InstanceStatus::Phase::kEnding;
       return instance_status;
     case State::kStarting:
-      // Nothing is known of an adopted process until it reports its status.
+      // The state of an adopted process is unknown until it reports its status.
       if (adopted_) return std::nullopt;
       instance_status.phase = InstanceStatus::Phase::kStarting;
       return instance_status;
--- a/src/supervise/supervisor.hpp
+++ b/src/supervise/supervisor.hpp
@@ -1,6 +1,7 @@
-// Decides how to bring one relay process to its desired state: starts it, adopts one that already runs,
-// pauses, reloads, restarts and stops it, and restarts it after an unexpected exit. This is a state machine
-// without I/O or a clock of its own: the caller passes in events and carries out the returned actions.
+// Decides how one relay process reaches its desired state. The supervisor starts the process or adopts one
+// that already runs; it pauses, reloads, restarts and stops the process, and restarts it after an unexpected
+// exit. It is a state machine without I/O or a clock of its own: the caller passes in events and carries out
+// the returned actions.
 //
 // At most one relay runs for an instance: a process is spawned only after a search found none or after the
 // known process exited. A process that finds the state folder locked exits by itself (kFolderLockedExitCode),
@@ -20,21 +21,21 @@
 
 using Time = std::chrono::microseconds;  // monotonic clock
 
-// The state that the relay is to be brought to.
+// The state that the relay has to reach.
 struct Desired {
   change::DesiredPhase phase = change::DesiredPhase::kServing;
-  std::string stamp;    // names the order and the configuration version that the relay is to run by
-  bool reload = false;  // a running relay takes the new stamp by a reload instead of a restart
+  std::string stamp;    // identifies the order and the configuration version that the relay has to run with
+  bool reload = false;  // whether a running relay gets the new stamp by a reload instead of a restart
 
   bool operator==(const Desired&) const = default;
 };
 
 // ---- events ----
-// The process is alive and is known for certain to hold the state folder.
+// The search found a live process that certainly holds the lock of the state folder.
 struct ProcessFound {
   std::int64_t pid = 0;
 };
-// It is certain that no relay process runs for the instance.
+// The search found that certainly no relay process runs for the instance.
 struct NoProcessFound {};
 // Status that the relay reported on its control socket.
 struct Status {
@@ -47,7 +48,7 @@
 // The relay did not answer a status request on its control socket.
 struct StatusUnavailable {};
 struct ProcessExited {
-  int exit_code = 0;  // or minus the number of the signal that ended the process; 0 if unknown
+  int exit_code = 0;  // or minus the number of the signal that terminated the process; 0 if unknown
 };
 struct Spawned {
   std::int64_t pid = 0;
@@ -58,7 +59,7 @@
 struct DesiredChanged {
   Desired desired;
 };
-// The relay's answer to a reload; `reason` says why it was refused and is empty after a success.
+// The relay's answer to a reload; `reason` is why the relay refused it, and empty after a success.
 struct ReloadAnswered {
   std::string stamp, reason;
 };
@@ -66,7 +67,8 @@
                            SpawnFailed, DesiredChanged, ReloadAnswered>;
 
 // ---- actions ----
-// Leads to ProcessFound or NoProcessFound, or to no event as long as neither is certain.
+// Searches for the instance's process. Leads to ProcessFound or NoProcessFound, or to no event as long as
+// neither is certain.
 struct FindProcess {};
 // Leads to Spawned or SpawnFailed.
 struct Spawn {
@@ -98,9 +100,9 @@
 
   explicit Supervisor(Desired desired) : desired_(std::move(desired)) {}
 
-  // Takes events in the order in which they happened and returns actions, which are to be carried out in
-  // order. Doesn't fail: a failed action is reported by an event. Must be called again at wake_at() at the
-  // latest; Time::max() means that no call is needed without an event.
+  // Processes the events, in the order in which they happened, and the timers that are due. Returns actions
+  // that are to be carried out in order. Never fails: a failed action is reported by an event. To be called
+  // again at wake_at() at the latest; Time::max() means that no call is needed without an event.
   std::vector<Action> Step(Time now, const std::vector<Event>& events);
   Time wake_at() const { return wake_at_; }
 
@@ -133,7 +135,7 @@
   bool adopted_ = false;
   std::int64_t unexpected_exits_ = 0;  // exits that no order caused, since construction
   std::string fault_, fault_stamp_;
-  std::string refused_reload_stamp_;  // stamp of the last refused reload, not asked for again
+  std::string refused_reload_stamp_;  // stamp of the last refused reload, which is not repeated
   Time wake_at_{0};
 };
 
--- a/tests/group/group_process_test.cpp
+++ b/tests/group/group_process_test.cpp
@@ -209,7 +209,7 @@
   REQUIRE(harness.WaitUntilFinished());
   CHECK(harness.ChangeState() == "rolled-back");
   CHECK(StringField(harness.GetChange().at("change"), "why")
-            .find("n1: does not come up: it ended with code 1") == 0);
+            .find("n1: does not start up: it exited with code 1") == 0);
   CHECK(harness.WaitUntil([&] { return harness.FindInconsistency().empty(); }));
   const auto after = RelayPids(harness);
   for (const char* name : {"n2", "n3", "n4", "n5"}) CHECK(after.at(name) == before.at(name));
--- a/tests/group/leader_election_test.cpp
+++ b/tests/group/leader_election_test.cpp
@@ -21,7 +21,7 @@
     DurableState disk;
     bool is_leader = false, suspended = false, disk_full = false;
     Epoch epoch = 0;
-    std::string value;  // value taken over as a leader, or proposed since
+    std::string value;  // value taken over as the new leader, or the one proposed last
     std::uint64_t pending_seq = 0;
   };
 
@@ -141,7 +141,7 @@
   std::priority_queue<Packet> packets;
   std::map<std::string, std::vector<MessageReceived>> undelivered;
   std::set<std::pair<std::string, std::string>> cut_links;  // from, to
-  std::set<std::string> attempted;  // proposed since the last commit, perhaps accepted by a majority
+  std::set<std::string> attempted;  // values proposed since the last commit; a majority may have accepted one
   std::set<Epoch> epochs_led;
   std::string committed;
   int commits = 0, leader_changes = 0;
@@ -151,7 +151,7 @@
   Time now{5'000'000};
 };
 
-TEST_CASE("a single agent leads at once and accepts what it proposes") {
+TEST_CASE("a single agent leads at once and commits the value it proposes") {
   Network network(1, 1);
   network.Run(20ms);
   REQUIRE(network.Leader() == "a");
@@ -217,7 +217,7 @@
   REQUIRE_FALSE(second.empty());
   network.ProposeAt(second, "y");
   network.Run(200ms);
-  // When the old leader resumes and has not yet read a message, its lease has expired by its own clock.
+  // The old leader has not read a message since it resumed, but its lease has expired by its own clock.
   CHECK_FALSE(network.agents[first].election->IsLeader(network.now));
   network.Resume(first);
   network.Run(2s);
@@ -245,8 +245,8 @@
 }
 
 TEST_CASE(
-    "over many seeds of network faults and suspended and killed agents there is never a second leader or a "
-    "lost record") {
+    "there is never a second leader or a lost value over many seeds of network faults and suspended and "
+    "killed agents") {
   int commits = 0, leader_changes = 0;
   for (unsigned seed = 1; seed <= 60; ++seed) {
     INFO("seed " << seed);
@@ -299,7 +299,7 @@
     commits += network.commits;
     leader_changes += network.leader_changes;
   }
-  CHECK(commits > 500);  // the run must have had progress and leader changes
+  CHECK(commits > 500);  // makes sure that the run included commits and changes of the leader
   CHECK(leader_changes > 100);
 }
 
--- a/tests/group/supervisor_test.cpp
+++ b/tests/group/supervisor_test.cpp
@@ -44,7 +44,7 @@
         pending.push_back(SpawnFailed{"no such file"});
         return;
       }
-      CHECK(pid == 0);  // a second copy must never be started
+      CHECK(pid == 0);  // a second process must never be started
       pid = ++last_pid;
       stamp = spawn->stamp;
       phase = Phase::kStarting;
@@ -118,7 +118,7 @@
   CHECK(model.reported_phase() == Phase::kServing);
 }
 
-TEST_CASE("while a search finds no clear result nothing is started and no status is reported") {
+TEST_CASE("nothing is started and no status is reported while the search has no clear result") {
   RelayModel model;
   model.search_inconclusive = true;
   model.Run(20s);
@@ -129,7 +129,7 @@
   CHECK(model.spawn_count == 1);
 }
 
-TEST_CASE("a relay that exits is restarted at once and repeated exits delay the restart longer and longer") {
+TEST_CASE("a relay that exits is restarted at once and repeated exits increase the delay of the restart") {
   RelayModel model;
   model.Run(1s);
   model.Exit(-SIGKILL);
@@ -142,7 +142,8 @@
     model.Run(5s);
   }
   const int spawns_before = model.spawn_count;
-  CHECK(model.supervisor.CurrentStatus("n1", model.now)->fault.find("died 6 times in a minute") == 0);
+  CHECK(model.supervisor.CurrentStatus("n1", model.now)
+            ->fault.find("exited unexpectedly 6 times in a minute") == 0);
   model.Run(20s);
   CHECK(model.spawn_count == spawns_before);  // in a crash loop the delay is 30 s
   model.Run(15s);
@@ -155,11 +156,11 @@
   model.Run(2s);
   const auto instance_status = model.supervisor.CurrentStatus("n1", model.now);
   REQUIRE(instance_status);
-  CHECK(instance_status->fault == "does not come up: it ended with code 1");
+  CHECK(instance_status->fault == "does not start up: it exited with code 1");
   CHECK(instance_status->fault_stamp == "v1@first");
   CHECK(model.spawn_count >= 3);
   CHECK(model.spawn_count <= 6);
-  // Another order clears the fault and starts the relay at once.
+  // A new order clears the fault and starts the relay at once.
   model.immediate_exit_code.reset();
   model.Step({DesiredChanged{{DesiredPhase::kServing, "v0@c1.1u", false}}});
   model.Run(1s);
