--- a/src/group/group.cpp
+++ b/src/group/group.cpp
@@ -18,7 +18,7 @@
 namespace oxbowspread::group {
 namespace {
 
-// Reads the parts of a group file.
+// Reads the values of a group file and checks their ranges.
 class Reader : public yaml::Reader {
  public:
   using yaml::Reader::Reader;
@@ -45,7 +45,8 @@
     std::string text;
     for (const auto& day : days) {
       const auto it = std::find(kDays.begin(), kDays.end(), day.IsScalar() ? day.Scalar() : "");
-      if (it == kDays.end()) Fail(day.Mark(), "freeze.days", "must be of sun, mon, tue, wed, thu, fri, sat");
+      if (it == kDays.end())
+        Fail(day.Mark(), "freeze.days", "must be one of sun, mon, tue, wed, thu, fri, sat");
       freeze.days |= 1u << static_cast<unsigned>(it - kDays.begin());
       text += (text.empty() ? "" : ",") + std::string(*it);
     }
@@ -80,13 +81,13 @@
         Integer(node, "most_deaths", "limits.", 0, 100, limits.max_unexpected_exits);
     if (limits.max_status_age < std::chrono::milliseconds(500)) {
       Fail(node["belief_age"].Mark(), "limits.belief_age",
-           "must be at least 500ms: agents are asked each 300ms");
+           "must be at least 500ms: agents are queried every 300ms");
     }
     return limits;
   }
 
-  // Reads the name of an agent or instance. An agent's key files are named after it, and group.key and
-  // group.crt belong to the group itself.
+  // Reads the name of an agent or instance. An agent's key files are named after the agent, and the files
+  // group.key and group.crt belong to the group itself, so "group" is not allowed.
   std::string Name(const YAML::Node& map, const std::string& prefix) const {
     const std::string name = Text(map, "name", prefix, true);
     const bool valid = name.size() <= 40 && name.front() != '.' && name != "group" &&
@@ -99,10 +100,11 @@
   }
 };
 
-// Resolves a path that is given relative to the folder of `file`; the result is absolute.
+// Returns `path` as an absolute path; a relative path is relative to the folder of `file`.
 std::string RelativeTo(const std::string& file, const std::string& path) {
-  const std::filesystem::path p(path);
-  return (p.is_absolute() ? p : std::filesystem::absolute(file).parent_path() / p)
+  const std::filesystem::path parsed_path(path);
+  return (parsed_path.is_absolute() ? parsed_path
+                                    : std::filesystem::absolute(file).parent_path() / parsed_path)
       .lexically_normal()
       .string();
 }
@@ -166,15 +168,15 @@
                   "must be an IPv4 address and port, not '" + agent.address + "'");
     }
     if (group.FindAgent(agent.name) != nullptr)
-      reader.Fail(node.Mark(), "agents.name", "'" + agent.name + "' stands twice");
+      reader.Fail(node.Mark(), "agents.name", "'" + agent.name + "' appears twice");
     for (const Agent& other : group.agents) {
       if (other.address == agent.address)
-        reader.Fail(node["address"].Mark(), "agents.address", agent.address + " stands twice");
+        reader.Fail(node["address"].Mark(), "agents.address", agent.address + " appears twice");
     }
     group.agents.push_back(std::move(agent));
   }
   if (group.agents.size() > 1 && group.keys_folder.empty())
-    reader.Fail(root.Mark(), "keys", "is missing: agents only talk by the group's keys");
+    reader.Fail(root.Mark(), "keys", "is missing: agents authenticate each other with the group's keys");
   for (const auto& node : required_list("instances")) {
     reader.AllowOnlyKeys(node, "instances", {"name", "agent", "config", "capacity"});
     Instance instance;
@@ -185,7 +187,7 @@
     if (group.FindAgent(instance.agent) == nullptr)
       reader.Fail(node["agent"].Mark(), "instances.agent", "no agent is named '" + instance.agent + "'");
     if (group.FindInstance(instance.name) != nullptr)
-      reader.Fail(node.Mark(), "instances.name", "'" + instance.name + "' stands twice");
+      reader.Fail(node.Mark(), "instances.name", "'" + instance.name + "' appears twice");
     group.instances.push_back(std::move(instance));
   }
   group.limits = reader.LimitsOf(root["limits"]);
--- a/src/sqlite/database.cpp
+++ b/src/sqlite/database.cpp
@@ -29,8 +29,8 @@
       if (statement.Step()) version = static_cast<int>(statement.Number(0));
     }
     if (version > options.version) {
-      throw Error(label_ + ": " + path + " is of version " + std::to_string(version) +
-                  ", this program knows " + std::to_string(options.version));
+      throw Error(label_ + ": " + path + " has version " + std::to_string(version) +
+                  ", this program supports versions up to " + std::to_string(options.version));
     }
     if (version < options.version) {
       Transaction transaction(*this);
--- a/src/sqlite/database.hpp
+++ b/src/sqlite/database.hpp
@@ -1,5 +1,5 @@
-// RAII wrappers around one SQLite database file and its statements. The process that has the file open locks
-// it exclusively. Not thread-safe.
+// RAII wrappers of an SQLite database file and its statements. An open file is locked exclusively by its
+// process. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -22,10 +22,10 @@
  public:
   struct Options {
     std::string label;        // first part of each error text
-    int version = 1;          // of the schema; a file with a later version is refused
+    int version = 1;          // version of the schema; a file with a later version is refused
     const char* schema = "";  // SQL that is run on a new file or one with an earlier version
     int max_kb = 0;           // size limit in KiB, at least 64; writes beyond it fail; 0: unlimited
-    bool durable = true;      // writes survive a power failure once the call returns
+    bool durable = true;      // whether a write survives a power failure after the call has returned
   };
 
   // Opens the file and creates it if it doesn't exist. Throws Error.
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -70,7 +70,7 @@
 }
 
 void Store::PutConfig(const std::string& instance, const std::string& version, const std::string& text) {
-  // Deletes and inserts instead of updating, so that the version stored last has the highest number.
+  // Deletes and inserts instead of updating, so that the version stored last always has the highest number.
   sqlite::Transaction transaction(database_);
   Statement(database_, "DELETE FROM config WHERE instance = ? AND version = ?")
       .Bind(instance)
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,5 +1,5 @@
-// The durable state of an agent, in an SQLite database in the agent's folder. A call that changes the state
-// has written it to disk when it returns, and has changed nothing when it throws.
+// The durable state of an agent, stored in an SQLite database in the agent's folder. A call that changes the
+// state returns after the change is on disk. A call that throws has changed nothing.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,8 @@
 
 using sqlite::Error;  // the text begins with "store: "
 
-// The state that an instance is to be brought to, see supervise::Desired.
+// The state that an instance has to reach, see supervise::Desired. `phase` is the name of a
+// change::DesiredPhase.
 struct Desired {
   std::string phase, stamp;
   bool reload = false;
@@ -40,21 +41,26 @@
   // KiB fails. Throws Error, also for a file with a later schema version.
   Store(const std::string& path, int max_kb);
 
+  // General values by key, such as the state of the leader election.
   std::optional<std::string> Get(const std::string& key);
   void Put(const std::string& key, const std::string& value);
 
+  // The desired state of each instance, by name.
   std::map<std::string, Desired> AllDesired();
   void PutDesired(const std::string& instance, const Desired& desired);
 
   std::optional<RunningProcess> GetRunning(const std::string& instance);
   void PutRunning(const std::string& instance, const RunningProcess& running);
 
+  // The text of a configuration version; nullopt if the store doesn't have it.
   std::optional<std::string> GetConfig(const std::string& instance, const std::string& version);
-  // Keeps the latest kMaxVersions of each instance, and always the version that its Desired names.
+  // Stores the text and deletes old versions: each instance keeps its latest kMaxVersions, and always the
+  // version that its Desired refers to.
   void PutConfig(const std::string& instance, const std::string& version, const std::string& text);
 
-  // Ignores `entry.number`. Keeps about the latest kMaxHistoryEntries. Never throws: an event that can't be
-  // recorded must not stop the operation that it describes.
+  // Appends the entry under a new number; `entry.number` is ignored. Older entries than about the latest
+  // kMaxHistoryEntries are deleted. Never throws: an event that can't be recorded must not stop the operation
+  // that it describes.
   void AppendHistory(const HistoryEntry& entry) noexcept;
   // The latest entries with a number above `after`, at most `limit` of them, oldest first.
   std::vector<HistoryEntry> History(std::int64_t after, int limit);
--- a/src/yaml/reader.cpp
+++ b/src/yaml/reader.cpp
@@ -29,7 +29,7 @@
     const std::string key = pair.first.IsScalar() ? pair.first.Scalar() : "?";
     if (keys.count(key) == 0)
       Fail(pair.first.Mark(), where.empty() ? key : where + "." + key, "is not a known key");
-    if (!seen.insert(key).second) Fail(pair.first.Mark(), key, "stands twice");
+    if (!seen.insert(key).second) Fail(pair.first.Mark(), key, "appears twice");
   }
 }
 
@@ -40,7 +40,8 @@
     if (required) Fail(map.Mark(), prefix + key, "is missing");
     return {};
   }
-  if (!node.IsScalar() || node.Scalar().empty()) Fail(node.Mark(), prefix + key, "must be a text");
+  if (!node.IsScalar() || node.Scalar().empty())
+    Fail(node.Mark(), prefix + key, "must be a non-empty string");
   return node.Scalar();
 }
 
--- a/tests/group/files_test.cpp
+++ b/tests/group/files_test.cpp
@@ -87,14 +87,14 @@
   CHECK(fault_after("agent: west", "agent: east") == ":6: instances.agent: no agent is named 'east'");
   CHECK(fault_after("127.0.0.1:7401", "here") ==
         ":4: agents.address: must be an IPv4 address and port, not 'here'");
-  CHECK(fault_after("[sat, sun]", "[satday]").find(":11: freeze.days: must be of sun") == 0);
+  CHECK(fault_after("[sat, sun]", "[satday]").find(":11: freeze.days: must be one of sun") == 0);
   CHECK(fault_after("\"06:00\"", "\"6 am\"") ==
         ":11: freeze.from: must be a time such as \"06:30\", not '6 am'");
   CHECK(fault_after("group: coulee\n", "") == ":1: group: is missing");
   CHECK(fault_after("name: n1, ", "name: ../n1, ").find(":6: instances.name: must be up to 40") == 0);
   CHECK(fault_after("capacity: 120", "capacity: lots").find(":6: instances.capacity: must be a number") == 0);
   CHECK(fault_after("limits:", "limits: [").find("YAML") != std::string::npos);
-  CHECK(fault_after("keys: keys", "keys: keys\nkeys: other") == ":3: keys: stands twice");
+  CHECK(fault_after("keys: keys", "keys: keys\nkeys: other") == ":3: keys: appears twice");
   CHECK_THROWS_WITH(group::Read(folder.path + "/none.yaml"), folder.path + "/none.yaml: can't be read");
 }
 
@@ -143,7 +143,7 @@
   CHECK(store.AllDesired().at("n1").phase == "paused");
 }
 
-TEST_CASE("a file that is no store and a store of a later version are rejected and left unchanged") {
+TEST_CASE("a file that is not a store and a store of a later version are rejected and left unchanged") {
   const Folder folder;
   const std::string invalid_file = folder.Write("noise.db", std::string(8192, 'n'));
   CHECK_THROWS_AS(store::Store(invalid_file, 1024), store::Error);
@@ -154,7 +154,7 @@
   file.seekp(60);
   file.write("\0\0\0\x09", 4);
   file.close();
-  CHECK_THROWS_WITH(store::Store(newer_store, 1024), Catch::Matchers::Contains("is of version 9"));
+  CHECK_THROWS_WITH(store::Store(newer_store, 1024), Catch::Matchers::Contains("has version 9"));
 }
 
 // ---- keys ----
