--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -370,7 +370,7 @@
 
 control::Json Agent::NotLeadingAnswer() {
   const std::string leader = election_->leader(net::Loop::Now());
-  Json answer = ErrorAnswer(leader.empty() ? "no agent leads just now" : leader + " leads");
+  Json answer = ErrorAnswer(leader.empty() ? "no agent leads at present" : leader + " leads");
   answer["leader"] = leader;
   return answer;
 }
--- a/src/apps/oxbowctl.cpp
+++ b/src/apps/oxbowctl.cpp
@@ -1,4 +1,4 @@
-// oxbowctl: shows and changes a group of relays from the command line.
+// oxbowctl: shows the state of a group of relays and changes the group from the command line.
 //
 // Exit codes: 0 success; 1 the request was refused or the change did not complete; 2 invalid input; 3 no
 // agent could be reached.
@@ -41,7 +41,7 @@
   return user != nullptr && *user != '\0' ? user : "uid " + std::to_string(getuid());
 }
 
-// Identifier by which the agents recognise a request that is repeated because its answer was lost.
+// Creates the identifier by which the agents recognise a request that is repeated after a lost answer.
 std::string NewRequestId() {
   std::random_device random;
   char text[17];
@@ -49,9 +49,10 @@
   return text;
 }
 
-class Controller {
+// Executes one command. Each public method returns the exit code.
+class CommandRunner {
  public:
-  explicit Controller(const Options& options)
+  explicit CommandRunner(const Options& options)
       : options_(options),
         group_(group::Read(options.group_file)),
         client_(group_, options.as, options.socket) {}
@@ -88,24 +89,24 @@
     if (group_.FindInstance(options_.instance) == nullptr)
       throw group::Error("the group has no instance '" + options_.instance + "'");
     const auto responses = AskLocalState();
-    for (const Json& one : ctl::StatusOf(group_, responses, group_.limits.max_status_age / 1ms)) {
-      if (control::TextOf(one, "instance") != options_.instance) continue;
+    for (const Json& entry : ctl::StatusOf(group_, responses, group_.limits.max_status_age / 1ms)) {
+      if (control::TextOf(entry, "instance") != options_.instance) continue;
       if (options_.json) {
-        std::cout << one.dump() << "\n";
+        std::cout << entry.dump() << "\n";
       } else {
         std::vector<std::vector<std::string>> rows;
-        for (const auto& [key, value] : one.items()) {
+        for (const auto& [key, value] : entry.items()) {
           rows.push_back({key, value.is_string() ? value.get<std::string>() : value.dump()});
         }
         std::cout << ctl::Table(rows);
       }
-      return one.value("known", false) ? 0 : kExitUnreachable;
+      return entry.value("known", false) ? 0 : kExitUnreachable;
     }
     return kExitUnreachable;
   }
 
-  // Checks the local group file and the configurations that it names. Whether the agents have the same files
-  // is not checked.
+  // Checks the local group file and the configurations that it refers to. Doesn't check whether the agents
+  // have the same files.
   int CheckGroupFile() {
     for (const group::Instance& instance : group_.instances) {
       try {
@@ -168,9 +169,9 @@
       std::cout << (options_.json ? answer.dump() + "\n" : ctl::ChangeTable(answer));
       return 0;
     } catch (const ctl::Unreachable& e) {
-      if (!e.last()) throw;
-      std::cout << (options_.json ? e.last()->dump() + "\n" : ctl::ChangeTable(*e.last()));
-      std::cerr << "oxbowctl: " << e.what() << "; what was last on record there is shown\n";
+      if (!e.last_answer()) throw;
+      std::cout << (options_.json ? e.last_answer()->dump() + "\n" : ctl::ChangeTable(*e.last_answer()));
+      std::cerr << "oxbowctl: " << e.what() << "; shown is the last record of this agent\n";
       return kExitUnreachable;
     }
   }
@@ -181,7 +182,8 @@
     return 0;
   }
 
-  // Prints the histories of all agents in order of time; with --follow, also new entries until interrupted.
+  // Prints the histories of all agents in order of time. With --follow, also prints new entries until it is
+  // interrupted.
   int ShowHistory() {
     std::map<std::string, std::int64_t> seen;
     const net::Time end_time = EndTime();
@@ -222,7 +224,8 @@
   std::map<std::string, ctl::Response> AskLocalState() {
     return client_.AskAll([](const std::string&) { return Json{{"op", "local"}}; }, kAnswerTimeout);
   }
-  // When --watch or --follow ends. Without --for this is the current time, which callers must ignore.
+  // The time at which --watch or --follow ends. Without --for it is the current time, which callers must
+  // ignore.
   net::Time EndTime() const {
     return net::Loop::Now() +
            std::chrono::duration_cast<net::Time>(std::chrono::duration<double>(options_.duration_s));
@@ -232,8 +235,8 @@
     return options_.all || std::find(named.begin(), named.end(), name) != named.end();
   }
 
-  // Prints the progress of the change until it ends: on a terminal as one line that is overwritten, elsewhere
-  // as a new line for each difference. The change itself does not depend on this command.
+  // Prints the progress of the change until it ends. On a terminal it overwrites one line; otherwise it
+  // prints a new line for each difference. The change itself does not depend on this command.
   int Follow(const std::string& id) {
     const bool terminal = isatty(1) != 0;
     std::string last;
@@ -242,7 +245,7 @@
       try {
         answer = client_.AskLeader({{"op", "change"}}, 60s);
       } catch (const ctl::Unreachable& e) {
-        std::cerr << "oxbowctl: " << e.what() << "; the change goes on without this command\n";
+        std::cerr << "oxbowctl: " << e.what() << "; the change continues without this command\n";
         return kExitUnreachable;
       }
       const Json change = answer.value("change", Json::object());
@@ -256,7 +259,8 @@
       const bool ended = state == "done" || state == "aborted" || state == "rolled-back" || state == "failed";
       if (!same_change || ended) {
         if (terminal && !options_.json) std::cout << "\n";
-        if (!same_change) std::cerr << "oxbowctl: change " << id << " has ended; another one is shown\n";
+        if (!same_change)
+          std::cerr << "oxbowctl: change " << id << " has ended; the output shows a newer one\n";
         return same_change && state == "done" ? 0 : kExitRefused;
       }
       client_.Wait(300ms);
@@ -271,67 +275,70 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"oxbowctl: shows and changes a group of relays"};
+  CLI::App app{"oxbowctl: shows the state of a group of relays and changes the group"};
   Options options;
   app.require_subcommand(1);
   app.fallthrough();
   app.set_version_flag("--version", std::string("oxbowctl " OXBOWSPREAD_VERSION));
   app.add_option("--group", options.group_file, "the group file, YAML")->envname("OXBOW_GROUP");
-  app.add_option("--as", options.as, "whose key and certificate to use")
+  app.add_option("--as", options.as, "member whose key and certificate are used")
       ->envname("OXBOW_AS")
       ->capture_default_str();
-  app.add_option("--socket", options.socket, "only the agent at this Unix-domain socket, without keys")
+  app.add_option("--socket", options.socket,
+                 "connect only to the agent at this Unix-domain socket, without keys")
       ->envname("OXBOW_SOCKET");
-  app.add_flag("--json", options.json, "JSON for programs, an object a line");
-  const auto command = [&](CLI::App& at, const char* name, const char* help) {
-    return at.add_subcommand(name, help);
+  app.add_flag("--json", options.json, "print JSON, one object per line");
+  const auto command = [&](CLI::App& parent, const char* name, const char* help) {
+    return parent.add_subcommand(name, help);
   };
   const auto add_instance_options = [&](CLI::App* c) {
     c->add_option("instances", options.instances, "by name");
-    c->add_flag("--all", options.all, "every instance of the group");
-    c->add_flag("--dry-run", options.dry_run, "print the plan with its reasons, change nothing");
-    c->add_flag("--no-wait", options.no_wait, "don't follow the change to its end");
+    c->add_flag("--all", options.all, "all instances of the group");
+    c->add_flag("--dry-run", options.dry_run, "print the plan and what blocks it, change nothing");
+    c->add_flag("--no-wait", options.no_wait, "don't wait for the end of the change");
   };
   CLI::App* const group = command(app, "group", "the group file");
   group->require_subcommand(1);
-  CLI::App* const check = command(*group, "check", "read the group file and all that it names");
-  CLI::App* const status = command(app, "status", "every instance and agent");
-  status->add_flag("--watch", options.watch, "again each second");
-  status->add_option("--for", options.duration_s, "with --watch: end after so many seconds");
-  CLI::App* const show = command(app, "show", "all that is known of one instance");
+  CLI::App* const check =
+      command(*group, "check", "check the group file and the configurations that it refers to");
+  CLI::App* const status = command(app, "status", "show all instances and agents");
+  status->add_flag("--watch", options.watch, "repeat every second");
+  status->add_option("--for", options.duration_s, "with --watch: stop after this many seconds");
+  CLI::App* const show = command(app, "show", "show the known state of one instance");
   show->add_option("instance", options.instance, "by name")->required();
-  CLI::App* const apply = command(app, "apply", "bring instances to what their files say now");
-  CLI::App* const drain = command(app, "drain", "take nothing new, finish what is held, stay up");
-  CLI::App* const resume = command(app, "resume", "serve again");
-  CLI::App* const restart = command(app, "restart", "restart one after the other");
+  CLI::App* const apply = command(app, "apply", "apply the current configuration files to the instances");
+  CLI::App* const drain =
+      command(app, "drain", "accept no new messages, finish the pending ones, keep running");
+  CLI::App* const resume = command(app, "resume", "accept new messages again");
+  CLI::App* const restart = command(app, "restart", "restart the instances one after the other");
   for (CLI::App* c : {apply, drain, resume, restart}) add_instance_options(c);
   CLI::App* const rollback = command(app, "rollback", "undo the running change, or the last apply");
-  rollback->add_flag("--dry-run", options.dry_run, "print the plan with its reasons, change nothing");
-  rollback->add_flag("--no-wait", options.no_wait, "don't follow the change to its end");
+  rollback->add_flag("--dry-run", options.dry_run, "print the plan and what blocks it, change nothing");
+  rollback->add_flag("--no-wait", options.no_wait, "don't wait for the end of the change");
   CLI::App* const change = command(app, "change", "the running change, or the last one");
   change->require_subcommand(1);
-  CLI::App* const change_show = command(*change, "show", "how far it has come");
-  CLI::App* const change_pause = command(*change, "pause", "begin with no further instance");
-  CLI::App* const change_resume = command(*change, "resume", "go on");
-  CLI::App* const change_abort = command(*change, "abort", "end what has begun, then stop");
-  CLI::App* const history = command(app, "history", "what has happened, of all agents");
-  history->add_option("--most", options.max_lines, "lines")->capture_default_str();
-  CLI::App* const events = command(app, "events", "the same as it happens");
+  CLI::App* const change_show = command(*change, "show", "show its progress");
+  CLI::App* const change_pause = command(*change, "pause", "start no further instance");
+  CLI::App* const change_resume = command(*change, "resume", "continue a paused change");
+  CLI::App* const change_abort = command(*change, "abort", "finish the instances in progress, then stop");
+  CLI::App* const history = command(app, "history", "show past events of all agents");
+  history->add_option("--most", options.max_lines, "maximum number of lines")->capture_default_str();
+  CLI::App* const events = command(app, "events", "show events as they happen");
   events->add_flag("--follow", options.follow, "until interrupted");
-  events->add_option("--for", options.duration_s, "with --follow: end after so many seconds");
+  events->add_option("--for", options.duration_s, "with --follow: stop after this many seconds");
   CLI::App* const keys = command(app, "keys", "the group's keys");
   keys->require_subcommand(1);
-  CLI::App* const init = command(*keys, "init", "make a group's own key");
-  init->add_option("folder", options.folder, "where")->required();
-  init->add_option("--name", options.name, "of the group")->required();
-  init->add_option("--days", options.days, "good for so long")->capture_default_str();
-  CLI::App* const issue = command(*keys, "issue", "make a member's key: an agent's, or an operator's");
+  CLI::App* const init = command(*keys, "init", "create a group's own key");
+  init->add_option("folder", options.folder, "folder of the group's keys")->required();
+  init->add_option("--name", options.name, "name of the group")->required();
+  init->add_option("--days", options.days, "days for which the certificate is valid")->capture_default_str();
+  CLI::App* const issue = command(*keys, "issue", "create the key of a member, an agent or an operator");
   CLI::App* const rotate =
-      command(*keys, "rotate", "replace a member's key; agents take it up by themselves");
+      command(*keys, "rotate", "replace a member's key; agents load it without a restart");
   for (CLI::App* c : {issue, rotate}) {
-    c->add_option("folder", options.folder, "where the group's key is")->required();
-    c->add_option("name", options.name, "of the member")->required();
-    c->add_option("--days", options.days, "good for so long")->capture_default_str();
+    c->add_option("folder", options.folder, "folder of the group's key")->required();
+    c->add_option("name", options.name, "name of the member")->required();
+    c->add_option("--days", options.days, "days for which the certificate is valid")->capture_default_str();
   }
   if (const auto code = apps::Parse(app, "oxbowctl", argc, argv)) return *code;
   std::signal(SIGPIPE, SIG_IGN);
@@ -341,39 +348,40 @@
       const bool key_exists = access((options.folder + "/" + options.name + ".key").c_str(), F_OK) == 0;
       if (issue->parsed() && key_exists)
         throw group::Error(options.folder + "/" + options.name +
-                           ".key: is there already; rotate replaces it");
+                           ".key: already exists; use rotate to replace it");
       if (rotate->parsed() && !key_exists)
-        throw group::Error(options.folder + "/" + options.name + ".key: is not there; issue makes it");
+        throw group::Error(options.folder + "/" + options.name +
+                           ".key: does not exist; use issue to create it");
       tls::IssueMemberKey(options.folder, options.name, std::int64_t{options.days} * 86400);
       return 0;
     }
-    if (options.group_file.empty()) throw group::Error("--group: names no group file (or $OXBOW_GROUP)");
+    if (options.group_file.empty()) throw group::Error("--group: no group file is given (nor $OXBOW_GROUP)");
     if (check->parsed()) {
       // Any socket name avoids loading the group's keys; no agent is contacted.
       options.socket = "-";
-      return Controller(options).CheckGroupFile();
+      return CommandRunner(options).CheckGroupFile();
     }
-    Controller controller(options);
-    if (status->parsed()) return controller.ShowStatus();
-    if (show->parsed()) return controller.ShowInstance();
+    CommandRunner runner(options);
+    if (status->parsed()) return runner.ShowStatus();
+    if (show->parsed()) return runner.ShowInstance();
     if (apply->parsed()) {
       if (options.instances.empty()) options.all = true;
-      return controller.StartChange("reconfigure");
+      return runner.StartChange("reconfigure");
     }
-    if (drain->parsed()) return controller.StartChange("drain");
-    if (resume->parsed()) return controller.StartChange("resume");
-    if (restart->parsed()) return controller.StartChange("restart");
-    if (rollback->parsed()) return controller.StartChange("rollback");
-    if (change_show->parsed()) return controller.ShowChange();
-    if (change_pause->parsed()) return controller.SendOperatorCommand("pause");
-    if (change_resume->parsed()) return controller.SendOperatorCommand("resume");
-    if (change_abort->parsed()) return controller.SendOperatorCommand("abort");
-    return controller.ShowHistory();
+    if (drain->parsed()) return runner.StartChange("drain");
+    if (resume->parsed()) return runner.StartChange("resume");
+    if (restart->parsed()) return runner.StartChange("restart");
+    if (rollback->parsed()) return runner.StartChange("rollback");
+    if (change_show->parsed()) return runner.ShowChange();
+    if (change_pause->parsed()) return runner.SendOperatorCommand("pause");
+    if (change_resume->parsed()) return runner.SendOperatorCommand("resume");
+    if (change_abort->parsed()) return runner.SendOperatorCommand("abort");
+    return runner.ShowHistory();
   } catch (const ctl::Refused& e) {
     std::cerr << "oxbowctl: refused: " << e.what() << "\n";
     return kExitRefused;
   } catch (const ctl::Unreachable& e) {
-    std::cerr << "oxbowctl: no agent in reach: " << e.what() << "\n";
+    std::cerr << "oxbowctl: no agent or leader could be reached: " << e.what() << "\n";
     return kExitUnreachable;
   } catch (const std::exception& e) {
     std::cerr << "oxbowctl: " << e.what() << "\n";
--- a/src/control/frame.cpp
+++ b/src/control/frame.cpp
@@ -20,7 +20,7 @@
   buffer_.erase(0, line_end + 1);
   scanned_ = 0;
   if (object.is_object()) return object;
-  error_ = "a frame is no JSON object";
+  error_ = "a frame is not a JSON object";
   return std::nullopt;
 }
 
@@ -28,16 +28,16 @@
   return object.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
-Json ErrorAnswer(const std::string& why) { return {{"ok", false}, {"error", why}}; }
+Json ErrorAnswer(const std::string& reason) { return {{"ok", false}, {"error", reason}}; }
 
 std::string TextOf(const Json& object, const char* key) {
   const auto it = object.find(key);
   return it != object.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-std::int64_t NumberOf(const Json& object, const char* key, std::int64_t absent) {
+std::int64_t NumberOf(const Json& object, const char* key, std::int64_t default_value) {
   const auto it = object.find(key);
-  return it != object.end() && it->is_number_integer() ? it->get<std::int64_t>() : absent;
+  return it != object.end() && it->is_number_integer() ? it->get<std::int64_t>() : default_value;
 }
 
 }  // namespace oxbowspread::control
--- a/src/control/frame.hpp
+++ b/src/control/frame.hpp
@@ -1,4 +1,4 @@
-// Frames of the control protocol: one JSON object per line. Does no input or output of its own.
+// Frames of the control protocol: one JSON object per line. No I/O.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -20,7 +20,7 @@
   void Feed(std::string_view bytes);
   // Returns the next complete object, or nothing if more bytes are needed or there was an error.
   std::optional<Json> Next();
-  // Describes why the stream can't be read any further; empty if it can.
+  // The reason why the stream can't be read any further; empty if it can.
   const std::string& error() const { return error_; }
 
  private:
@@ -33,11 +33,11 @@
 // Returns the object as one frame, with its line end.
 std::string EncodeFrame(const Json& object);
 
-// Returns the answer {"ok":false,"error":why}.
-Json ErrorAnswer(const std::string& why);
+// Returns the answer {"ok":false,"error":reason}.
+Json ErrorAnswer(const std::string& reason);
 // Returns the string at a key; empty if the key is missing or holds another type.
 std::string TextOf(const Json& object, const char* key);
-// Returns the integer at a key; `absent` if the key is missing or holds another type.
-std::int64_t NumberOf(const Json& object, const char* key, std::int64_t absent = 0);
+// Returns the integer at a key; `default_value` if the key is missing or holds another type.
+std::int64_t NumberOf(const Json& object, const char* key, std::int64_t default_value = 0);
 
 }  // namespace oxbowspread::control
--- a/src/control/peer.cpp
+++ b/src/control/peer.cpp
@@ -71,10 +71,10 @@
   if (connection_) connection_->Close();
 }
 
-void Peer::Fail(const std::string& why) {
+void Peer::Fail(const std::string& reason) {
   if (closed_) return;
   Close();
-  callbacks_.on_closed(why);
+  callbacks_.on_closed(reason);
 }
 
 }  // namespace oxbowspread::control
--- a/src/control/peer.hpp
+++ b/src/control/peer.hpp
@@ -1,4 +1,5 @@
-// One end of a control connection: frames over a stream, through a TLS filter on untrusted networks.
+// One end of a control connection. It exchanges frames over a stream, encrypted by a TLS filter on untrusted
+// networks.
 #pragma once
 
 #include <functional>
@@ -10,14 +11,14 @@
 
 namespace oxbowspread::control {
 
-// Translates between the bytes on the wire and those of the frames, as TLS does. Does no input or output.
+// Translates between the bytes on the wire and those of the frames, for example by TLS. No I/O.
 class Filter {
  public:
   virtual ~Filter() = default;
   // Returns the bytes to send before anything else.
   virtual std::string Begin() = 0;
   // Consumes all of `wire`. Appends decoded bytes to `plain` and bytes that must be sent back to `reply`.
-  // Returns false if the connection must be closed after sending `reply`; error() then says why.
+  // Returns false if the connection must be closed after sending `reply`; error() is then the reason.
   virtual bool Feed(std::string_view wire, std::string* plain, std::string* reply) = 0;
   // Whether the handshake is complete, with both sides authenticated. Seal() may be called only then.
   virtual bool open() const = 0;
@@ -28,18 +29,20 @@
   virtual std::string error() const = 0;
 };
 
-// A control connection that sends and receives JSON objects. All callbacks come from the loop.
+// A control connection that sends and receives JSON objects. All callbacks are called by the loop.
 class Peer final : public net::Connection::Handler {
  public:
   struct Callbacks {
     std::function<void(Json)> on_frame;
-    // Called once, and not after Close(). `why` is empty if the other side closed the connection normally.
-    std::function<void(const std::string& why)> on_closed;
+    // Called once, and not after Close(). `reason` is empty if the other side closed the connection normally.
+    std::function<void(const std::string& reason)> on_closed;
   };
 
-  // Takes over an accepted connection. `filter` may be null. Frames sent before it is open are queued.
+  // Uses an accepted connection and owns its descriptor. `filter` may be null; frames that are sent before it
+  // is open are queued.
   Peer(net::Loop& loop, int fd, std::unique_ptr<Filter> filter, Callbacks callbacks);
-  // Connect to an address or to a Unix-domain socket; null if the attempt fails at once.
+  // Connect to an address or to a Unix-domain socket. Return null if the attempt fails at once; a later
+  // failure is reported by `on_closed`.
   static std::unique_ptr<Peer> ConnectTcp(net::Loop& loop, const net::Address& address,
                                           std::unique_ptr<Filter> filter, Callbacks callbacks);
   static std::unique_ptr<Peer> ConnectUnix(net::Loop& loop, const std::string& path, Callbacks callbacks);
@@ -56,12 +59,12 @@
   void OnBytes(proto::RingBuffer& in) override;
   void OnClosed() override { Fail({}); }
   void Flush();
-  void Fail(const std::string& why);
+  void Fail(const std::string& reason);
 
   std::unique_ptr<Filter> filter_;
   Callbacks callbacks_;
   FrameReader reader_;
-  std::string unsent_;  // frames not yet passed to the filter, which is not open
+  std::string unsent_;  // frames that wait until the filter is open
   bool closed_ = false;
   std::unique_ptr<net::Connection> connection_;
 };
--- a/src/control/server.cpp
+++ b/src/control/server.cpp
@@ -26,12 +26,12 @@
   const std::uint64_t session_id = next_session_id_++;
   Session& session = sessions_[session_id];
   session.first_request_timer = std::make_unique<net::Timer>(
-      loop_, [this, session_id] { EndSession(session_id, "sent no request in time"); });
+      loop_, [this, session_id] { EndSession(session_id, "sent no request within the timeout"); });
   session.first_request_timer->After(kFirstRequestTimeout);
   session.peer = std::make_unique<Peer>(
       loop_, fd, filter_ ? filter_() : nullptr,
       Peer::Callbacks{[this, session_id](Json request) { HandleRequest(session_id, std::move(request)); },
-                      [this, session_id](const std::string& why) { EndSession(session_id, why); }});
+                      [this, session_id](const std::string& reason) { EndSession(session_id, reason); }});
 }
 
 void Server::HandleRequest(std::uint64_t session_id, Json request) {
@@ -52,10 +52,10 @@
   });
 }
 
-void Server::EndSession(std::uint64_t session_id, const std::string& why) {
+void Server::EndSession(std::uint64_t session_id, const std::string& reason) {
   const auto it = sessions_.find(session_id);
   if (it == sessions_.end()) return;
-  if (!why.empty() && on_refused_) on_refused_(why);
+  if (!reason.empty() && on_refused_) on_refused_(reason);
   it->second.peer->Close();
   loop_.DestroyLater(std::move(it->second.peer));
   loop_.DestroyLater(std::move(it->second.first_request_timer));
@@ -68,16 +68,18 @@
   if (peer_) peer_->Close();
 }
 
-void Caller::Call(Json request, net::Time limit, Done done) {
+void Caller::Call(Json request, net::Time timeout, Done done) {
   const std::int64_t id = next_call_id_++;
   PendingCall& pending = pending_[id];
   pending.done = std::move(done);
-  pending.timeout = std::make_unique<net::Timer>(loop_, [this] { Disconnect("no answer in time"); });
-  pending.timeout->After(limit);
+  pending.timeout =
+      std::make_unique<net::Timer>(loop_, [this] { Disconnect("no answer within the timeout"); });
+  pending.timeout->After(timeout);
   if (!peer_) {
-    peer_ = connector_(
-        {[this](Json answer) { Complete(NumberOf(answer, "id", -1), &answer, {}); },
-         [this](const std::string& why) { Disconnect(why.empty() ? "the connection ended" : why); }});
+    peer_ = connector_({[this](Json answer) { Complete(NumberOf(answer, "id", -1), &answer, {}); },
+                        [this](const std::string& reason) {
+                          Disconnect(reason.empty() ? "the connection was closed" : reason);
+                        }});
   }
   if (!peer_) {
     pending.timeout =
@@ -89,24 +91,24 @@
   peer_->Send(request);
 }
 
-void Caller::Disconnect(const std::string& why) {
+void Caller::Disconnect(const std::string& reason) {
   if (peer_) {
     peer_->Close();
     loop_.DestroyLater(std::move(peer_));
   }
   std::vector<std::int64_t> ids;
   for (const auto& [id, pending] : pending_) ids.push_back(id);
-  for (const std::int64_t id : ids) Complete(id, nullptr, why);
+  for (const std::int64_t id : ids) Complete(id, nullptr, reason);
 }
 
-void Caller::Complete(std::int64_t id, const Json* answer, const std::string& why) {
+void Caller::Complete(std::int64_t id, const Json* answer, const std::string& reason) {
   const auto it = pending_.find(id);
   if (it == pending_.end()) return;
   PendingCall pending = std::move(it->second);
   pending_.erase(it);
   pending.timeout->Stop();
   loop_.DestroyLater(std::move(pending.timeout));
-  pending.done(answer, why);
+  pending.done(answer, reason);
 }
 
 }  // namespace oxbowspread::control
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -9,11 +9,11 @@
 constexpr net::Time kRetryInterval = 200ms;
 }  // namespace
 
-Client::Client(const group::Group& group, const std::string& as, const std::string& socket) {
+Client::Client(const group::Group& group, const std::string& member, const std::string& socket) {
   if (socket.empty()) {
     if (group.keys_folder.empty())
       throw group::Error(group.path + ": keys: is missing; name the agent's --socket instead");
-    identity_.emplace(group.keys_folder, as);
+    identity_.emplace(group.keys_folder, member);
   }
   for (const group::Agent& agent : group.agents) {
     if (!socket.empty() && !agents_.empty()) break;
@@ -28,11 +28,11 @@
 }
 
 std::map<std::string, Response> Client::AskAll(
-    const std::function<control::Json(const std::string& agent)>& request, net::Time limit) {
+    const std::function<control::Json(const std::string& agent)>& request, net::Time timeout) {
   std::map<std::string, Response> responses;
   std::size_t pending = callers_.size();
   for (const auto& [name, caller] : callers_) {
-    caller->Call(request(name), limit,
+    caller->Call(request(name), timeout,
                  [&, agent = name](const control::Json* answer, const std::string& reason) {
                    responses[agent] = {answer != nullptr ? std::optional(*answer) : std::nullopt, reason};
                    if (--pending == 0) loop_.Stop();
@@ -42,9 +42,9 @@
   return responses;
 }
 
-Response Client::Ask(const std::string& agent, const control::Json& request, net::Time limit) {
+Response Client::Ask(const std::string& agent, const control::Json& request, net::Time timeout) {
   Response response;
-  callers_.at(agent)->Call(request, limit, [&](const control::Json* answer, const std::string& reason) {
+  callers_.at(agent)->Call(request, timeout, [&](const control::Json* answer, const std::string& reason) {
     response = {answer != nullptr ? std::optional(*answer) : std::nullopt, reason};
     loop_.Stop();
   });
@@ -58,31 +58,31 @@
   loop_.Run();
 }
 
-control::Json Client::AskLeader(const control::Json& request, net::Time patience) {
-  const net::Time give_up_at = net::Loop::Now() + patience;
+control::Json Client::AskLeader(const control::Json& request, net::Time timeout) {
+  const net::Time give_up_at = net::Loop::Now() + timeout;
   std::string reason, next = agents_.front();
-  std::optional<control::Json> last;
+  std::optional<control::Json> last_answer;
   for (std::size_t attempt = 0;; ++attempt) {
     Response response = Ask(next, request, kRequestTimeout);
     std::string leader;
     if (response.answer && response.answer->value("ok", false)) {
       // A follower answers from its own record, which may be older than the leader's.
       leader = control::TextOf(*response.answer, "leader");
-      // With a single socket the leader can't be asked itself.
+      // With a single socket the client can't send the request to the leader.
       const bool leader_not_listed = !leader.empty() && callers_.count(leader) == 0;
       // Only the answer to `change` names the leader; all other requests are answered by the leader alone.
       if (!response.answer->contains("leader") || leader == next || leader_not_listed)
         return *response.answer;
-      if (leader.empty()) last = response.answer;
+      if (leader.empty()) last_answer = response.answer;
     } else if (response.answer) {
       if (!response.answer->contains("leader")) throw Refused(control::TextOf(*response.answer, "error"));
       leader = control::TextOf(*response.answer, "leader");
     }
     reason = next + ": " +
-             (response.answer ? response.answer->value(
-                                    "error", leader.empty() ? "no agent leads just now" : "follows " + leader)
+             (response.answer ? response.answer->value("error", leader.empty() ? "no agent leads at present"
+                                                                               : "follows " + leader)
                               : response.error);
-    if (net::Loop::Now() >= give_up_at) throw Unreachable(reason, last);
+    if (net::Loop::Now() >= give_up_at) throw Unreachable(reason, last_answer);
     const bool next_known = callers_.count(leader) > 0 && leader != next;
     next = next_known ? leader : agents_[(attempt + 1) % agents_.size()];
     if (!next_known) Wait(kRetryInterval);
--- a/src/ctl/client.hpp
+++ b/src/ctl/client.hpp
@@ -16,18 +16,18 @@
 
 namespace oxbowspread::ctl {
 
-// No agent answered, or there was no leader for too long.
+// No agent answered, or no leader was found within the timeout.
 class Unreachable : public std::runtime_error {
  public:
-  explicit Unreachable(const std::string& reason, std::optional<control::Json> last = std::nullopt)
-      : std::runtime_error(reason), last_(std::move(last)) {}
-  // Answer of an agent that knows of no leader: what it has on record, which may be out of date.
-  const std::optional<control::Json>& last() const { return last_; }
+  explicit Unreachable(const std::string& reason, std::optional<control::Json> last_answer = std::nullopt)
+      : std::runtime_error(reason), last_answer_(std::move(last_answer)) {}
+  // Answer of an agent that knows no leader. It shows the agent's own record, which may be out of date.
+  const std::optional<control::Json>& last_answer() const { return last_answer_; }
 
  private:
-  std::optional<control::Json> last_;
+  std::optional<control::Json> last_answer_;
 };
-// An agent refused the request; what() is its own text.
+// An agent refused the request; what() is the error text of the agent.
 class Refused : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -40,26 +40,28 @@
   std::string error;
 };
 
+// Sends requests to the agents of a group and waits for the answers. Not thread-safe.
 class Client {
  public:
-  // Connects to no agent yet. Authenticates as member `as` with the group's keys or, if `socket` is not
-  // empty, talks only to the agent that listens on this Unix-domain socket. Throws group::Error if the group
-  // has no keys, and std::runtime_error if they can't be used.
-  Client(const group::Group& group, const std::string& as, const std::string& socket);
+  // Doesn't connect yet. The client authenticates as `member` with the group's keys or, if `socket` is not
+  // empty, connects without keys to only the agent that listens on this Unix-domain socket. Throws
+  // group::Error if the group has no keys, and std::runtime_error if they can't be used.
+  Client(const group::Group& group, const std::string& member, const std::string& socket);
 
-  // Sends what `request` returns for each agent to all agents at once, with `limit` as the timeout of each.
-  // The result is by name of the agent ("agent" for the one on a socket). Runs the client's own loop until
-  // each has answered or failed; a failure of an agent does not throw.
+  // Sends a request to all agents at once; `request` returns the request for an agent. Runs the client's loop
+  // until each agent has answered or failed, for at most `timeout`. Returns the responses by name of the
+  // agent
+  // ("agent" for the one on a socket). Doesn't throw if an agent fails.
   std::map<std::string, Response> AskAll(
-      const std::function<control::Json(const std::string& agent)>& request, net::Time limit);
-  // Sends the request to the leader, which is looked for among the agents for up to `patience`. Throws
+      const std::function<control::Json(const std::string& agent)>& request, net::Time timeout);
+  // Sends the request to the leader, which is searched among the agents for up to `timeout`. Throws
   // Unreachable or Refused.
-  control::Json AskLeader(const control::Json& request, net::Time patience);
+  control::Json AskLeader(const control::Json& request, net::Time timeout);
   // Runs the loop for this long.
   void Wait(net::Time duration);
 
  private:
-  Response Ask(const std::string& agent, const control::Json& request, net::Time limit);
+  Response Ask(const std::string& agent, const control::Json& request, net::Time timeout);
 
   net::Loop loop_;
   std::optional<tls::Identity> identity_;
--- a/src/ctl/view.cpp
+++ b/src/ctl/view.cpp
@@ -46,21 +46,21 @@
   std::map<std::string, Json> reported;
   for (const auto& [agent, response] : responses) {
     if (!response.answer) continue;
-    for (const Json& one : response.answer->value("instances", Json::array()))
-      reported[TextOf(one, "instance")] = one;
+    for (const Json& entry : response.answer->value("instances", Json::array()))
+      reported[TextOf(entry, "instance")] = entry;
   }
   Json all = Json::array();
   for (const group::Instance& instance : group.instances) {
     Json row = {
         {"instance", instance.name}, {"agent", instance.agent}, {"known", false}, {"phase", "unknown"}};
     if (const auto it = reported.find(instance.name); it != reported.end()) {
-      const Json& one = it->second;
-      row["wanted"] = Version(TextOf(one, "wanted_stamp"));
-      row["want"] = TextOf(one, "want");
-      row["deaths"] = NumberOf(one, "deaths");
-      const std::int64_t age = NumberOf(one, "age_ms", -1);
-      if (one.contains("belief") && age <= max_status_age_ms) {
-        const Json& instance_status = one.at("belief");
+      const Json& entry = it->second;
+      row["wanted"] = Version(TextOf(entry, "wanted_stamp"));
+      row["want"] = TextOf(entry, "want");
+      row["deaths"] = NumberOf(entry, "deaths");
+      const std::int64_t age = NumberOf(entry, "age_ms", -1);
+      if (entry.contains("belief") && age <= max_status_age_ms) {
+        const Json& instance_status = entry.at("belief");
         row["known"] = true;
         row["age_ms"] = age;
         row["phase"] = TextOf(instance_status, "phase");
@@ -83,15 +83,15 @@
 std::string StatusTable(const Json& status) {
   std::vector<std::vector<std::string>> rows = {
       {"INSTANCE", "AGENT", "PHASE", "HELD", "ASKED", "REFUSED", "VERSION", "PID", "DEATHS", "AGE", "NOTE"}};
-  for (const Json& one : status) {
-    const bool known = one.value("known", false);
-    const auto number = [&](const char* key) { return known ? std::to_string(NumberOf(one, key)) : "-"; };
-    std::string note = TextOf(one, "fault");
-    if (note.empty() && known && TextOf(one, "version") != TextOf(one, "wanted"))
-      note = "wants " + TextOf(one, "wanted");
-    rows.push_back({TextOf(one, "instance"), TextOf(one, "agent"), TextOf(one, "phase"), number("held"),
-                    number("asked"), number("refused"), known ? TextOf(one, "version") : "-", number("pid"),
-                    one.contains("deaths") ? std::to_string(NumberOf(one, "deaths")) : "-",
+  for (const Json& entry : status) {
+    const bool known = entry.value("known", false);
+    const auto number = [&](const char* key) { return known ? std::to_string(NumberOf(entry, key)) : "-"; };
+    std::string note = TextOf(entry, "fault");
+    if (note.empty() && known && TextOf(entry, "version") != TextOf(entry, "wanted"))
+      note = "should run " + TextOf(entry, "wanted");
+    rows.push_back({TextOf(entry, "instance"), TextOf(entry, "agent"), TextOf(entry, "phase"), number("held"),
+                    number("asked"), number("refused"), known ? TextOf(entry, "version") : "-", number("pid"),
+                    entry.contains("deaths") ? std::to_string(NumberOf(entry, "deaths")) : "-",
                     known ? number("age_ms") + "ms" : "-", note});
   }
   return Table(rows);
@@ -112,7 +112,7 @@
       note += (note.empty() ? "" : "; ") + TextOf(answer, "keys_fault");
     try {
       if (group::VersionOfText(group::ReadFile(group.path)) != TextOf(answer, "group") && note.empty()) {
-        note = "has another group file than " + group.path;
+        note = "its group file differs from " + group.path;
       }
     } catch (const group::Error&) {
     }
@@ -142,7 +142,7 @@
   std::string line = TextOf(change, "kind") + " " + TextOf(change, "change") + " " + TextOf(change, "state") +
                      " " + std::to_string(done) + "/" + std::to_string(total) + active;
   const std::string blocked_reason = TextOf(answer, "held_back"), reason = TextOf(change, "why");
-  if (!blocked_reason.empty()) line += " (held back: " + blocked_reason + ")";
+  if (!blocked_reason.empty()) line += " (blocked: " + blocked_reason + ")";
   if (!reason.empty()) line += " (" + reason + ")";
   return line;
 }
@@ -162,14 +162,14 @@
 
 std::string PlanTable(const Json& plan) {
   if (plan.value("nothing", false)) return "nothing differs: no change is needed\n";
-  std::vector<std::vector<std::string>> rows = {{"INSTANCE", "HOW", "JUST NOW"}};
+  std::vector<std::vector<std::string>> rows = {{"INSTANCE", "HOW", "NOW"}};
   for (const Json& line : plan.at("plan")) {
     const std::string now = TextOf(line, "now");
     rows.push_back(
-        {TextOf(line, "instance"), TextOf(line, "how"), now.empty() ? "could begin" : "held back: " + now});
+        {TextOf(line, "instance"), TextOf(line, "how"), now.empty() ? "can start now" : "blocked: " + now});
   }
   char rate[64];
-  std::snprintf(rate, sizeof rate, "the group is asked %.0f messages a second\n", plan.value("rate", 0.0));
+  std::snprintf(rate, sizeof rate, "the group receives %.0f messages a second\n", plan.value("rate", 0.0));
   return Table(rows) + rate;
 }
 
--- a/src/ctl/view.hpp
+++ b/src/ctl/view.hpp
@@ -1,6 +1,6 @@
-// The tables and lines that oxbowctl prints, made from the agents' answers. The only input is the group file,
-// whose version is compared with the agents' versions. A field that an answer lacks is shown as "-" and never
-// makes these functions throw.
+// Formats the agents' answers as the tables and lines that oxbowctl prints. The only file read is the group
+// file, whose version is compared with the agents' versions. A missing field of an answer is shown as "-" or
+// left empty; it doesn't make these functions throw.
 #pragma once
 
 #include <map>
@@ -11,10 +11,10 @@
 
 namespace oxbowspread::ctl {
 
-// Aligned columns; the first row is the header.
+// Returns the rows as text with aligned columns; the first row is the header.
 std::string Table(const std::vector<std::vector<std::string>>& rows);
 
-// One entry for each instance of the group, whether or not its agent answered:
+// Returns one entry for each instance of the group, whether or not its agent answered. Fields of an entry:
 //   instance, agent, known, phase, held, asked, refused, version, wanted, pid, deaths, age_ms, fault
 // If no state newer than `max_status_age_ms` is known, `known` is false and `phase` is "unknown".
 control::Json StatusOf(const group::Group& group, const std::map<std::string, Response>& responses,
@@ -22,7 +22,7 @@
 std::string StatusTable(const control::Json& status);
 std::string AgentTable(const group::Group& group, const std::map<std::string, Response>& responses);
 
-// One line such as "restart c3-7 running 2/5: n3 pausing (held back: ...)".
+// The progress of a change as one line, such as "restart c3-7 running 2/5: n3 pausing (blocked: ...)".
 std::string ProgressLine(const control::Json& change_answer);
 std::string ChangeTable(const control::Json& change_answer);
 std::string PlanTable(const control::Json& plan);
--- a/src/tls/keys.cpp
+++ b/src/tls/keys.cpp
@@ -36,7 +36,7 @@
 
 Key GenerateKey() {
   Key key(EVP_EC_gen("P-256"));
-  if (!key) Fail("key", "can't be made");
+  if (!key) Fail("key", "can't be generated");
   return key;
 }
 
@@ -44,12 +44,12 @@
   Certificate certificate(X509_new());
   X509_set_version(certificate.get(), 2);
   unsigned char random[16];
-  if (RAND_bytes(random, sizeof random) != 1) Fail("key", "no random numbers");
+  if (RAND_bytes(random, sizeof random) != 1) Fail("key", "no random numbers available");
   random[0] &= 0x7f;  // serial numbers must be positive (RFC 5280 section 4.1.2.2)
   BIGNUM* const serial = BN_bin2bn(random, sizeof random, nullptr);
   BN_to_ASN1_INTEGER(serial, X509_get_serialNumber(certificate.get()));
   BN_free(serial);
-  // Valid from a minute ago, since the clocks of two hosts may differ a little.
+  // The validity starts one minute in the past, because the clocks of two hosts may differ a little.
   X509_gmtime_adj(X509_getm_notBefore(certificate.get()), -60);
   X509_gmtime_adj(X509_getm_notAfter(certificate.get()), static_cast<long>(lifetime_s));
   X509_NAME* const subject = X509_get_subject_name(certificate.get());
@@ -118,7 +118,7 @@
   CheckName(group);
   const std::string key_path = folder + "/group.key", certificate_path = folder + "/group.crt";
   if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) Fail(folder, std::strerror(errno));
-  if (access(key_path.c_str(), F_OK) == 0) Fail(key_path, "is there already; nothing was changed");
+  if (access(key_path.c_str(), F_OK) == 0) Fail(key_path, "already exists; nothing was changed");
   const Key key = GenerateKey();
   const Certificate certificate = NewCertificate(key.get(), "group " + group, std::int64_t{days} * 86400);
   X509_set_issuer_name(certificate.get(), X509_get_subject_name(certificate.get()));
@@ -136,13 +136,13 @@
   CheckName(name);
   const std::string key_path = folder + "/group.key", certificate_path = folder + "/group.crt";
   std::FILE* file = OpenForReading(key_path);
-  const Key group(PEM_read_PrivateKey(file, nullptr, nullptr, nullptr));
+  const Key group_key(PEM_read_PrivateKey(file, nullptr, nullptr, nullptr));
   std::fclose(file);
-  if (!group) Fail(key_path, "holds no private key");
+  if (!group_key) Fail(key_path, "contains no private key");
   file = OpenForReading(certificate_path);
   const Certificate issuer(PEM_read_X509(file, nullptr, nullptr, nullptr));
   std::fclose(file);
-  if (!issuer) Fail(certificate_path, "holds no certificate");
+  if (!issuer) Fail(certificate_path, "contains no certificate");
   const Key key = GenerateKey();
   const Certificate certificate = NewCertificate(key.get(), name, lifetime_s);
   X509_set_issuer_name(certificate.get(), X509_get_subject_name(issuer.get()));
@@ -150,7 +150,7 @@
   AddExtension(certificate.get(), issuer.get(), NID_key_usage, "critical,digitalSignature");
   AddExtension(certificate.get(), issuer.get(), NID_ext_key_usage, "serverAuth,clientAuth");
   AddExtension(certificate.get(), issuer.get(), NID_authority_key_identifier, "keyid");
-  if (X509_sign(certificate.get(), group.get(), EVP_sha256()) == 0) Fail(name, "can't be signed");
+  if (X509_sign(certificate.get(), group_key.get(), EVP_sha256()) == 0) Fail(name, "can't be signed");
   const std::string own_key = folder + "/" + name + ".key", own_certificate = folder + "/" + name + ".crt";
   WriteTemporary(own_key, PemOf(key.get()), 0600);
   WriteTemporary(own_certificate, PemOf(certificate.get()), 0644);
--- a/src/tls/session.cpp
+++ b/src/tls/session.cpp
@@ -89,15 +89,15 @@
   }
 
   // Returns whether OpenSSL only waits for more bytes; otherwise sets the error.
-  bool CheckResult(int result, const char* context) {
+  bool CheckResult(int result, const char* failure) {
     const int error = SSL_get_error(ssl_, result);
     if (error == SSL_ERROR_WANT_READ || error == SSL_ERROR_WANT_WRITE) return true;
     if (error == SSL_ERROR_ZERO_RETURN) {
-      error_ = "ended";
+      error_ = "closed by the other side";
       return false;
     }
     const long verified = SSL_get_verify_result(ssl_);
-    error_ = std::string(context) + ": " +
+    error_ = std::string(failure) + ": " +
              (verified != X509_V_OK ? X509_verify_cert_error_string(verified) : LastError());
     ERR_clear_error();
     return false;
@@ -130,7 +130,7 @@
   for (const std::string& file :
        {folder_ + "/group.crt", folder_ + "/" + name_ + ".crt", folder_ + "/" + name_ + ".key"}) {
     struct stat status {};
-    if (stat(file.c_str(), &status) != 0) throw std::runtime_error(file + ": is not there");
+    if (stat(file.c_str(), &status) != 0) throw std::runtime_error(file + ": does not exist");
     fingerprint += std::to_string(status.st_ino) + ":" + std::to_string(status.st_size) + ":" +
                    std::to_string(status.st_mtim.tv_sec) + "." + std::to_string(status.st_mtim.tv_nsec) + " ";
   }
@@ -151,23 +151,23 @@
   *fingerprint = Fingerprint();
   struct stat status {};
   if (stat(key.c_str(), &status) == 0 && (status.st_mode & 077) != 0) {
-    throw std::runtime_error(key + ": others may read it; only 0600 is accepted");
+    throw std::runtime_error(key + ": is accessible to other users; only mode 0600 is accepted");
   }
   Context context(SSL_CTX_new(TLS_method()), FreeContext());
-  SSL_CTX* const c = context.get();
+  SSL_CTX* const raw_context = context.get();
   const auto check = [](bool succeeded, const std::string& file) {
     if (!succeeded) throw std::runtime_error(file + ": " + LastError());
   };
   ERR_clear_error();
-  check(SSL_CTX_set_min_proto_version(c, TLS1_3_VERSION) == 1, "TLS 1.3");
-  SSL_CTX_set_session_cache_mode(c, SSL_SESS_CACHE_OFF);
-  SSL_CTX_set_num_tickets(c, 0);
-  SSL_CTX_set_verify(c, SSL_VERIFY_PEER | SSL_VERIFY_FAIL_IF_NO_PEER_CERT, nullptr);
-  SSL_CTX_set_mode(c, SSL_MODE_AUTO_RETRY | SSL_MODE_RELEASE_BUFFERS);
-  check(SSL_CTX_load_verify_locations(c, group.c_str(), nullptr) == 1, group);
-  check(SSL_CTX_use_certificate_file(c, own.c_str(), SSL_FILETYPE_PEM) == 1, own);
-  check(SSL_CTX_use_PrivateKey_file(c, key.c_str(), SSL_FILETYPE_PEM) == 1, key);
-  check(SSL_CTX_check_private_key(c) == 1, key);
+  check(SSL_CTX_set_min_proto_version(raw_context, TLS1_3_VERSION) == 1, "TLS 1.3");
+  SSL_CTX_set_session_cache_mode(raw_context, SSL_SESS_CACHE_OFF);
+  SSL_CTX_set_num_tickets(raw_context, 0);
+  SSL_CTX_set_verify(raw_context, SSL_VERIFY_PEER | SSL_VERIFY_FAIL_IF_NO_PEER_CERT, nullptr);
+  SSL_CTX_set_mode(raw_context, SSL_MODE_AUTO_RETRY | SSL_MODE_RELEASE_BUFFERS);
+  check(SSL_CTX_load_verify_locations(raw_context, group.c_str(), nullptr) == 1, group);
+  check(SSL_CTX_use_certificate_file(raw_context, own.c_str(), SSL_FILETYPE_PEM) == 1, own);
+  check(SSL_CTX_use_PrivateKey_file(raw_context, key.c_str(), SSL_FILETYPE_PEM) == 1, key);
+  check(SSL_CTX_check_private_key(raw_context) == 1, key);
   return context;
 }
 
@@ -182,9 +182,9 @@
 }
 
 std::int64_t Identity::expires_at() const {
-  std::tm tm{};
-  ASN1_TIME_to_tm(X509_get0_notAfter(SSL_CTX_get0_certificate(context_.get())), &tm);
-  return timegm(&tm);
+  std::tm expiry{};
+  ASN1_TIME_to_tm(X509_get0_notAfter(SSL_CTX_get0_certificate(context_.get())), &expiry);
+  return timegm(&expiry);
 }
 
 std::unique_ptr<control::Filter> Identity::NewClientSession(const std::string& expected) const {
--- a/tests/group/files_test.cpp
+++ b/tests/group/files_test.cpp
@@ -231,12 +231,12 @@
   const Keys keys;
   chmod((keys.path + "/west.key").c_str(), 0640);
   CHECK_THROWS_WITH(tls::Identity(keys.path, "west"),
-                    keys.path + "/west.key: others may read it; only 0600 is accepted");
+                    keys.path + "/west.key: is accessible to other users; only mode 0600 is accepted");
   std::filesystem::copy_file(keys.path + "/east.key", keys.path + "/west.key",
                              std::filesystem::copy_options::overwrite_existing);
   chmod((keys.path + "/west.key").c_str(), 0600);
   CHECK_THROWS_WITH(tls::Identity(keys.path, "west"), Catch::Matchers::Contains("west.key: "));
-  CHECK_THROWS_WITH(tls::Identity(keys.path, "nobody"), keys.path + "/nobody.crt: is not there");
+  CHECK_THROWS_WITH(tls::Identity(keys.path, "nobody"), keys.path + "/nobody.crt: does not exist");
 }
 
 TEST_CASE(
@@ -262,7 +262,7 @@
 TEST_CASE("a group's key is never replaced and invalid member names are rejected") {
   const Keys keys;
   CHECK_THROWS_WITH(tls::CreateGroupKey(keys.path, "coulee", 10),
-                    Catch::Matchers::Contains("is there already"));
+                    Catch::Matchers::Contains("already exists"));
   CHECK_THROWS(tls::IssueMemberKey(keys.path, "../west", 10));
   CHECK_THROWS(tls::IssueMemberKey(keys.path, "group", 10));
   struct stat status {};
@@ -272,7 +272,7 @@
 
 // ---- frames ----
 
-TEST_CASE("frames are read from single bytes and a frame that is no object or too long ends the stream") {
+TEST_CASE("frames are read from single bytes and a frame that is not an object or too long ends the stream") {
   control::FrameReader reader(64);
   const std::string text = control::EncodeFrame({{"a", 1}}) + control::EncodeFrame({{"b", "x\ny"}});
   std::vector<control::Json> frames;
@@ -284,7 +284,7 @@
   CHECK(frames[1].at("b") == "x\ny");
   reader.Feed("[1]\n{}\n");
   CHECK_FALSE(reader.Next().has_value());
-  CHECK(reader.error() == "a frame is no JSON object");
+  CHECK(reader.error() == "a frame is not a JSON object");
   CHECK_FALSE(reader.Next().has_value());
   control::FrameReader limited_reader(64);
   limited_reader.Feed(std::string(65, 'x'));
@@ -294,7 +294,7 @@
 
 // ---- the client side of oxbowctl ----
 
-// Agent on a thread of its own that gives the same answer to every request.
+// Agent on its own thread that gives the same answer to every request.
 class FakeAgent {
  public:
   FakeAgent(const std::string& keys, const std::string& name, const std::string& address,
@@ -341,7 +341,7 @@
                                        control::Json{{"ok", true}, {"leader", leader}, {"change", change}});
   };
   const auto east = start_agent(1, "east", "this one");
-  for (const char* leader : {"east", ""}) {  // an agent that follows the leader, and one that knows no leader
+  for (const char* leader : {"east", ""}) {  // west follows the leader, or has heard from no leader
     INFO("west follows '" << leader << "'");
     const auto west = start_agent(0, leader, "the last one");
     ctl::Client client(group, "operator", "");
@@ -349,7 +349,7 @@
   }
 }
 
-TEST_CASE("when no agent leads the error carries the last answer of an agent") {
+TEST_CASE("the error contains the last answer of an agent when no agent leads") {
   const Keys keys;
   tls::IssueMemberKey(keys.path, "operator", 86400);
   group::Group group;
@@ -364,9 +364,9 @@
     client.AskLeader({{"op", "change"}}, std::chrono::milliseconds(300));
     FAIL("the request was answered although no agent leads");
   } catch (const ctl::Unreachable& error) {
-    CHECK(error.what() == std::string("west: no agent leads just now"));
-    REQUIRE(error.last());
-    CHECK(error.last()->at("change") == "the last one");
+    CHECK(error.what() == std::string("west: no agent leads at present"));
+    REQUIRE(error.last_answer());
+    CHECK(error.last_answer()->at("change") == "the last one");
   }
 }
 
