--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -24,7 +24,7 @@
 constexpr net::Time kRecheckTimeout = 2s;  // an agent that has not answered by then is unreachable
 constexpr net::Time kCollectInterval = 300ms;
 constexpr net::Time kGroupFileInterval = 1s;
-// Added to belief_age: the time in which a new leader hears of every instance.
+// Time, in addition to belief_age, in which a new leader gets the status of every instance.
 constexpr net::Time kNewLeaderGrace = 1s;
 constexpr const char* kElectionKey = "lead";
 
@@ -72,11 +72,12 @@
   for (const group::Agent& agent : group_.agents) {
     if (agent.name == options_.name) continue;
     const auto address = net::ParseAddress(agent.address);
-    callers_[agent.name] = std::make_unique<control::Caller>(loop_, [this, name = agent.name, address](
-                                                                        control::Peer::Callbacks calls) {
-      RefreshKeys();
-      return control::Peer::ConnectTcp(loop_, *address, identity_->NewClientSession(name), std::move(calls));
-    });
+    callers_[agent.name] = std::make_unique<control::Caller>(
+        loop_, [this, name = agent.name, address](control::Peer::Callbacks callbacks) {
+          RefreshKeys();
+          return control::Peer::ConnectTcp(loop_, *address, identity_->NewClientSession(name),
+                                           std::move(callbacks));
+        });
   }
   UpdateControllers();
   const auto handler = [this](const Json& request, const control::Answer& answer) {
@@ -115,7 +116,7 @@
   store_->AppendHistory({0, UnixMs(), change, instance, text});
 }
 
-change::ClockReading Agent::CurrentMoment() const {
+change::ClockReading Agent::ReadClock() const {
   const std::time_t unix_time = std::time(nullptr);
   std::tm local_time{};
   localtime_r(&unix_time, &local_time);
@@ -141,7 +142,7 @@
     if (const auto it = desired.find(instance.name); it != desired.end()) {
       initial = {change::DesiredPhaseFromName(it->second.phase), it->second.stamp, it->second.reload};
     } else {
-      // A new instance starts with the present content of its configuration file.
+      // A new instance starts with the current content of its configuration file.
       const std::string text = group::ReadFile(instance.config_path);
       config::ParseAndValidate(text);
       initial = {change::DesiredPhase::kServing, change::StampOf(group::VersionOfText(text), "first"), false};
@@ -168,49 +169,49 @@
 void Agent::CheckGroupFile() {
   group_file_timer_.After(kGroupFileInterval);
   std::string text;
-  const auto refuse = [&](const std::string& reason) {
+  const auto report_fault = [&](const std::string& reason) {
     if (std::exchange(group_fault_, reason) != reason)
-      RecordEvent({}, {}, "group file not taken up: " + reason);
+      RecordEvent({}, {}, "group file not loaded: " + reason);
   };
   try {
     text = group::ReadFile(options_.group_file);
-    if (text == group_text_) return group_fault_.clear();  // also after a rejected edit was reverted
+    if (text == group_text_) return group_fault_.clear();  // also reached after a rejected edit was reverted
     const auto record = StoredRecord();
     if (record && !change::IsFinished(record->state))
-      return refuse("change " + record->spec.id + " has not finished yet");
-    group::Group next = group::Read(options_.group_file);
-    const auto address = [&](const group::Group& g) {
+      return report_fault("change " + record->spec.id + " has not finished yet");
+    group::Group new_group = group::Read(options_.group_file);
+    const auto agent_addresses = [&](const group::Group& group) {
       std::string all;
-      for (const group::Agent& a : g.agents) all += a.name + "=" + a.address + " ";
+      for (const group::Agent& agent : group.agents) all += agent.name + "=" + agent.address + " ";
       return all;
     };
-    if (address(next) != address(group_) || next.keys_folder != group_.keys_folder) {
-      return refuse("agents or keys differ, which needs a restart of all agents");
+    if (agent_addresses(new_group) != agent_addresses(group_) ||
+        new_group.keys_folder != group_.keys_folder) {
+      return report_fault("agents or keys differ, which needs a restart of all agents");
     }
-    std::swap(group_, next);
+    std::swap(group_, new_group);
     try {
       UpdateControllers();
     } catch (...) {
-      std::swap(group_, next);
+      std::swap(group_, new_group);
       throw;
     }
     group_text_ = text;
     group_fault_.clear();
-    RecordEvent({}, {}, "group file taken up");
+    RecordEvent({}, {}, "group file loaded");
     if (engine_) {
-      auto last = engine_->record();
+      auto last_record = engine_->record();
       engine_.emplace(group_.instance_capacities(), group_.limits);
-      if (last) StepEngine({change::TakeOverChange{*last}});
+      if (last_record) StepEngine({change::TakeOverChange{*last_record}});
     }
   } catch (const std::exception& e) {
-    refuse(e.what());
+    report_fault(e.what());
   }
 }
 
 void Agent::RefreshKeys() {
   try {
-    if (identity_->ReloadIfChanged())
-      RecordEvent({}, {}, "keys taken up, certificate " + identity_->serial());
+    if (identity_->ReloadIfChanged()) RecordEvent({}, {}, "keys loaded, certificate " + identity_->serial());
     keys_fault_.clear();
   } catch (const std::exception& e) {
     if (std::exchange(keys_fault_, e.what()) != e.what()) log_.Write(warn, {}, {}, keys_fault_);
@@ -269,15 +270,15 @@
 }
 
 control::Json Agent::HandleElectionMessage(const std::string& from, const Json& request) {
-  if (callers_.count(from) == 0) return ErrorAnswer("'" + from + "' is no other agent of the group");
-  Json reply = ErrorAnswer("not on disk");
+  if (callers_.count(from) == 0) return ErrorAnswer("'" + from + "' is not another agent of the group");
+  Json reply = ErrorAnswer("the election state is not on disk");
   StepElection({election::MessageReceived{from, election::MessageFromJson(request.at("message"))}}, from,
                &reply);
   return reply;
 }
 
-// Accepts orders only from the leader to which this agent promised the epoch. A leader that was cut off and
-// has been replaced is fenced.
+// Accepts orders only from the leader to which this agent promised the epoch. This fences a leader that was
+// disconnected or suspended and has been replaced.
 control::Json Agent::HandleOrder(const std::string& from, const Json& request) {
   const election::DurableState& durable = election_->durable();
   const auto epoch = request.at("epoch").get<election::Epoch>();
@@ -294,13 +295,15 @@
   Json permanent_error = ErrorAnswer("");
   permanent_error["never"] = true;
   if (controller == controllers_.end()) {
-    permanent_error["error"] = options_.name + " keeps no instance '" + instance + "'";
+    permanent_error["error"] = options_.name + " has no instance '" + instance + "'";
     return permanent_error;
   }
   if (!stamp.empty()) {
     const auto text = store_->GetConfig(instance, change::VersionOf(stamp));
     try {
-      if (!text) throw std::runtime_error("the configuration " + change::VersionOf(stamp) + " is not here");
+      if (!text)
+        throw std::runtime_error("the configuration " + change::VersionOf(stamp) +
+                                 " is not in this agent's store");
       config::ParseAndValidate(*text);
     } catch (const std::exception& e) {
       permanent_error["error"] = e.what();
@@ -312,17 +315,17 @@
   return {{"ok", true}};
 }
 
-// Checks and stores a configuration that a later order may name. Doesn't apply it.
+// Checks and stores a configuration that a later order may refer to. Doesn't apply it.
 control::Json Agent::HandleOffer(const Json& request) {
   const std::string instance = request.at("instance"), text = request.at("text");
   const auto controller = controllers_.find(instance);
   if (controller == controllers_.end())
-    return ErrorAnswer(options_.name + " keeps no instance '" + instance + "'");
-  config::Config next;
+    return ErrorAnswer(options_.name + " has no instance '" + instance + "'");
+  config::Config new_config;
   try {
-    next = config::ParseAndValidate(text);
+    new_config = config::ParseAndValidate(text);
     for (const auto& [key, value] :
-         {std::pair("listen", &next.listen), std::pair("discovery", &next.discovery)}) {
+         {std::pair("listen", &new_config.listen), std::pair("discovery", &new_config.discovery)}) {
       if (!net::ParseAddress(*value))
         throw config::Error(key, "must be an IPv4 address and port, not '" + *value + "'");
     }
@@ -333,7 +336,7 @@
   const std::string from = change::VersionOf(controller->second->supervisor().desired().stamp);
   bool reload = false;
   if (const auto running = store_->GetConfig(instance, from)) {
-    reload = config::KeysNeedingRestart(config::ParseAndValidate(*running), next).empty();
+    reload = config::KeysNeedingRestart(config::ParseAndValidate(*running), new_config).empty();
   }
   if (!request.value("dry_run", false)) store_->PutConfig(instance, version, text);
   return {{"ok", true}, {"instance", instance}, {"from", from}, {"to", version}, {"reload", reload}};
@@ -357,7 +360,7 @@
   Json answer = {
       {"ok", true}, {"leader", election_->leader(net::Loop::Now())}, {"epoch", election_->epoch()}};
   if (engine_) {
-    // The engine's own record may be ahead of the committed one, and a next leader may not know it.
+    // The engine's own record may be newer than the committed one, and the next leader may not have it.
     if (!committed_record_) return answer;
     answer["change"] = ToJson(*committed_record_);
     answer["held_back"] = engine_->blocked_reason();
@@ -381,9 +384,9 @@
                         const std::set<std::string>* unreachable) {
   if (!engine_ || !election_->IsLeader(net::Loop::Now())) return answer(NotLeadingAnswer());
   const std::string kind = TextOf(request, "kind");
-  if (const std::string name = TextOf(request, "request"); !name.empty() && engine_->record()) {
-    // The request was accepted before: its sender lost the answer of this leader or of an earlier one.
-    if (engine_->record()->spec.request_id == name) return AnswerWhenCommitted(answer);
+  if (const std::string request_id = TextOf(request, "request"); !request_id.empty() && engine_->record()) {
+    // The request was accepted before, and the answer of this leader or of an earlier one was lost.
+    if (engine_->record()->spec.request_id == request_id) return AnswerWhenCommitted(answer);
   }
   if (const auto& record = engine_->record(); record && !change::IsFinished(record->state)) {
     if (kind == "rollback") {
@@ -409,11 +412,11 @@
       if (engine_->FreshStatus(now, name) == nullptr) agents_without_status.insert(instance->agent);
     }
     if (!agents_without_status.empty() && unreachable == nullptr) {
-      // This agent may have missed answers itself because a disk or a suspension held it up. Another agent
-      // counts as unreachable only if it doesn't answer now.
+      // This agent itself may have missed answers, because it was suspended or waited for a disk. Another
+      // agent counts as unreachable only if it doesn't answer now.
       return RecheckAgents(agents_without_status,
-                           [this, request, answer](const std::set<std::string>& no_answer) {
-                             BeginChange(request, answer, &no_answer);
+                           [this, request, answer](const std::set<std::string>& unreachable_agents) {
+                             BeginChange(request, answer, &unreachable_agents);
                            });
     }
     for (const Json& name : instances) {
@@ -425,12 +428,12 @@
         if (!recently_elected && unreachable->count(group_.FindInstance(name)->agent) > 0)
           return answer(ErrorAnswer(name.get<std::string>() + " is unknown: its agent is out of reach"));
         // The leader is new, or the agent is reachable but has no status of its relay yet. The empty leader
-        // makes the client retry as it does when no agent leads.
-        Json later = ErrorAnswer("the leader has yet to hear of " + name.get<std::string>());
-        later["leader"] = "";
-        return answer(later);
+        // name makes the client retry, as it does when no agent leads.
+        Json retry_answer = ErrorAnswer("the leader has no status yet of " + name.get<std::string>());
+        retry_answer["leader"] = "";
+        return answer(retry_answer);
       }
-      // An instance that is down has no running version; its agent reports the version that it would run.
+      // An instance that is down runs no version, so the version of its desired state is used.
       const std::string version = desired_versions_[name];
       spec.targets.push_back({name, version, version, false});
     }
@@ -438,18 +441,19 @@
     const auto& last = engine_->record();
     if (!last || last->spec.kind != change::Kind::kReconfigure || last->state != change::State::kDone) {
       return answer(
-          ErrorAnswer("the last change is no finished reconfiguration: there is nothing to roll back"));
+          ErrorAnswer("the last change is not a finished reconfiguration: there is nothing to roll back"));
     }
     spec.kind = change::Kind::kReconfigure;
-    for (const change::Target& t : last->spec.targets)
-      spec.targets.push_back({t.instance, t.to, t.from, t.reload});
+    for (const change::Target& target : last->spec.targets)
+      spec.targets.push_back({target.instance, target.to, target.from, target.reload});
   } else {
     return answer(ErrorAnswer("kind: unknown: '" + kind + "'"));
   }
   StartChange(std::move(spec), request, answer);
 }
 
-// All agents check and store the configurations first. If one fails or refuses, the change doesn't begin.
+// First all agents check and store the configurations. If one of them fails or refuses, the change doesn't
+// start.
 void Agent::OfferConfigs(const Json& request, const control::Answer& answer) {
   struct OfferRound {
     std::size_t pending = 0;
@@ -469,8 +473,8 @@
     if (!engine_) return answer(NotLeadingAnswer());
     change::Spec spec;
     spec.kind = change::Kind::kReconfigure;
-    for (const group::Instance& i : group_.instances) {
-      const auto it = round->targets.find(i.name);
+    for (const group::Instance& instance : group_.instances) {
+      const auto it = round->targets.find(instance.name);
       if (it != round->targets.end() && it->second.from != it->second.to) spec.targets.push_back(it->second);
     }
     if (spec.targets.empty()) return answer({{"ok", true}, {"nothing", true}});
@@ -508,17 +512,17 @@
 
 control::Json Agent::DescribePlan(const change::Spec& spec) {
   Json plan_lines = Json::array();
-  for (const change::Target& t : spec.targets) {
+  for (const change::Target& target : spec.targets) {
     std::string how = "restart";
     if (spec.kind == change::Kind::kDrain) how = "drain";
     if (spec.kind == change::Kind::kResume) how = "resume";
     if (spec.kind == change::Kind::kReconfigure)
-      how = (t.reload ? "reload " : "restart ") + t.from + " to " + t.to;
-    const bool guarded = spec.kind != change::Kind::kResume && !t.reload;
+      how = (target.reload ? "reload " : "restart ") + target.from + " to " + target.to;
+    const bool guarded = spec.kind != change::Kind::kResume && !target.reload;
     plan_lines.push_back(
-        {{"instance", t.instance},
+        {{"instance", target.instance},
          {"how", how},
-         {"now", guarded ? engine_->BlockedBy(CurrentMoment(), t.instance) : std::string()}});
+         {"now", guarded ? engine_->BlockedBy(ReadClock(), target.instance) : std::string()}});
   }
   return {{"ok", true}, {"plan", plan_lines}, {"kind", NameOf(spec.kind)}, {"rate", engine_->MessageRate()}};
 }
@@ -555,8 +559,8 @@
         store_->Put(kElectionKey, ToJson(persist->durable).dump());
       } catch (const store::Error& e) {
         log_.Write(warn, {}, {}, e.what());
-        // State that is not on disk must not be sent. The election state is reset to what the disk holds; a
-        // later candidacy needs a successful write.
+        // State that is not on disk must not be sent. The election state is reset to the one on disk, and
+        // this agent can't become a candidate before a write succeeds.
         StopLeading();
         std::random_device random;
         election_.emplace(options_.name, NamesOf(group_.agents), election::Timing(), ReadDurable(*store_),
@@ -579,33 +583,32 @@
                     StepElection(
                         {election::MessageReceived{to, election::MessageFromJson(response->at("message"))}});
                   } catch (const Json::exception& e) {
-                    log_.Write(warn, {}, {}, to + " sent an answer that can't be read: " + e.what());
+                    log_.Write(warn, {}, {}, to + " sent an invalid answer: " + e.what());
                   }
                 });
-    } else if (const auto* leads = std::get_if<election::BecameLeader>(&action)) {
-      leading_epoch_ = leads->epoch;
+    } else if (const auto* became_leader = std::get_if<election::BecameLeader>(&action)) {
+      leading_epoch_ = became_leader->epoch;
       leading_since_ = now;
       engine_.emplace(group_.instance_capacities(), group_.limits);
       committed_record_.reset();
-      RecordEvent({}, {}, "leads in epoch " + std::to_string(leading_epoch_));
+      RecordEvent({}, {}, "became the leader in epoch " + std::to_string(leading_epoch_));
       try {
         committed_record_ = StoredRecord();
         if (committed_record_) StepEngine({change::TakeOverChange{*committed_record_}});
       } catch (const std::exception& e) {
-        // A majority stored this record intact, so another program version must have written it. An operator
-        // has to look at it; the relays keep running.
-        RecordEvent({}, {},
-                    std::string("the change on record can't be read and is not continued: ") + e.what());
+        // A majority has stored this record, so it is not damaged; another program version must have written
+        // it. It needs an operator. The relays keep running.
+        RecordEvent({}, {}, std::string("the stored change can't be read and is not continued: ") + e.what());
       }
       CollectStatus();
-    } else if (const auto* stopped = std::get_if<election::LostLeadership>(&action)) {
+    } else if (const auto* lost_leadership = std::get_if<election::LostLeadership>(&action)) {
       StopLeading();
-      RecordEvent({}, {}, "leads no more: " + stopped->reason);
+      RecordEvent({}, {}, "lost the leadership: " + lost_leadership->reason);
     } else if (const auto* committed = std::get_if<election::ValueCommitted>(&action)) {
-      for (Queued& queued : queue_) {
-        if (queued.seq == 0 || queued.seq > committed->seq) continue;
-        auto record = std::get<change::PersistRecord>(std::get<change::Action>(queued.content)).record;
-        queued.content = Reply{[this, record = std::move(record)](bool leading) {
+      for (QueueEntry& entry : queue_) {
+        if (entry.seq == 0 || entry.seq > committed->seq) continue;
+        auto record = std::get<change::PersistRecord>(std::get<change::Action>(entry.content)).record;
+        entry.content = Reply{[this, record = std::move(record)](bool leading) {
           if (leading) committed_record_ = record;
         }};
       }
@@ -616,18 +619,18 @@
 
 void Agent::StopLeading() {
   engine_.reset();
-  for (Queued& queued : std::exchange(queue_, {})) {
-    if (const auto* reply = std::get_if<Reply>(&queued.content)) reply->send(false);
+  for (QueueEntry& entry : std::exchange(queue_, {})) {
+    if (const auto* reply = std::get_if<Reply>(&entry.content)) reply->send(false);
   }
 }
 
 void Agent::StepEngine(std::vector<change::Event> events) {
-  for (change::Action& action : engine_->Step(CurrentMoment(), events)) queue_.push_back({std::move(action)});
+  for (change::Action& action : engine_->Step(ReadClock(), events)) queue_.push_back({std::move(action)});
   ProcessQueue();
 }
 
-// Answers with the state of the change once all decisions so far are committed, or with the current leader if
-// this agent stops leading before.
+// Answers with the state of the change after all decisions so far are committed, or with the name of the
+// leader if this agent loses the leadership before.
 void Agent::AnswerWhenCommitted(const control::Answer& answer) {
   queue_.push_back(
       {Reply{[this, answer](bool leading) { answer(leading ? ChangeAnswer() : NotLeadingAnswer()); }}});
@@ -638,20 +641,20 @@
   while (!queue_.empty()) {
     if (const auto* first = std::get_if<change::Action>(&queue_.front().content)) {
       if (const auto* persist_record = std::get_if<change::PersistRecord>(first)) {
-        if (queue_.front().seq != 0) return;  // proposed and not committed yet
+        if (queue_.front().seq != 0) return;  // proposed but not committed yet
         queue_.front().seq = election_->proposed_seq() + 1;
         StepElection({election::Propose{ToJson(persist_record->record).dump()}});
-        return;  // StepElection has called ProcessQueue if the record is committed already
+        return;  // if the record is already committed, StepElection has called ProcessQueue
       }
     }
-    // Removed from the queue first, because carrying it out may call this function again.
-    const Queued head = std::move(queue_.front());
+    // The entry is removed from the queue first, because carrying it out may call this function again.
+    const QueueEntry entry = std::move(queue_.front());
     queue_.pop_front();
-    if (const auto* reply = std::get_if<Reply>(&head.content)) {
+    if (const auto* reply = std::get_if<Reply>(&entry.content)) {
       reply->send(true);
       continue;
     }
-    const change::Action& action = std::get<change::Action>(head.content);
+    const change::Action& action = std::get<change::Action>(entry.content);
     if (const auto* order = std::get_if<change::Order>(&action)) {
       SendOrder(*order);
     } else if (const auto* history_entry = std::get_if<change::AddHistory>(&action)) {
@@ -698,17 +701,18 @@
 }
 
 void Agent::RecheckAgents(const std::set<std::string>& agents,
-                          const std::function<void(const std::set<std::string>& unreachable)>& then) {
+                          const std::function<void(const std::set<std::string>& unreachable)>& on_complete) {
   struct Recheck {
     std::size_t pending;
     std::set<std::string> unreachable;
   };
   auto recheck = std::make_shared<Recheck>(Recheck{agents.size(), {}});
   const net::Time requested_at = net::Loop::Now();
-  const auto on_answer = [this, recheck, then, requested_at](const std::string& name, const Json* answer) {
+  const auto on_answer = [this, recheck, on_complete, requested_at](const std::string& name,
+                                                                    const Json* answer) {
     if (answer == nullptr) recheck->unreachable.insert(name);
     if (answer != nullptr && engine_) ApplyLocalStatus(*answer, requested_at);
-    if (--recheck->pending == 0) then(recheck->unreachable);
+    if (--recheck->pending == 0) on_complete(recheck->unreachable);
   };
   for (const std::string& name : agents) {
     CallAgent(
@@ -725,8 +729,7 @@
       desired_versions_[status.at("instance")] = change::VersionOf(status.at("wanted_stamp"));
       if (!status.contains("belief")) continue;
       change::InstanceStatus instance_status = change::InstanceStatusFromJson(status.at("belief"));
-      // The greatest possible age: counted back from the time of the request by the age that the agent
-      // states.
+      // Uses the greatest possible age: the agent's stated age at the time when the request was sent.
       instance_status.requested_at =
           requested_at - std::chrono::milliseconds(status.at("age_ms").get<std::int64_t>());
       events.push_back(change::StatusReceived{std::move(instance_status)});
@@ -743,7 +746,7 @@
     if (caller == callers_.end()) return done(nullptr, "no such agent");
     return caller->second->Call(std::move(request), timeout, std::move(done));
   }
-  // A request to this agent itself is handled like one from another agent.
+  // A request to this agent itself is handled directly, like a request from another agent.
   request["from"] = name;
   HandleRequest(request, [done = std::move(done)](const Json& answer) { done(&answer, {}); });
 }
--- a/src/agent/log.hpp
+++ b/src/agent/log.hpp
@@ -1,4 +1,4 @@
-// The agent's log on standard output, written by spdlog: lines of text, or one JSON object per line.
+// The agent's log on standard output, written with spdlog as lines of text or as one JSON object per line.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -9,11 +9,11 @@
 
 namespace oxbowspread::agent {
 
-// A log whose lines carry the name of the agent. Not thread-safe.
+// A log with the name of the agent in each line. Not thread-safe.
 class Log {
  public:
   Log(std::string agent, bool json);
-  // Writes one line; empty fields are left out. The text format has no `step`.
+  // Writes one line without the empty fields. The text format has no `step`.
   void Write(spdlog::level::level_enum level, const std::string& change, const std::string& instance,
              const std::string& text, const std::string& step = {});
 
--- a/src/agent/relay_controller.cpp
+++ b/src/agent/relay_controller.cpp
@@ -56,8 +56,8 @@
       record_event_(std::move(record_event)),
       supervisor_(desired),
       relay_caller_(loop,
-                    [this](control::Peer::Callbacks calls) {
-                      return control::Peer::ConnectUnix(loop_, RunPath(".sock"), std::move(calls));
+                    [this](control::Peer::Callbacks callbacks) {
+                      return control::Peer::ConnectUnix(loop_, RunPath(".sock"), std::move(callbacks));
                     }),
       step_timer_(loop, [this] { Step({}); }),
       liveness_timer_(loop, [this] { CheckAlive(); }) {
@@ -76,15 +76,15 @@
 }
 
 void RelayController::Step(std::vector<supervise::Event> events) {
-  // An action may lead to an event at once, which is handled by a nested call of Step.
+  // An action may cause an event at once, which is processed by a nested call of Step.
   for (const supervise::Action& action : supervisor_.Step(net::Loop::Now(), events)) {
     std::visit([this](const auto& action_value) { Execute(action_value); }, action);
   }
   if (supervisor_.wake_at() != net::Time::max()) step_timer_.At(supervisor_.wake_at());
 }
 
-// Compares the store's record of the process with the holder of the folder's lock. Reports a process only if
-// both agree, and no process only if there is neither; otherwise asks the relay itself.
+// Compares the process recorded in the store with the holder of the folder's lock. Reports a process only if
+// both are the same, and no process only if there is neither. Otherwise it queries the relay itself.
 void RelayController::Execute(const supervise::FindProcess&) {
   const auto holder = journal::FolderLock::HolderOf(StateFolder());
   const bool recorded =
@@ -98,22 +98,22 @@
   QueryLockHolder(holder ? *holder : running_.pid);
 }
 
-// Called if the lock's holder is not on record, or if the recorded process does not hold the lock yet. Adopts
-// the process only if the relay that answers on the control socket has this pid.
+// Called if the lock's holder is not recorded in the store, or if the recorded process does not hold the lock
+// yet. Adopts the process only if the relay that answers on the control socket has this pid.
 void RelayController::QueryLockHolder(std::int64_t holder) {
   relay_caller_.Call(
       {{"op", "status"}}, kAnswerTimeout, [this, holder](const control::Json* answer, const std::string&) {
         if (supervisor_.state() != supervise::Supervisor::State::kSearching) return;
         if (answer != nullptr && control::NumberOf(*answer, "pid") == holder) return Adopt(holder);
         const std::string text = "waits: process " + std::to_string(holder) + " holds its state folder and " +
-                                 (answer == nullptr ? "does not answer" : "is not the one that answers");
+                                 (answer == nullptr ? "does not answer" : "another process answers instead");
         if (std::exchange(reported_obstacle_, text) != text) record_event_(instance_, text);
       });
 }
 
 void RelayController::Adopt(std::int64_t pid) {
   if (supervise::ProcessStartTicks(static_cast<pid_t>(pid)) == 0)
-    return;  // has just exited; the next search takes account of it
+    return;  // the process has just exited; the supervisor repeats the search
   reported_obstacle_.clear();
   RecordProcess(pid, false);
   Step({supervise::ProcessFound{pid}});
@@ -167,7 +167,7 @@
     reason = e.what();
   }
   if (pid == 0) return Step({supervise::SpawnFailed{reason}});
-  relay_caller_.Disconnect("started anew");
+  relay_caller_.Disconnect("the relay was started again");
   RecordProcess(pid, true);
   Step({supervise::Spawned{pid}});
 }
@@ -223,7 +223,7 @@
   }
   running_ = {};
   liveness_timer_.Stop();
-  relay_caller_.Disconnect("the relay has ended");
+  relay_caller_.Disconnect("the relay has exited");
   Step({supervise::ProcessExited{exit_code}});
 }
 
--- a/src/agent/relay_controller.hpp
+++ b/src/agent/relay_controller.hpp
@@ -1,5 +1,5 @@
-// Controls one relay of this host: carries out the actions of its supervise::Supervisor with processes, files
-// and the relay's control socket, and feeds the results back as events.
+// Controls one relay of this host. Carries out the actions of the relay's supervise::Supervisor with
+// processes, files and the relay's control socket, and passes the results to the supervisor as events.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace oxbowspread::agent {
 
-// Where a controller finds its files and its program.
+// Paths of a controller's files and of the relay program.
 struct Paths {
   std::string agent_folder;   // the agent's folder, which contains run/ and state/
   std::string relay_program;  // path of the relay's executable
@@ -34,8 +34,8 @@
   RelayController(net::Loop& loop, std::string instance, const Paths& paths, store::Store& store,
                   const supervise::Desired& desired, EventRecorder record_event);
 
-  // Stores and applies a new desired state. It is on disk when the call returns; throws store::Error without
-  // any change if it can't be stored. With an empty stamp, the present stamp and reload flag stay.
+  // Stores and applies a new desired state, which is on disk when the call returns. An empty stamp keeps the
+  // present stamp and reload flag. Throws store::Error, without any change, if the state can't be stored.
   void SetDesired(supervise::Desired desired);
   // See supervise::Supervisor::CurrentStatus.
   std::optional<change::InstanceStatus> CurrentStatus() const {
@@ -59,10 +59,10 @@
   // Writes the process to the store. A failure is only reported: the process can also be found again by its
   // folder lock and its control socket.
   void RecordProcess(std::int64_t pid, bool is_child);
-  // Writes the configuration version named by the stamp to the file that the relay reads. Throws
+  // Writes the configuration version of the stamp to the file that the relay reads. Throws
   // std::exception if the version is not in the store or the file can't be written.
   void WriteConfig(const std::string& stamp);
-  // The relay's state folder: the one that its configuration names, or the default under state/.
+  // The relay's state folder: the one set in its configuration, or else the default under state/.
   std::string StateFolder() const;
   // Path of a file of this instance under run/.
   std::string RunPath(const char* ending) const { return paths_.agent_folder + "/run/" + instance_ + ending; }
@@ -76,7 +76,7 @@
   store::RunningProcess running_;
   bool is_child_ = false;  // whether the process was started by this agent and must be reaped
   bool status_pending_ = false;
-  std::string reported_obstacle_;  // last reported reason why the search has no result
+  std::string reported_obstacle_;  // last reported reason why the search has no result yet
   control::Caller relay_caller_;
   net::Timer step_timer_, liveness_timer_;
 };
--- a/src/apps/oxbowagent.cpp
+++ b/src/apps/oxbowagent.cpp
@@ -1,4 +1,7 @@
-// oxbowagent: supervises the relays of one host and takes part in the changes of the group.
+// oxbowagent: supervises the relays of one host and carries out the group's changes with the other agents.
+//
+// Exit codes: 0 terminated by SIGTERM or SIGINT; 2 invalid input or another error; 3 another process holds
+// the lock of the agent's folder.
 #include <unistd.h>
 
 #include <csignal>
@@ -13,7 +16,7 @@
 namespace {
 using namespace oxbowspread;
 using apps::kExitBadInput;
-constexpr int kFolderLockedExitCode = 3;
+constexpr int kExitFolderLocked = 3;
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -25,10 +28,10 @@
   app.add_option("--name", options.name, "this agent's name in the group file")->required();
   app.add_option("--folder", options.folder, "folder for this agent's durable state")->required();
   app.add_option("--relay", options.relay_program,
-                 "path of the relay's executable; by default oxbowspread beside this program");
+                 "path of the relay's executable; by default oxbowspread in the folder of this program");
   app.add_option("--store-kb", options.max_store_kb, "size limit of the store in KiB")
       ->check(CLI::Range(64, 1 << 20));
-  app.add_flag("--json", options.json_log, "log one JSON object a line");
+  app.add_flag("--json", options.json_log, "log one JSON object per line");
   app.set_version_flag("--version", std::string("oxbowagent " OXBOWSPREAD_VERSION));
   if (const auto code = apps::Parse(app, "oxbowagent", argc, argv)) return *code;
   std::signal(SIGPIPE, SIG_IGN);
@@ -47,8 +50,8 @@
     const journal::FolderLock lock(options.folder);
     net::Loop loop;
     agent::Agent agent(loop, options);
-    const auto shut_down = [&](const char* why) {
-      agent.RecordShutdown(why);
+    const auto shut_down = [&](const char* reason) {
+      agent.RecordShutdown(reason);
       loop.Stop();
     };
     net::Signal term(loop, SIGTERM, [&] { shut_down("SIGTERM"); });
@@ -56,7 +59,7 @@
     loop.Run();
   } catch (const journal::FolderLocked& e) {
     std::cerr << "oxbowagent: " << e.what() << "\n";
-    return kFolderLockedExitCode;
+    return kExitFolderLocked;
   } catch (const std::exception& e) {
     std::cerr << "oxbowagent: " << e.what() << "\n";
     return kExitBadInput;
--- a/tests/group/group_process_test.cpp
+++ b/tests/group/group_process_test.cpp
@@ -134,9 +134,9 @@
   REQUIRE(harness.WaitUntilFinished());
   CHECK(harness.ChangeState() == "done");
   CHECK(harness.WaitUntil([&] { return harness.FindInconsistency().empty(); }));
-  // The log of the old leader shows that it gave up leadership, and it has adopted the new leader's epoch.
+  // The log of the old leader shows that it lost the leadership, and it has promised the new leader's epoch.
   const std::string log = harness.AgentLog(old_leader);
-  CHECK(log.find("leads no more") != log.npos);
+  CHECK(log.find("lost the leadership") != log.npos);
   const auto epoch = harness.AskAgent(next, {{"op", "local"}})->at("epoch");
   CHECK(harness.AskAgent(old_leader, {{"op", "local"}})->at("epoch") == epoch);
 }
@@ -145,7 +145,7 @@
   GroupHarness harness;
   harness.StartAll();
   const auto before = RelayPids(harness);
-  // The order comes from a member that has an agent's key, as an order of a replaced leader does.
+  // The order is sent with an agent's key, like the order of a replaced leader.
   const tls::Identity as_agent(harness.folder + "/keys", harness.site.agents[0]);
   const std::string target_agent = harness.site.agents[1];
   const std::string log = harness.AgentLog(target_agent);
@@ -338,7 +338,7 @@
   REQUIRE(harness.WaitUntilFinished());
   CHECK(harness.ChangeState() == "done");
   REQUIRE(harness.WaitUntil(
-      [&] { return harness.AgentLog(leader).find("group file taken up") != std::string::npos; }));
+      [&] { return harness.AgentLog(leader).find("group file loaded") != std::string::npos; }));
   CHECK(harness.ChangeState() == "done");  // the leader still reports the change
   std::ofstream(harness.site.group_file) << text + "  least_sample: none\n";
   REQUIRE(harness.WaitUntil(
