--- a/src/lab/simulated_relay.cpp
+++ b/src/lab/simulated_relay.cpp
@@ -394,7 +394,7 @@
 void SimulatedRelay::MoveDiscovery() {
   open_list_calls_.clear();
   if (list_.subscription() != 0) {
-    environment_.Notify(model::WatchEnded{options_.relay_index, ToEnvironmentCall(list_.subscription())});
+    environment_.Notify(model::ListCallEnded{options_.relay_index, ToEnvironmentCall(list_.subscription())});
   }
   UpdateLease(wheathub::ListLease::Moved{});
   StepList(wheathub::ListSubscription::Moved{});
@@ -424,7 +424,7 @@
 void SimulatedRelay::StepList(const wheathub::ListSubscription::Event& event) {
   for (const auto& call : list_.Step(Now(), event)) {
     if (call.replaced_call)
-      environment_.Notify(model::WatchEnded{options_.relay_index, ToEnvironmentCall(*call.replaced_call)});
+      environment_.Notify(model::ListCallEnded{options_.relay_index, ToEnvironmentCall(*call.replaced_call)});
     if (list_.subscription() != 0) UpdateLease(wheathub::ListLease::SubscriptionBroken{});
     open_list_calls_[call.number] = Now();
     environment_.Notify(model::ListRequested{options_.relay_index, ToEnvironmentCall(call.number), version_});
--- a/src/lab/socket_run.cpp
+++ b/src/lab/socket_run.cpp
@@ -189,7 +189,7 @@
           OnDiscovery(relay_index, number_offset + connection, request);
         },
         [this, relay_index, number_offset](std::uint64_t connection) {
-          Notify(model::WatchEnded{static_cast<int>(relay_index), number_offset + connection});
+          Notify(model::ListCallEnded{static_cast<int>(relay_index), number_offset + connection});
         });
     discovery_servers.push_back(std::move(discovery_server));
   }
@@ -296,7 +296,7 @@
       loop_.DestroyLater(std::move(discovery_server.server));
       for (const std::uint64_t call : relay.open_watches) {
         if (call / kCallsPerDiscoveryServer == i)
-          Notify(model::WatchEnded{static_cast<int>(relay_index), call});
+          Notify(model::ListCallEnded{static_cast<int>(relay_index), call});
       }
     }
   }
--- a/src/model/platform_model.cpp
+++ b/src/model/platform_model.cpp
@@ -181,7 +181,7 @@
     calls_.erase(dropped->call);
   } else if (const auto* notice = std::get_if<NoticeReceived>(&input)) {
     Handle(*notice);
-  } else if (const auto* ended = std::get_if<WatchEnded>(&input)) {
+  } else if (const auto* ended = std::get_if<ListCallEnded>(&input)) {
     RelayState& relay = relays_[static_cast<std::size_t>(ended->relay)];
     if (relay.watch_call == ended->call) relay.watch_call = 0;
   } else if (const auto* request = std::get_if<ListRequested>(&input)) {
--- a/src/model/platform_model.hpp
+++ b/src/model/platform_model.hpp
@@ -59,12 +59,12 @@
   std::uint64_t call = 0;  // the driver's number for it, never reused
   std::int64_t known_version = 0;
 };
-struct WatchEnded {  // the relay ended its watch or gave up a call for the list
+struct ListCallEnded {  // the relay ended its watch, or a call for the list that had no answer yet
   int relay = 0;
   std::uint64_t call = 0;
 };
 using Input = std::variant<RelayUp, RelayDown, SubmissionAnswered, CallReceived, CallDropped, NoticeReceived,
-                           ListRequested, WatchEnded>;
+                           ListRequested, ListCallEnded>;
 
 // ---- effects, for the driver to carry out ----
 
