--- a/src/model/day.cpp
+++ b/src/model/day.cpp
@@ -21,6 +21,7 @@
   return static_cast<int>(floor) + (random.Bernoulli(mean - floor) ? 1 : 0);
 }
 
+// Draws the parts of one day. Generate is called once.
 class DayGenerator {
  public:
   DayGenerator(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), seed_(seed) {}
@@ -50,12 +51,12 @@
     const auto count = static_cast<std::size_t>(partners.count);
     day_.full_load_rate = random.UniformIn(partners.rate_per_partner) * partners.count;
     const double skew = random.UniformIn(partners.skew);
-    double all = 0;
+    double total_weight = 0;
     for (std::size_t i = 0; i < count; ++i) {
       day_.traffic_shares.push_back(1 / std::pow(static_cast<double>(i + 1), skew));
-      all += day_.traffic_shares.back();
+      total_weight += day_.traffic_shares.back();
     }
-    for (double& share : day_.traffic_shares) share /= all;
+    for (double& share : day_.traffic_shares) share /= total_weight;
     const double mean_hosts = random.UniformIn(partners.hosts_per_partner);
     const auto large = static_cast<std::size_t>(std::lround(partners.large_share * partners.count));
     for (std::size_t i = 0; i < count; ++i) {
@@ -118,11 +119,11 @@
     RandomStream random(seed_, "relays");
     // Calls in flight at full load: each host's call rate times service time plus the network's round trip.
     double busy_calls = 0;
-    std::vector<double> hosts(day_.traffic_shares.size());
-    for (const Host& host : day_.hosts) hosts[static_cast<std::size_t>(host.partner)] += 1;
+    std::vector<double> host_counts(day_.traffic_shares.size());
+    for (const Host& host : day_.hosts) host_counts[static_cast<std::size_t>(host.partner)] += 1;
     for (const Host& host : day_.hosts) {
       const auto partner = static_cast<std::size_t>(host.partner);
-      busy_calls += day_.full_load_rate * day_.traffic_shares[partner] / hosts[partner] *
+      busy_calls += day_.full_load_rate * day_.traffic_shares[partner] / host_counts[partner] *
                     (host.service_time_s + scenario_.network.one_way.low + scenario_.network.one_way.high);
     }
     day_.slots = std::max(scenario_.relay.min_slots,
@@ -227,12 +228,12 @@
   }
 
   std::vector<int> PickRelays(double share, RandomStream& random) const {
-    std::vector<int> all(static_cast<std::size_t>(scenario_.relays));
-    std::iota(all.begin(), all.end(), 0);
-    Shuffle(&all, random);
-    all.resize(static_cast<std::size_t>(
+    std::vector<int> relays(static_cast<std::size_t>(scenario_.relays));
+    std::iota(relays.begin(), relays.end(), 0);
+    Shuffle(&relays, random);
+    relays.resize(static_cast<std::size_t>(
         std::clamp<long>(std::lround(share * scenario_.relays), 1, scenario_.relays)));
-    return all;
+    return relays;
   }
 
   void DrawRollingRestart(const Fault& fault, double at, double length, double share, RandomStream& random) {
@@ -257,21 +258,21 @@
     Shuffle(&affected_hosts, random);
     const double chance =
         fault.kind == Fault::Kind::kZoneFailing ? random.UniformIn(fault.failure_chance) : 1;
-    std::vector<double> hosts(day_.traffic_shares.size());
-    for (const Host& host : day_.hosts) hosts[static_cast<std::size_t>(host.partner)] += 1;
+    std::vector<double> host_counts(day_.traffic_shares.size());
+    for (const Host& host : day_.hosts) host_counts[static_cast<std::size_t>(host.partner)] += 1;
     std::vector<bool> down(day_.traffic_shares.size());
     if (in_all_zones) {
       std::vector<std::size_t> partners(day_.traffic_shares.size());
       std::iota(partners.begin(), partners.end(), std::size_t{0});
       Shuffle(&partners, random);
-      const auto n = std::max<long>(1, std::lround(share * static_cast<double>(partners.size())));
-      for (long i = 0; i < n; ++i) down[partners[static_cast<std::size_t>(i)]] = true;
+      const auto down_count = std::max<long>(1, std::lround(share * static_cast<double>(partners.size())));
+      for (long i = 0; i < down_count; ++i) down[partners[static_cast<std::size_t>(i)]] = true;
     }
     double affected_share = 0;
     for (const std::size_t host_index : affected_hosts) {
       const auto partner = static_cast<std::size_t>(day_.hosts[host_index].partner);
       if (in_all_zones ? !down[partner] : affected_share >= share) continue;
-      affected_share += day_.traffic_shares[partner] / hosts[partner];
+      affected_share += day_.traffic_shares[partner] / host_counts[partner];
       // 1 means that the host refuses every call; a failing host stays below it, so that it serves some
       // calls.
       const bool refuses_all = fault.kind != Fault::Kind::kZoneFailing;
@@ -283,40 +284,42 @@
   }
 
   std::vector<int> PickLargePartners(int count, RandomStream& random) const {
-    const auto large = std::max<std::size_t>(
+    const auto large_count = std::max<std::size_t>(
         1, static_cast<std::size_t>(
                std::lround(scenario_.partners.large_share * static_cast<double>(scenario_.partners.count))));
-    std::vector<int> all(
-        std::max(large, std::min(static_cast<std::size_t>(count), day_.traffic_shares.size())));
-    std::iota(all.begin(), all.end(), 0);
-    Shuffle(&all, random);
-    all.resize(std::min(all.size(), static_cast<std::size_t>(count)));
-    return all;
+    std::vector<int> partners(
+        std::max(large_count, std::min(static_cast<std::size_t>(count), day_.traffic_shares.size())));
+    std::iota(partners.begin(), partners.end(), 0);
+    Shuffle(&partners, random);
+    partners.resize(std::min(partners.size(), static_cast<std::size_t>(count)));
+    return partners;
   }
 
   void DrawReplacements(const Fault& fault, double at, double length, RandomStream& random) {
-    const std::size_t before = day_.hosts.size();
+    const std::size_t original_count = day_.hosts.size();
     for (int i = 0; i < fault.count; ++i) {
-      const std::size_t old = random.UniformBelow(before);
-      if (!day_.hosts[old].present_at_start) continue;  // added later, as the replacement of another host
-      const double when = at + length * i / fault.count;
-      if (std::any_of(
-              day_.scheduled_events.begin(), day_.scheduled_events.end(), [&](const ScheduledEvent& event) {
-                return event.index == static_cast<int>(old) && event.kind == ScheduledEvent::Kind::kDrainHost;
-              })) {
+      const std::size_t old_host = random.UniformBelow(original_count);
+      if (!day_.hosts[old_host].present_at_start)
+        continue;  // added later, as the replacement of another host
+      const double drained_at = at + length * i / fault.count;
+      if (std::any_of(day_.scheduled_events.begin(), day_.scheduled_events.end(),
+                      [&](const ScheduledEvent& event) {
+                        return event.index == static_cast<int>(old_host) &&
+                               event.kind == ScheduledEvent::Kind::kDrainHost;
+                      })) {
         continue;  // this host is replaced already
       }
-      Host next = day_.hosts[old];
-      next.present_at_start = false;
-      if (!fault.same_address) next.address.clear();
-      const double drained =
-          when + (fault.drain_time.low < fault.drain_time.high ? random.UniformIn(fault.drain_time)
-                                                               : fault.drain_time.low);
-      Schedule(when, ScheduledEvent::Kind::kDrainHost, static_cast<int>(old));
-      Schedule(drained, ScheduledEvent::Kind::kRemoveHost, static_cast<int>(old));
-      Schedule(fault.same_address ? drained + 0.2 : when, ScheduledEvent::Kind::kAddHost,
+      Host replacement = day_.hosts[old_host];
+      replacement.present_at_start = false;
+      if (!fault.same_address) replacement.address.clear();
+      const double removed_at =
+          drained_at + (fault.drain_time.low < fault.drain_time.high ? random.UniformIn(fault.drain_time)
+                                                                     : fault.drain_time.low);
+      Schedule(drained_at, ScheduledEvent::Kind::kDrainHost, static_cast<int>(old_host));
+      Schedule(removed_at, ScheduledEvent::Kind::kRemoveHost, static_cast<int>(old_host));
+      Schedule(fault.same_address ? removed_at + 0.2 : drained_at, ScheduledEvent::Kind::kAddHost,
                static_cast<int>(day_.hosts.size()));
-      AddNamedHost(std::move(next));
+      AddNamedHost(std::move(replacement));
     }
   }
 
@@ -338,24 +341,24 @@
     std::vector<double> cumulative_share;  // by partner
     double sum = 0;
     for (const double share : day_.traffic_shares) cumulative_share.push_back(sum += share);
-    const auto partner = [&] {
-      const auto it =
+    const auto pick_partner = [&] {
+      const auto chosen =
           std::upper_bound(cumulative_share.begin(), cumulative_share.end(), random.Uniform() * sum);
       return static_cast<int>(std::min<std::ptrdiff_t>(
-          it - cumulative_share.begin(), static_cast<std::ptrdiff_t>(cumulative_share.size()) - 1));
+          chosen - cumulative_share.begin(), static_cast<std::ptrdiff_t>(cumulative_share.size()) - 1));
     };
     // Shape kBursty: the rate is high or low for some seconds at a time.
     std::vector<double> rate_levels(static_cast<std::size_t>(length) + 2);
-    double level = 1, left = 0;
+    double level = 1, seconds_left = 0;
     for (double& rate_level : rate_levels) {
-      if (left <= 0) {
+      if (seconds_left <= 0) {
         level = random.Bernoulli(0.5) ? 1 + amplitude : 1 - amplitude;
-        left = 1 + random.Exponential(3);
+        seconds_left = 1 + random.Exponential(3);
       }
-      left -= 1;
+      seconds_left -= 1;
       rate_level = level;
     }
-    const auto shape = [&](double at) {
+    const auto rate_factor = [&](double at) {
       if (traffic.shape == Scenario::Traffic::Shape::kSteady) return 1.0;
       if (traffic.shape == Scenario::Traffic::Shape::kRamp)
         return 1 - amplitude + 2 * amplitude * at / length;
@@ -367,16 +370,16 @@
     const double max_rate = rate * (1 - burst_share) * (1 + amplitude);
     for (double at = random.Exponential(1 / std::max(max_rate, 1e-9)); at < length;
          at += random.Exponential(1 / max_rate)) {
-      if (random.Bernoulli(shape(at) / (1 + amplitude))) AddArrival(at, partner());
+      if (random.Bernoulli(rate_factor(at) / (1 + amplitude))) AddArrival(at, pick_partner());
     }
-    DrawBursts(rate * burst_share * length, length, partner);
-    for (const ExtraTraffic& entry : extra_traffic_) {
-      RandomStream extra_random(seed_, "draws-" + std::to_string(&entry - extra_traffic_.data()));
-      const double extra = rate * entry.share;
+    DrawBursts(rate * burst_share * length, length, pick_partner);
+    for (const ExtraTraffic& extra_traffic : extra_traffic_) {
+      RandomStream extra_random(seed_, "draws-" + std::to_string(&extra_traffic - extra_traffic_.data()));
+      const double extra = rate * extra_traffic.share;
       if (extra <= 0) continue;
-      for (double at = entry.from + extra_random.Exponential(1 / extra); at < std::min(entry.until, length);
-           at += extra_random.Exponential(1 / extra)) {
-        AddArrival(at, entry.partners[extra_random.UniformBelow(entry.partners.size())]);
+      for (double at = extra_traffic.from + extra_random.Exponential(1 / extra);
+           at < std::min(extra_traffic.until, length); at += extra_random.Exponential(1 / extra)) {
+        AddArrival(at, extra_traffic.partners[extra_random.UniformBelow(extra_traffic.partners.size())]);
       }
     }
     std::stable_sort(day_.arrivals.begin(), day_.arrivals.end(),
@@ -397,31 +400,31 @@
     if (sum <= 0) return;
     for (Arrival& arrival : day_.arrivals) {
       if (!random.Bernoulli(sum / (sum + scenario_.relays))) continue;
-      const auto at =
+      const auto chosen =
           std::upper_bound(cumulative_share.begin(), cumulative_share.end(), random.Uniform() * sum);
       arrival.local_relay =
-          static_cast<int>(std::min<std::ptrdiff_t>(at - cumulative_share.begin(), scenario_.relays - 1));
+          static_cast<int>(std::min<std::ptrdiff_t>(chosen - cumulative_share.begin(), scenario_.relays - 1));
     }
   }
 
-  template <typename Partner>
-  void DrawBursts(double messages, double length, Partner partner) {
+  template <typename PickPartner>
+  void DrawBursts(double messages, double length, PickPartner pick_partner) {
     RandomStream random(seed_, "clumps");
-    std::vector<double> limit(day_.traffic_shares.size());
+    std::vector<double> partner_limits(day_.traffic_shares.size());
     for (const Host& host : day_.hosts) {
-      if (host.present_at_start) limit[static_cast<std::size_t>(host.partner)] += host.limit;
+      if (host.present_at_start) partner_limits[static_cast<std::size_t>(host.partner)] += host.limit;
     }
     double drawn_messages = 0;
     while (drawn_messages < messages) {
-      const int to = partner();
+      const int partner = pick_partner();
       const int size = std::max(1, static_cast<int>(random.UniformIn(scenario_.traffic.burst_size) *
-                                                    limit[static_cast<std::size_t>(to)]));
+                                                    partner_limits[static_cast<std::size_t>(partner)]));
       // The last burst may exceed the rest; it is drawn with the matching chance, which keeps the mean right.
       if (messages - drawn_messages < size && !random.Bernoulli((messages - drawn_messages) / size)) break;
       const double at = random.UniformBetween(0, length);
       for (int i = 0; i < size; ++i) {
         const double when = at + random.UniformBetween(0, 0.3);
-        if (when < length) AddArrival(when, to);
+        if (when < length) AddArrival(when, partner);
       }
       drawn_messages += size;
     }
--- a/src/model/platform_model.cpp
+++ b/src/model/platform_model.cpp
@@ -13,9 +13,9 @@
 constexpr Time kClientTimeout = 400ms;  // for the answer to a submission
 constexpr Time kWaitAfterLastDeadline = 3s;
 constexpr Time kHeartbeatInterval = 2s;   // of a watch while nothing changes
-constexpr Time kListQueueTimeout = 2s;    // of a call for the list; then it is refused
+constexpr Time kListQueueTimeout = 2s;    // a call for the list that has waited this long is refused
 constexpr Time kRepeatAnswerDelay = 5ms;  // of a host that has served the key before
-constexpr Time kMaxRetryAfter = 2s;       // a client waits no longer, whatever the relay asks for
+constexpr Time kMaxRetryAfter = 2s;       // limit of a client's wait, whatever Retry-After the relay sends
 
 Time Seconds(double seconds) { return Time(static_cast<Time::rep>(std::llround(seconds * 1e6))); }
 
@@ -152,7 +152,7 @@
 void PlatformModel::Handle(const Input& input) {
   if (const auto* up = std::get_if<RelayUp>(&input)) {
     RelayState& relay = relays_[static_cast<std::size_t>(up->relay)];
-    relay.up = relay.believed_up = true;
+    relay.up = relay.in_rotation = true;
     trace::Event event = MakeEvent(Kind::kReady);
     event.relay = up->relay;
     sink_(event);
@@ -173,7 +173,7 @@
   } else if (const auto* received = std::get_if<CallReceived>(&input)) {
     Handle(*received);
   } else if (const auto* dropped = std::get_if<CallDropped>(&input)) {
-    // The host goes on: the call may still take effect, but no one sees its answer.
+    // The host continues: the call may still take effect, but no one receives its answer.
     const auto it = calls_.find(dropped->call);
     if (it == calls_.end()) return;
     sink_(MakeEvent(Kind::kConnectionLost, it->second));
@@ -191,39 +191,39 @@
 
 // ---- clients ----
 
-void PlatformModel::StartMessage(std::uint64_t arrival) {
-  const Arrival& arrival_data = day_.arrivals[arrival];
-  lateness_ = std::max(lateness_, now_ - arrival_data.due);
+void PlatformModel::StartMessage(std::uint64_t arrival_index) {
+  const Arrival& arrival = day_.arrivals[arrival_index];
+  lateness_ = std::max(lateness_, now_ - arrival.due);
   Message message;
-  message.due = arrival_data.due;
-  message.deadline = arrival_data.due + Seconds(scenario_.relay.deadline);
-  message.destination = arrival_data.partner;
-  message.local_relay = arrival_data.local_relay;
-  message.key = RandomHex(day_.seed, "key-" + std::to_string(arrival));
-  RandomStream random(day_.seed, "client-" + std::to_string(arrival));
+  message.due = arrival.due;
+  message.deadline = arrival.due + Seconds(scenario_.relay.deadline);
+  message.destination = arrival.partner;
+  message.local_relay = arrival.local_relay;
+  message.key = RandomHex(day_.seed, "key-" + std::to_string(arrival_index));
+  RandomStream random(day_.seed, "client-" + std::to_string(arrival_index));
   const double retries = random.UniformIn(scenario_.traffic.retries);
   message.retries = static_cast<int>(retries);
   last_deadline_ = std::max(last_deadline_, message.deadline);
   messages_.push_back(std::move(message));
   ++pending_;
   trace::Event event = MakeEvent(Kind::kMessageDue);
-  event.message = arrival;
-  event.destination = arrival_data.partner;
+  event.message = arrival_index;
+  event.destination = arrival.partner;
   event.deadline = messages_.back().deadline;
   sink_(event);
-  Submit(arrival);
-  if (arrival + 1 < day_.arrivals.size())
-    Schedule(day_.arrivals[arrival + 1].due, TaskKind::kArrival, arrival + 1);
+  Submit(arrival_index);
+  if (arrival_index + 1 < day_.arrivals.size())
+    Schedule(day_.arrivals[arrival_index + 1].due, TaskKind::kArrival, arrival_index + 1);
 }
 
-// Round robin over the relays that the load balancer believes up; over all, if it believes none up.
+// Round robin over the relays in the load balancer's rotation; over all of them if none is in it.
 int PlatformModel::PickRelay() {
   for (std::size_t i = 0; i < relays_.size(); ++i) {
     const std::size_t r = (next_relay_ + i) % relays_.size();
     RelayState& relay = relays_[r];
     const bool answers = relay.up && !relay.stopped;
-    if (!answers && relay.believed_up && now_ >= relay.detected_down_at) relay.believed_up = false;
-    if (!relay.believed_up) continue;
+    if (!answers && relay.in_rotation && now_ >= relay.detected_down_at) relay.in_rotation = false;
+    if (!relay.in_rotation) continue;
     next_relay_ = r + 1;
     return static_cast<int>(r);
   }
@@ -262,7 +262,7 @@
   if (it == submissions_.end()) return;
   const Submission submission = it->second;
   submissions_.erase(it);
-  SubmissionState& id = submission_states_[submission.id];
+  SubmissionState& state = submission_states_[submission.id];
   trace::Event event = MakeEvent(Kind::kAccepted);
   event.id = submission.id;
   event.relay = submission.relay;
@@ -270,8 +270,8 @@
   switch (answered.result) {
     case SubmissionAnswered::Result::kAccepted:
       sink_(event);
-      id.accepted = true;
-      if (id.delivered || id.noticed) EndMessage(submission.message);
+      state.accepted = true;
+      if (state.delivered || state.noticed) EndMessage(submission.message);
       return;
     case SubmissionAnswered::Result::kRejected:
       event.kind = Kind::kRejected;
@@ -282,7 +282,7 @@
     case SubmissionAnswered::Result::kConnectionLost:
       event.kind = Kind::kUnanswered;
       sink_(event);
-      id.abandoned = true;
+      state.abandoned = true;
       messages_[submission.message].lost_before = true;
       return ResubmitAfter(submission.message,
                            Seconds(client_random_.UniformIn(scenario_.traffic.resubmit_delay)));
@@ -324,9 +324,9 @@
   sink_(event);
   const auto it = submission_states_.find(notice.id);
   if (it == submission_states_.end()) return;
-  SubmissionState& id = it->second;
-  if (std::exchange(id.noticed, true) || id.abandoned || !id.accepted || id.delivered) return;
-  notice.deferred ? HandleRejection(id.message, notice.retry_after) : EndMessage(id.message);
+  SubmissionState& state = it->second;
+  if (std::exchange(state.noticed, true) || state.abandoned || !state.accepted || state.delivered) return;
+  notice.deferred ? HandleRejection(state.message, notice.retry_after) : EndMessage(state.message);
 }
 
 // ---- endpoints ----
@@ -352,14 +352,14 @@
 }
 
 void PlatformModel::Handle(const CallReceived& received) {
-  const auto at = host_by_address_.find(received.address);
-  if (at == host_by_address_.end()) {
+  const auto host = host_by_address_.find(received.address);
+  if (host == host_by_address_.end()) {
     effects_.push_back(CloseCallConnection{received.call});
     return;
   }
   Call call;
   call.relay = received.relay;
-  call.host = at->second;
+  call.host = host->second;
   call.id = received.id;
   call.key = received.key;
   call.first_on_connection = received.first_on_connection;
@@ -376,23 +376,23 @@
   Schedule(now_ + delay_to_host, TaskKind::kCallArrives, received.call);
 }
 
-// The host starts the call or refuses it.
+// The call reaches its host, which starts or refuses it.
 void PlatformModel::DeliverCallToHost(std::uint64_t number) {
   const auto it = calls_.find(number);
   if (it == calls_.end() || it->second.answering) return;
   Call& call = it->second;
   call.answering = true;
-  const std::string effect = call.key + "@" + std::to_string(day_.hosts[call.host].partner) + "/" +
-                             std::to_string(day_.hosts[call.host].zone);
+  const std::string execution_key = call.key + "@" + std::to_string(day_.hosts[call.host].partner) + "/" +
+                                    std::to_string(day_.hosts[call.host].zone);
   const Time window = Seconds(scenario_.relay.repeat_window);
-  while (!effects_by_age_.empty() && effects_by_age_.front().first + window < now_) {
-    effect_times_.erase(effects_by_age_.front().second);
-    effects_by_age_.pop();
+  while (!executions_by_age_.empty() && executions_by_age_.front().first + window < now_) {
+    execution_times_.erase(executions_by_age_.front().second);
+    executions_by_age_.pop();
   }
   const Time delay_back = Seconds(network_random_.UniformIn(scenario_.network.one_way));
-  const auto id = submission_states_.find(call.id);
-  if (id != submission_states_.end() &&
-      messages_[id->second.message].destination != day_.hosts[call.host].partner) {
+  const auto state = submission_states_.find(call.id);
+  if (state != submission_states_.end() &&
+      messages_[state->second.message].destination != day_.hosts[call.host].partner) {
     call.status = 400;
     return Schedule(now_ + delay_back, TaskKind::kCallAnswered, number);
   }
@@ -400,7 +400,7 @@
     call.status = 503;
     return Schedule(now_ + delay_back, TaskKind::kCallAnswered, number);
   }
-  if (effect_times_.count(effect) > 0) {
+  if (execution_times_.count(execution_key) > 0) {
     call.status = 200;
     return Schedule(now_ + kRepeatAnswerDelay + delay_back, TaskKind::kCallAnswered, number);
   }
@@ -414,8 +414,8 @@
     sink_(event);
   }
   if (result.status == 200 && !call.key.empty()) {
-    effect_times_[effect] = now_;
-    effects_by_age_.emplace(now_, effect);
+    execution_times_[execution_key] = now_;
+    executions_by_age_.emplace(now_, execution_key);
   }
   Schedule(result.answer_at + delay_back, TaskKind::kCallAnswered, number);
 }
@@ -432,9 +432,9 @@
   sink_(event);
   effects_.push_back(AnswerCall{number, call.status, call.retry_after});
   if (call.status != 200) return;
-  const auto id = submission_states_.find(call.id);
-  if (id == submission_states_.end() || std::exchange(id->second.delivered, true)) return;
-  if (id->second.accepted && !id->second.abandoned) EndMessage(id->second.message);
+  const auto state = submission_states_.find(call.id);
+  if (state == submission_states_.end() || std::exchange(state->second.delivered, true)) return;
+  if (state->second.accepted && !state->second.abandoned) EndMessage(state->second.message);
 }
 
 // ---- faults ----
@@ -469,7 +469,7 @@
       return sink_(event);
     case ScheduledEvent::Kind::kContinueRelay:
       if (!std::exchange(relays_[index].stopped, false)) return;
-      relays_[index].believed_up = relays_[index].up;
+      relays_[index].in_rotation = relays_[index].up;
       effects_.push_back(ContinueRelay{scheduled.index});
       event = MakeEvent(Kind::kReady);
       event.relay = scheduled.index;
@@ -613,7 +613,7 @@
   }
 }
 
-// Serves one call after the other. Refusing one that has waited for too long takes no time.
+// Serves one call at a time. Refusing a call that has waited for too long takes no time.
 void PlatformModel::ServeListQueue() {
   while (!list_queue_.empty() && now_ - list_queue_.front().first >= kListQueueTimeout) {
     effects_.push_back(RefuseList{list_queue_.front().second.relay, list_queue_.front().second.call});
@@ -656,7 +656,7 @@
   }
 }
 
-// Discovery that is down or silent counts as unreachable. Watches that became silent never recover.
+// Discovery counts as unreachable while it is down or silent. Watches that became silent never recover.
 void PlatformModel::SetDiscoveryState(const ScheduledEvent& scheduled) {
   using EventKind = ScheduledEvent::Kind;
   discovery_ = scheduled.kind == EventKind::kDiscoveryDown         ? DiscoveryState::kDown
--- a/src/model/platform_model.hpp
+++ b/src/model/platform_model.hpp
@@ -1,9 +1,9 @@
 // The platform around the relays: clients and their load balancer, endpoints, discovery, and injected faults.
-// It gets what the relays do as inputs and returns as effects what they experience; the driver carries the
-// effects out, on sockets or on a virtual clock. No I/O and no clock: the driver passes the time, in
+// Its inputs report what the relays do. Its effects are what the other parties do to the relays; the driver
+// carries them out on sockets or on a virtual clock. No I/O and no clock: the driver passes the time, in
 // microseconds since the start of the day.
 //
-// Not modelled: connections that stay open and silent, machines that vanish with their disk, partners whose
+// Not modelled: connections that stay open and silent, machines that are lost with their disk, partners whose
 // endpoints share one limit, wrong or corrupted answers, and the CPU time of a relay.
 #pragma once
 
@@ -25,10 +25,10 @@
 
 // ---- inputs, from the driver ----
 
-struct RelayUp {  // the relay answers now
+struct RelayUp {  // the relay answers commands now
   int relay = 0;
 };
-struct RelayDown {  // its process has ended; the ends of its calls and submissions were reported before
+struct RelayDown {  // its process has ended; the ends of its calls and submissions have been reported
   int relay = 0;
 };
 struct SubmissionAnswered {
@@ -76,7 +76,7 @@
   int destination = 0;
   bool refused_before = false, lost_before = false;
 };
-struct AbandonSubmission {  // its client stops waiting: the connection ends
+struct AbandonSubmission {  // its client stops waiting for the answer and closes the connection
   std::uint64_t submission = 0;
   int relay = 0;
 };
@@ -85,7 +85,7 @@
   int status = 200;
   Time retry_after{0};
 };
-struct CloseCallConnection {  // the call's connection breaks
+struct CloseCallConnection {  // the host closes the call's connection without an answer
   std::uint64_t call = 0;
 };
 struct ListEntry {
@@ -121,10 +121,10 @@
   int relay = 0;
   std::uint64_t call = 0;
 };
-struct HostUp {  // a host listens there from now on; at the start of the day those of Addresses() do
+struct HostUp {  // a host listens at the address from now on; those of Addresses() do so from the start
   std::string address;
 };
-struct HostDown {  // the host is gone: its connections break and new ones are refused
+struct HostDown {  // the host stops listening: its connections break and new ones are refused
   std::string address;
 };
 struct KillRelay {
@@ -151,24 +151,23 @@
  public:
   using TraceSink = std::function<void(const trace::Event&)>;
 
-  // `day` must be drawn from `scenario`; both are copied. `sink` gets every trace event, in the order of
-  // time.
+  // `day` must be drawn from `scenario`; both are copied. `sink` gets every trace event, in order of time.
   PlatformModel(const Scenario& scenario, const Day& day, TraceSink sink);
 
-  // Applies all inputs of one moment, then runs what is due by then. `now` never decreases. Unknown
-  // submissions, calls and ids are passed to the sink or ignored.
+  // Applies all inputs of one moment, then runs the tasks that are due by then. `now` never decreases. Inputs
+  // with an unknown submission, call or id are passed to the sink or ignored.
   std::vector<Effect> Step(Time now, const std::vector<Input>& inputs);
   // Step must be called again by then; Time::max() once the day is over.
   Time wake_at() const;
-  // Every message has ended, or 3 s have passed since the last deadline; kEnd has been traced.
+  // True once kEnd has been traced: every message has ended, or 3 s have passed since the last deadline.
   bool done() const { return done_; }
 
   // The full list as the relay last got it, to start the relay with.
   SendList KnownList(int relay) const;
-  // Where hosts listen now, in no order.
+  // The addresses at which hosts listen now, in no particular order.
   std::vector<std::string> Addresses() const;
-  // Returns whether a host listens there and accepts one more connection. Each accepted one must be released
-  // by Disconnect.
+  // Returns whether a host listens at the address and accepts one more connection. Each accepted connection
+  // must be released by Disconnect.
   bool Connect(const std::string& address);
   void Disconnect(const std::string& address);
   // Longest delay between a message's due time and its submission: the load generator's own share of every
@@ -226,11 +225,11 @@
     bool over_limit = false;
   };
   struct RelayState {
-    bool believed_up = true, up = false, stopped = false;  // believed_up: by the load balancer
+    bool in_rotation = true, up = false, stopped = false;  // in_rotation: the load balancer's
     std::uint64_t watch_call = 0;                          // the open watch; 0: none
     bool watch_silent = false;
     bool truncate_next = false;    // message of the watch
-    Time detected_down_at{0};      // when the load balancer skips it, if it is still down
+    Time detected_down_at{0};      // when the load balancer takes it out of rotation, if it is still down
     double downtime_s = 0;         // between exit and restart; below 0: a scheduled event restarts it
     std::size_t sent_version = 0;  // of the list
   };
@@ -280,13 +279,15 @@
   std::vector<int> connections_;
   std::unordered_map<std::string, std::size_t> host_by_address_;
   std::unordered_map<std::uint64_t, Call> calls_;
-  // When each key took effect, by key, partner and zone: repeats within the repeat window are dropped.
-  std::unordered_map<std::string, Time> effect_times_;
-  std::queue<std::pair<Time, std::string>> effects_by_age_;
+  // When a host executed a message, by idempotency key, partner and zone. Repeats within the repeat window
+  // are answered without another execution.
+  std::unordered_map<std::string, Time> execution_times_;
+  std::queue<std::pair<Time, std::string>> executions_by_age_;
   std::vector<ListEntry> list_changes_;  // version n is the n-th
   std::size_t published_ = 0;
   Time list_lag_{0}, last_publish_{0};
-  // State of discovery, and the calls that wait in its queue while it is slow.
+  // State of discovery, and its calls whose answer is delayed: refusals while it is down, and the queue while
+  // it is slow.
   enum class DiscoveryState { kUp, kDown, kSilent, kSlow, kOverloaded } discovery_ = DiscoveryState::kUp;
   double list_call_time_s_ = 0;  // of each call while discovery is slow
   Time refusal_delay_{0};        // of each call while discovery is down
--- a/src/model/random_stream.hpp
+++ b/src/model/random_stream.hpp
@@ -10,10 +10,12 @@
 
 namespace oxbowspread::model {
 
+// The interval from which a value is drawn uniformly.
 struct Range {
   double low = 0, high = 0;
 };
 
+// A pseudo-random sequence. Not safe for use by several threads.
 class RandomStream {
  public:
   RandomStream(std::uint64_t seed, std::string_view name);
--- a/src/model/scenario.cpp
+++ b/src/model/scenario.cpp
@@ -13,6 +13,7 @@
 namespace oxbowspread::model {
 namespace {
 
+// Reads the parts of a scenario. Keys that are absent leave the defaults as they are.
 class Reader : public yaml::Reader {
  public:
   using yaml::Reader::Reader;
@@ -47,15 +48,15 @@
     const YAML::Node node = map[key];
     if (!node) return;
     const auto parse_element = [&](const YAML::Node& element) {
-      YAML::Node holder;
-      holder[key] = element;
-      return static_cast<double>(Duration(holder, key, path_prefix, Time(0)).count()) / 1e6;
+      YAML::Node wrapper;
+      wrapper[key] = element;
+      return static_cast<double>(Duration(wrapper, key, path_prefix, Time(0)).count()) / 1e6;
     };
     if (!node.IsSequence()) {
       to->low = to->high = parse_element(node);
       return;
     }
-    if (node.size() != 2) Fail(node.Mark(), path_prefix + key, "must be one span or a list of two");
+    if (node.size() != 2) Fail(node.Mark(), path_prefix + key, "must be one duration or a list of two");
     const Range range{parse_element(node[0]), parse_element(node[1])};
     if (range.low > range.high) Fail(node.Mark(), path_prefix + key, "must not begin above its end");
     *to = range;
@@ -144,12 +145,12 @@
         Number(node, "fall_multiple", prefix, 1, 1000, partners->collapse_load_factor);
     ParseDuration(node, "fall", prefix, &partners->collapse_after);
     partners->max_connections = Integer(node, "connections", prefix, 0, 1'000'000, partners->max_connections);
-    Range counted[2] = {};
-    ParseLargeAndSmall(node, "refused_count", prefix, false, 0, 1, counted);
+    Range refused_count[2] = {};
+    ParseLargeAndSmall(node, "refused_count", prefix, false, 0, 1, refused_count);
     Range window[2] = {};
     ParseLargeAndSmall(node, "window", prefix, true, 0, 0, window);
     for (std::size_t k = 0; k < 2; ++k) {
-      partners->refused_calls_use_limit_chance[k] = counted[k].high;
+      partners->refused_calls_use_limit_chance[k] = refused_count[k].high;
       partners->limit_window[k] = window[k].high;
     }
   }
@@ -205,7 +206,7 @@
     const auto kind = kinds.find(name);
     if (kind == kinds.end()) {
       std::string all;
-      for (const auto& [n, k] : kinds) all += (all.empty() ? "" : ", ") + n;
+      for (const auto& [known_name, known_kind] : kinds) all += (all.empty() ? "" : ", ") + known_name;
       Fail(node.Mark(), "troubles." + name, "must be one of " + all);
     }
     const YAML::Node map = node.begin()->second;
@@ -226,9 +227,9 @@
     ParseDurationRange(map, "drain", path_prefix, &fault.drain_time);
     fault.count = Integer(map, "count", path_prefix, 1, 100'000, fault.count);
     fault.batch_size = Integer(map, "at_once", path_prefix, 1, 100'000, fault.batch_size);
-    if (const YAML::Node same = map["same_address"]) {
-      if (!same.IsScalar() || !YAML::convert<bool>::decode(same, fault.same_address)) {
-        Fail(same.Mark(), path_prefix + "same_address", "must be true or false");
+    if (const YAML::Node same_address = map["same_address"]) {
+      if (!same_address.IsScalar() || !YAML::convert<bool>::decode(same_address, fault.same_address)) {
+        Fail(same_address.Mark(), path_prefix + "same_address", "must be true or false");
       }
     }
     return fault;
@@ -291,12 +292,13 @@
   scenario.relays = reader.Integer(root, "relays", "", 1, 10'000, scenario.relays);
   reader.ParseTraffic(root["traffic"], &scenario.traffic);
   reader.ParsePartners(root["partners"], &scenario.partners);
-  if (const YAML::Node n = root["network"]) {
-    reader.AllowOnlyKeys(n, "network", {"one_way", "handshake", "front_notices", "list_lag"});
-    reader.ParseDurationRange(n, "one_way", "network.", &scenario.network.one_way);
-    reader.ParseRange(n, "handshake", "network.", 0, 100, &scenario.network.handshake_round_trips);
-    reader.ParseDurationRange(n, "front_notices", "network.", &scenario.network.failure_detection_delay);
-    reader.ParseDurationRange(n, "list_lag", "network.", &scenario.network.list_lag);
+  if (const YAML::Node network = root["network"]) {
+    reader.AllowOnlyKeys(network, "network", {"one_way", "handshake", "front_notices", "list_lag"});
+    reader.ParseDurationRange(network, "one_way", "network.", &scenario.network.one_way);
+    reader.ParseRange(network, "handshake", "network.", 0, 100, &scenario.network.handshake_round_trips);
+    reader.ParseDurationRange(network, "front_notices", "network.",
+                              &scenario.network.failure_detection_delay);
+    reader.ParseDurationRange(network, "list_lag", "network.", &scenario.network.list_lag);
   }
   reader.ParseRelay(root["relay"], &scenario.relay);
   if (const YAML::Node troubles = root["troubles"]) {
--- a/src/model/scenario.hpp
+++ b/src/model/scenario.hpp
@@ -1,5 +1,5 @@
 // A scenario: the ranges from which a day of the platform is drawn, and the faults of the day, as an operator
-// writes them in YAML. Reading and validation are in one place; every error names file, line and key.
+// writes them in YAML. Every error of reading or validation names the file, the line and the key.
 #pragma once
 
 #include <chrono>
@@ -26,20 +26,21 @@
                     // calls
     kZoneDown,      // the same hosts refuse all calls
     kExtraTraffic,  // `count` large partners get `share` of all messages in addition
-    kHostsReplaced,    // `count` hosts drain and go; each is replaced by a new one, at the old address if
-                       // `same_address`
-    kPartnersDown,     // all hosts of `share` of the partners refuse all calls, in every zone
-    kDiscoveryDown,    // discovery refuses all calls and ends all watches
-    kDiscoverySilent,  // discovery answers no call; its open watches never say anything again
-    kDiscoverySlow,    // discovery serves one call after the other, `time_per_call` each, and refuses those
-                       // that wait for 2 s
-    kDiscoveryOverloaded,  // discovery refuses `share` of the calls at once; its watches go on
+    kHostsReplaced,  // `count` hosts drain and are removed; each is replaced by a new one, at the old address
+                     // if `same_address`
+    kPartnersDown,   // all hosts of `share` of the partners refuse all calls, in every zone
+    kDiscoveryDown,  // discovery refuses all calls and ends all watches
+    kDiscoverySilent,  // discovery answers no call; its open watches never send anything again
+    kDiscoverySlow,    // discovery serves one call at a time, `time_per_call` each, and refuses those that
+                       // have waited for 2 s
+    kDiscoveryOverloaded,  // discovery refuses `share` of the calls at once; its watches stay open
     kListsTruncated,  // at `share` of the relays the next message of the watch is cut off in the middle, and
                       // the watch ends with it
     kDiscoveryMoved,  // `share` of the relays get, by SIGHUP and spread over `duration`, another discovery
                       // address
     kSignals,         // `share` of the relays get `count` signals that don't end them, one after another
-    kIdleClients,     // `count` clients connect to `share` of the relays, send nothing, and leave at the end
+    kIdleClients,     // `count` clients connect to `share` of the relays, send nothing, and disconnect at the
+                      // end
   };
   Kind kind = Kind::kListDelayed;
   Range at, duration;  // s
@@ -54,10 +55,10 @@
   bool same_address = false;
 };
 
-// Times are in seconds, rates per second. Each range is drawn from anew for each day.
+// Times are in seconds, rates per second. A new value is drawn from each range for each day.
 struct Scenario {
   std::string name;     // file name without extension
-  std::string version;  // hash of the file's text: another text is another scenario
+  std::string version;  // hash of the file's text, which tells apart scenarios of one name
   std::string description;
   Range length{45, 45};
   int relays = 3;
@@ -72,9 +73,9 @@
     Range retries{2, 4};  // resubmissions after a refusal
     Range backoff{0.38, 1.4};
     Range retry_after_compliance{0.37, 0.99};  // chance that a client follows a Retry-After
-    Range resubmit_delay{0.33, 1.3};           // until a client resubmits what a dead relay held
-    double local_client_chance = 0;     // share of the relays that have local clients in addition to the load
-                                        // balancer's
+    Range resubmit_delay{0.33, 1.3};    // until a client resubmits a message whose submission got no answer
+    double local_client_chance = 0;     // share of the relays that have local clients in addition to those of
+                                        // the load balancer
     Range local_client_factor{2.5, 6};  // traffic of such a relay, in multiples of the others' traffic
   } traffic;
 
@@ -89,6 +90,7 @@
     Range min_limit[2] = {{2.3, 4.9}, {2.3, 4.7}};
     Range retry_after_chance[2] = {{0.55, 0.98}, {0.54, 0.84}};
     Range min_retry_after[2] = {{0.67, 1.6}, {0.55, 1.5}};
+    // The mean service time is divided by the speed.
     Range speed[2] = {{0.85, 1.1}, {0.59, 0.8}};
     Range speed_spread[2] = {{0.37, 0.86}, {0.33, 0.89}};  // coefficient of variation between partners
     Range queue_time[2] = {{0.44, 0.93}, {0.33, 0.81}};    // queue length in seconds of the host's capacity
@@ -107,7 +109,7 @@
 
   struct Network {
     Range one_way{0.005, 0.015};
-    Range handshake_round_trips{2, 3};        // that the first call on a connection waits
+    Range handshake_round_trips{2, 3};        // before the first call on a connection
     Range failure_detection_delay{1.2, 3.2};  // until the load balancer skips a relay that is down
     Range list_lag{0.92, 4.2};
   } network;
--- a/src/model/simulated_host.cpp
+++ b/src/model/simulated_host.cpp
@@ -54,8 +54,8 @@
   return result;
 }
 
-// A host that warms up collapses when the calls of the last `collapse_after_` exceed collapse_load_factor_ x
-// present capacity x collapse_after_, with some slack for random variation.
+// A host that is warming up collapses when its calls during the last collapse_after_ exceed
+// collapse_load_factor_ x present capacity x collapse_after_, with some slack for random variation.
 bool SimulatedHost::RecordCallAndCheckCollapse(Time now) {
   if (warm_up_started_at_ < 0us || CapacityShare(now) >= 1) return false;
   recent_calls_.push_back(now);
@@ -65,9 +65,9 @@
   return static_cast<double>(recent_calls_.size()) > allowed_calls + 2 + std::sqrt(allowed_calls);
 }
 
-// A count in fixed windows starts again with each window. What refused calls used beyond the limit is
-// subtracted from the next window, up to half of the limit. Hosts of the platform's full fleet were observed
-// to do so.
+// A limit with fixed windows is refilled at the start of each window. Refused calls that exceeded the limit
+// are subtracted from the next window, up to half of the limit. Hosts of the platform's full fleet were
+// observed to do so.
 void SimulatedHost::RefillTokens(Time now) {
   if (host_.limit_window_s <= 0) {
     tokens_ = std::min(max_tokens_, tokens_ + host_.limit * InSeconds(now - tokens_at_));
--- a/src/model/simulated_host.hpp
+++ b/src/model/simulated_host.hpp
@@ -27,13 +27,13 @@
   // Handles a call whose last byte arrives at `now`, which never decreases.
   CallResult HandleCall(Time now, RandomStream& random);
 
-  // From `now` on a call fails with that chance; with a chance of 1 and above every call is refused with a
-  // Retry-After up to `until`. Lasts until EndOutage, after which the host warms up.
+  // From `now` on each call fails with probability `chance`. At 1 and above every call is refused instead,
+  // with a Retry-After that ends at `until`. The outage lasts until EndOutage; then the host warms up.
   void StartOutage(Time now, double chance, Time until);
   void EndOutage(Time now);
   // True after a collapse: the host refuses every call until the end of the day.
   bool collapsed() const { return collapsed_; }
-  // Share of its capacity that the host has now; 1 when it is warm.
+  // Share of its full capacity that the host has now: below 1 while it warms up.
   double CapacityShare(Time now) const;
   const Host& host() const { return host_; }
 
@@ -41,7 +41,7 @@
   CallResult MakeRefusal(Time now, Time retry_after, bool over_limit, RandomStream& random) const;
   bool RecordCallAndCheckCollapse(Time now);
   void RefillTokens(Time now);
-  Time LimitFreeAt(Time now) const;  // when a used up limit admits a call again
+  Time LimitFreeAt(Time now) const;  // when an exhausted limit admits a call again
   CallResult RefuseCall(Time now, Time retry_after, bool over_limit, RandomStream& random);
 
   Host host_;
--- a/src/model/soak.cpp
+++ b/src/model/soak.cpp
@@ -14,10 +14,10 @@
 
 constexpr double kDayLengthS = 13;
 constexpr int kMinFaults = 4, kMaxFaults = 8;  // in addition to the faults of each day
-constexpr double kIdleClientsChance = 0.3;     // of clients that send nothing
-constexpr double kMissedDrainChance = 0.4;     // of relays that can't learn of drains for a long time
+constexpr double kIdleClientsChance = 0.3;     // that idle clients are connected
+constexpr double kMissedDrainChance = 0.4;     // that relays receive no drains for a long time
 constexpr double kSameAddressChance = 0.7;     // that replacements take over the old hosts' addresses
-constexpr double kStaleAddressChance = 0.6;    // of a Retry-After from hosts that the list doesn't show yet
+constexpr double kStaleAddressChance = 0.6;    // that hosts send a Retry-After before the list contains them
 
 // Each fault ends before the day does, so that its after-effects are seen.
 constexpr std::array kRandomKinds = {
@@ -59,8 +59,8 @@
   return fault;
 }
 
-// Messages with list changes are cut off, and discovery refuses most calls for longer than a change may stay
-// unknown. Meanwhile some relays get another address of discovery.
+// Messages with list changes are cut off, and discovery refuses most calls for longer than a relay may take
+// to learn of a change. Meanwhile some relays get another address of discovery.
 std::vector<Fault> DrawMissedDrains(RandomStream& random) {
   const double at = random.UniformBetween(1, 4);
   Fault overloaded = DrawFault(Kind::kDiscoveryOverloaded, random);
@@ -74,8 +74,9 @@
   return faults;
 }
 
-// Hosts are replaced at the same addresses while lists are late, and the new hosts refuse calls before the
-// relays can know of them: their Retry-After answers calls that were meant for the previous hosts.
+// Hosts are replaced at the same addresses while lists are late, and the new hosts refuse calls before
+// discovery has announced them to the relays: their Retry-After answers calls that were meant for the
+// previous hosts.
 std::vector<Fault> DrawStaleAddresses(RandomStream& random) {
   const double at = random.UniformBetween(0.5, 4);
   Fault replaced = DrawFault(Kind::kHostsReplaced, random);
--- a/src/model/soak.hpp
+++ b/src/model/soak.hpp
@@ -1,6 +1,6 @@
 // A short day with random faults for soak tests on real processes: relays are killed, restarted, stopped and
-// signalled, hosts drain and fail, and discovery fails in every way that the model knows. The same seed gives
-// the same day. No I/O.
+// signalled, hosts drain and fail, and discovery fails in every way that the model implements. The same seed
+// gives the same day. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace oxbowspread::model {
 
-// The scenario is named after the seed and takes about 20 s with the time after its end. On each such day
-// hosts drain and relays are restarted.
+// The scenario is named after the seed. A run takes about 20 s, including the time after the end of the day.
+// On each such day hosts drain and relays are restarted.
 Scenario DrawSoak(std::uint64_t seed);
 
 }  // namespace oxbowspread::model
