--- a/src/check/checker.cpp
+++ b/src/check/checker.cpp
@@ -10,7 +10,7 @@
 using Kind = Event::Kind;
 using namespace std::chrono_literals;
 
-constexpr Time kRetention = 60s;  // past its deadline; later events of an id count as unknown
+constexpr Time kRetention = 60s;  // after the deadline; later events of the id count as unknown
 
 std::string Seconds(Time t) {
   char text[32];
@@ -49,7 +49,7 @@
     case Kind::kAccepted: {
       const auto it = submissions_.find(event.id);
       if (it == submissions_.end())
-        return ReportBreach(event, "unknown-message", event.id, "taken on, never handed in");
+        return ReportBreach(event, "unknown-message", event.id, "accepted, but never submitted");
       it->second.accepted_at = event.at;
       if (!it->second.delivered && !it->second.notice_received) {
         ExpectEnd(event.id, it->second, it->second.deadline + rules_.end_grace + rules_.slack);
@@ -132,33 +132,35 @@
       it != relay.host_waits.end() && event.at < it->second.until &&
       event.at > it->second.received_at + rules_.retry_after_grace + rules_.slack) {
     ReportBreach(event, "wait", event.id,
-                 RelayName(event.relay) + " was told at " + Seconds(it->second.received_at) +
-                     " to wait with " + event.host + " until " + Seconds(it->second.until) +
+                 RelayName(event.relay) + " received at " + Seconds(it->second.received_at) +
+                     " a Retry-After of " + event.host + " until " + Seconds(it->second.until) +
                      ", and called it at " + Seconds(event.at));
   }
   const auto it = submissions_.find(event.id);
   if (it == submissions_.end()) {
     return ReportBreach(event, "unknown-message", event.id,
-                        event.host + " was called with what no client handed in");
+                        event.host + " was called for an id that no client submitted");
   }
   Submission& submission = it->second;
   ++submission.attempts;
   if (event.destination != submission.destination) {
     ReportBreach(event, "wrong-destination", event.id,
-                 "for destination " + std::to_string(submission.destination) + ", and went to " + event.host +
-                     " of " + std::to_string(event.destination));
+                 "for destination " + std::to_string(submission.destination) + ", but called " + event.host +
+                     " of destination " + std::to_string(event.destination));
   }
   if (submission.attempts > rules_.max_attempts) {
     ReportBreach(event, "attempts", event.id, "called " + std::to_string(submission.attempts) + " times");
   }
   if (!submission.open_calls.empty()) {
     ReportBreach(event, "two-legs", event.id,
-                 "called at " + event.host + " while a call is out at " + submission.open_calls.front().host +
-                     " since " + Seconds(submission.open_calls.front().at));
+                 "called at " + event.host + " while another call is open at " +
+                     submission.open_calls.front().host + " since " +
+                     Seconds(submission.open_calls.front().at));
   }
   if (submission.notice_received) {
     ReportBreach(event, "after-end", event.id,
-                 "called at " + event.host + " after its end was told at " + Seconds(submission.ended_at));
+                 "called at " + event.host + " although its end had been reported; it ended at " +
+                     Seconds(submission.ended_at));
   }
   if (submission.may_have_run) {
     const bool outside_window =
@@ -180,17 +182,18 @@
   if (const auto it = relay.not_up_since.find(event.host);
       it != relay.not_up_since.end() && event.at > it->second + grace) {
     return ReportBreach(event, "drain", event.id,
-                        RelayName(event.relay) + " was told at " + Seconds(it->second) + " that " +
-                            event.host + " is not up, and called it at " + Seconds(event.at));
+                        RelayName(event.relay) + " received the announcement at " + Seconds(it->second) +
+                            " that " + event.host + " is not up, and called it at " + Seconds(event.at));
   }
   const auto changed_at = discovery_.NotUpSince(event.host);
   if (!changed_at || !discovery_.reachable()) return;
-  const Time known_at = discovery_.KnowableSince(*changed_at, relay.up_since) + rules_.known_within;
-  if (event.at <= known_at + grace) return;
+  const Time announced_by =
+      discovery_.EarliestAnnouncement(*changed_at, relay.up_since) + rules_.max_announcement_delay;
+  if (event.at <= announced_by + grace) return;
   ReportBreach(event, "drain", event.id,
-               RelayName(event.relay) + " counts as told at " + Seconds(known_at) + " that " + event.host +
-                   " is not up, which discovery had at " + Seconds(*changed_at) + ", and called it at " +
-                   Seconds(event.at));
+               RelayName(event.relay) + " should have received the announcement by " + Seconds(announced_by) +
+                   " that " + event.host + " is not up, which discovery's list contained at " +
+                   Seconds(*changed_at) + ", and called it at " + Seconds(event.at));
 }
 
 void Checker::RecordPossibleExecution(Submission& submission, const OpenCall& call) {
@@ -202,8 +205,8 @@
 
 void Checker::OnCallEnded(const Event& event) {
   const bool answered = event.kind == Kind::kAnswered;
-  // With these statuses the message did not run: the call was refused (429, 503) or never sent on (504), or
-  // the message was closed already (410).
+  // A call that is answered with one of these statuses did not run: it was refused (429, 503) or not
+  // forwarded (504), or its message was closed already (410).
   const bool never_ran =
       answered && (event.status == 429 || event.status == 503 || event.status == 504 || event.status == 410);
   Relay& relay = GetRelay(event.relay);
@@ -231,7 +234,8 @@
 void Checker::OnNoticeReceived(const Event& event) {
   const auto it = submissions_.find(event.id);
   if (it == submissions_.end()) {
-    return ReportBreach(event, "unknown-message", event.id, "an end was told of what no client handed in");
+    return ReportBreach(event, "unknown-message", event.id,
+                        "a notice reported the end of an id that no client submitted");
   }
   Submission& submission = it->second;
   if (submission.notice_received && submission.deferred != event.deferred) {
@@ -246,7 +250,7 @@
   if (event.deferred && repeats_restricted && !submission.delivered &&
       (submission.may_have_run || !submission.open_calls.empty())) {
     ReportBreach(event, "refused-after-risk", event.id,
-                 "given back to its client at " + Seconds(event.at) + " though it may have run since " +
+                 "deferred at " + Seconds(event.at) + " although it may have run since " +
                      Seconds(submission.may_have_run ? submission.may_have_run_since
                                                      : submission.open_calls.front().at));
   }
@@ -258,9 +262,9 @@
   ClearExpectedEnd(event.id, submission);
 }
 
-// kReady also comes when a suspended process continues. That is the same process: the time since which it
-// could have known of a drain does not start again, and if it got SIGTERM meanwhile, its restart is still to
-// come. No notice of a relay is overdue from SIGTERM until 1.5 s after that restart.
+// A kReady event also follows when a suspended process continues. It is the same process, so the time in
+// which it must learn of a drain does not start again; and if it got SIGTERM meanwhile, it has yet to
+// restart. No notice of a relay is overdue from SIGTERM until 1.5 s after that restart.
 void Checker::OnReady(const Event& event) {
   Relay& relay = GetRelay(event.relay);
   if (!std::exchange(relay.running, true)) relay.up_since = event.at;
@@ -269,7 +273,8 @@
   relay.ready_at = event.at;
 }
 
-// The hosts report the calls that break with the process. Whatever it had been told is lost with it.
+// The calls that break with the process are reported by events of their hosts. The waits and announcements
+// that it had received are lost.
 void Checker::OnExited(const Event& event) {
   Relay& relay = GetRelay(event.relay);
   relay.ready = relay.running = relay.terminated = false;
@@ -291,7 +296,7 @@
     return;
   ReportBreach(event, "push-over", event.host,
                std::to_string(informed) + " of " + std::to_string(total) +
-                   " calls that pushed it over came from relays that had seen it fail");
+                   " calls before its collapse came from relays that had seen it fail");
 }
 
 void Checker::CheckOverdue(Time now) {
@@ -302,14 +307,14 @@
     const Relay& relay = GetRelay(submission.relay);
     const Time excused_until = (relay.ready ? relay.ready_at : now) + rules_.restart_grace + rules_.slack;
     if (relay.restarting && excused_until >= now) {
-      ExpectEnd(id, submission, excused_until);  // checked again once the restart grace is over
+      ExpectEnd(id, submission, excused_until);  // checked again after the restart grace
       continue;
     }
     Event event;
     event.at = now;
     ReportBreach(event, "lost", id,
-                 "taken on by " + RelayName(submission.relay) + " at " + Seconds(submission.accepted_at) +
-                     ", its time was up at " + Seconds(submission.deadline) + ", and no end was told by " +
+                 "accepted by " + RelayName(submission.relay) + " at " + Seconds(submission.accepted_at) +
+                     ", its deadline was " + Seconds(submission.deadline) + ", and no end was reported by " +
                      Seconds(due));
   }
   while (!expiry_queue_.empty() && expiry_queue_.front().first + kRetention < now) {
@@ -330,11 +335,12 @@
     undecided_ = expected_ends_.size();
     return;
   }
-  // The regular end of a run comes after the last deadline, so every end that is still missing is lost.
+  // A run ends after the last deadline, so every message whose end is still missing is lost.
   for (const auto& [due, id] : expected_ends_) {
     Event event;
     event.at = now_;
-    ReportBreach(event, "lost", id, "taken on, and no end was told before the run's end at " + Seconds(now_));
+    ReportBreach(event, "lost", id,
+                 "accepted, and no end was reported before the run's end at " + Seconds(now_));
   }
   expected_ends_.clear();
 }
--- a/src/check/checker.hpp
+++ b/src/check/checker.hpp
@@ -1,10 +1,10 @@
 // Checks the platform's rules on the events that clients, relays, endpoints, discovery and the platform
-// exchange. It sees neither the state of the relays nor that of the model, so it makes no allowance for
-// anything that did not cross between the parties. No I/O.
+// exchange. It sees neither the state of the relays nor that of the model, so it judges the relays only by
+// what they exchanged with the other parties. No I/O.
 //
-// A relay counts as told of a drain when discovery writes it to the relay. Written or not, the drain counts
-// as told `known_within` after the first moment at which discovery's list had it, discovery could be reached
-// and the relay's process was up.
+// A drain counts as announced to a relay when discovery writes it to the relay. Even if it is never written,
+// it counts as announced `max_announcement_delay` after the first moment at which discovery's list contained
+// it, discovery could be reached and the relay's process was up.
 //
 // The order of messages is not checked, since this platform does not promise one.
 #pragma once
@@ -32,18 +32,20 @@
   Time repeat_window{10'000'000};
   int max_attempts = 12;
   Time drain_grace{250'000};
-  Time known_within{6'000'000};     // a change counts as told after this time even if it was never written
+  // After this time a change counts as announced even if it was never written.
+  Time max_announcement_delay{6'000'000};
   Time retry_after_grace{100'000};  // for calls that were in flight when the relay read Retry-After
-  Time end_grace{300'000};          // an end still counts as in time this long after the deadline
+  Time end_grace{300'000};          // an end counts as in time until this long after the deadline
   Time restart_grace{1'500'000};    // after a restart no end is overdue for this long
   Time slack{50'000};               // added to every time limit, since events on sockets are seen late
-  Time collapse_after{3'000'000};   // load that lasts this long makes a cold host go down; also the age to
-                                    // which calls count for push-over
-  // For push-over: share of these calls that came from relays which had seen the host fail.
+  // Overload that lasts this long makes a cold host collapse; calls that are older don't count for push-over.
+  Time collapse_after{3'000'000};
+  // For push-over: lowest share of the calls before a collapse that came from relays which had seen the host
+  // fail.
   double informed_call_share = 2.0 / 3;
 };
 
-// A rule that was broken, and by what.
+// A breach of a rule, and the events that caused it.
 struct Breach {
   Time at{0};
   std::string rule;     // one of kRules
@@ -64,8 +66,8 @@
   // Events come in order of time. One that is older than its predecessor breaks the rule "trace" and is
   // otherwise ignored.
   void Observe(const Event& event);
-  // Called after the last event. Without a kEnd event the trace is cut short, and ends that are still missing
-  // are counted as undecided instead of lost.
+  // Must be called after the last event. Without a kEnd event the trace is cut short, and messages whose end
+  // is still missing are counted as undecided instead of lost.
   void Finish();
 
   const std::vector<Breach>& breaches() const { return breaches_; }
@@ -82,19 +84,19 @@
     Time at{0};
     int zone = -1;
   };
-  // What is known of one submission id.
+  // The state of one submission id.
   struct Submission {
     int relay = -1, destination = -1, attempts = 0;
     Time deadline{0}, accepted_at{-1};
     bool unanswered = false, delivered = false, notice_received = false, deferred = false;
     std::vector<OpenCall> open_calls;
-    bool may_have_run = false;  // the next two tell of the earliest such call
+    bool may_have_run = false;  // the next two members describe the earliest such call
     Time may_have_run_since{0};
     int may_have_run_zone = -1;
     Time ended_at{-1};         // below 0: no end yet
     Time end_expected_by{-1};  // key in expected_ends_; below 0: not in it
   };
-  // A Retry-After that a host gave to a relay.
+  // A Retry-After that a relay received from a host.
   struct Wait {
     Time received_at{0}, until{0};
   };
@@ -103,8 +105,8 @@
     bool running = false;     // from the first kReady of its process until the process ends
     bool terminated = false;  // the running process got SIGTERM
     Time ready_at{0};
-    Time up_since{0};                          // since when the process is running
-    std::map<std::string, Time> not_up_since;  // by host: when the relay was told that it is not up
+    Time up_since{0};                          // when the process became ready
+    std::map<std::string, Time> not_up_since;  // by host: when discovery announced that it is not up
     std::map<std::string, Wait> host_waits;
     std::set<std::string> seen_failing;  // hosts that failed or refused a call of the relay during an outage
   };
@@ -128,7 +130,7 @@
   void OnHostCollapsed(const Event& event);
   void RecordPossibleExecution(Submission& submission, const OpenCall& call);
   void ExpectEnd(const std::string& id, Submission& submission, Time due);
-  void ClearExpectedEnd(const std::string& id, Submission& submission);  // its end was observed
+  void ClearExpectedEnd(const std::string& id, Submission& submission);  // after the end was observed
   // Reports messages whose end is overdue and removes submissions past their retention.
   void CheckOverdue(Time now);
   Relay& GetRelay(int relay) { return relays_[relay]; }
@@ -137,7 +139,7 @@
   Time now_{0};
   bool run_ended_ = false;
   std::map<std::string, Submission> submissions_;
-  // When an accepted submission must have ended, and its id.
+  // By when each accepted submission must end, and its id.
   std::set<std::pair<Time, std::string>> expected_ends_;
   std::deque<std::pair<Time, std::string>> expiry_queue_;  // deadline and id, to be removed after kRetention
   std::map<int, Relay> relays_;
--- a/src/check/discovery_state.cpp
+++ b/src/check/discovery_state.cpp
@@ -20,7 +20,7 @@
   return it->second;
 }
 
-trace::Time DiscoveryState::KnowableSince(trace::Time changed_at, trace::Time up_since) const {
+trace::Time DiscoveryState::EarliestAnnouncement(trace::Time changed_at, trace::Time up_since) const {
   return std::max({changed_at, reachable_since_, up_since});
 }
 
--- a/src/check/list_delay.cpp
+++ b/src/check/list_delay.cpp
@@ -50,7 +50,7 @@
 
 void ListDelay::RecordDelay(const Relay& relay, trace::Time changed_at, trace::Time now) {
   if (!relay.up || !discovery_.reachable()) return;
-  worst_ = std::max(worst_, now - discovery_.KnowableSince(changed_at, relay.up_since));
+  worst_ = std::max(worst_, now - discovery_.EarliestAnnouncement(changed_at, relay.up_since));
 }
 
 }  // namespace oxbowspread::check
--- a/src/check/list_delay.hpp
+++ b/src/check/list_delay.hpp
@@ -1,6 +1,6 @@
-// Measures how long relays did not know that a host is draining or removed: from when discovery's list had
-// it, discovery could be reached and the relay's process was up, until discovery wrote it to the relay. No
-// I/O.
+// Measures how late relays learn that a host is draining or removed: the time from when discovery's list
+// contains it, discovery can be reached and the relay's process is up, until discovery writes it to the
+// relay. No I/O.
 #pragma once
 
 #include <map>
@@ -16,15 +16,16 @@
  public:
   // Events come in order of time.
   void Observe(const trace::Event& event);
-  // The longest delay so far. For relays that were never told, the delay lasts until kEnd.
+  // The longest delay so far. A change that is never announced to a relay counts with the delay until kEnd.
   trace::Time worst() const { return worst_; }
 
  private:
   struct Relay {
     bool up = false;
     trace::Time up_since{0};
-    std::map<std::string, trace::Time>
-        unannounced;  // hosts that it was not told of yet; since when discovery has the change
+    // Hosts whose change has not been announced to the relay yet, and since when discovery's list contains
+    // it.
+    std::map<std::string, trace::Time> unannounced;
   };
 
   void OnHostChanged(const trace::Event& event);
--- a/src/check/tally.cpp
+++ b/src/check/tally.cpp
@@ -14,14 +14,14 @@
 double Quantile(std::vector<double>* values, double share) {
   if (values->empty()) return 0;
   const auto last = static_cast<double>(values->size() - 1);
-  const auto at = values->begin() + static_cast<std::ptrdiff_t>(std::lround(share * last));
-  std::nth_element(values->begin(), at, values->end());
-  return *at;
+  const auto nth = values->begin() + static_cast<std::ptrdiff_t>(std::lround(share * last));
+  std::nth_element(values->begin(), nth, values->end());
+  return *nth;
 }
 
-void Tally::RecordDelivery(std::uint64_t message, Time at) {
-  Message& m = messages_[message];
-  if (m.delivered_at < 0us) m.delivered_at = at;
+void Tally::RecordDelivery(std::uint64_t number, Time at) {
+  Message& message = messages_[number];
+  if (message.delivered_at < 0us) message.delivered_at = at;
 }
 
 void Tally::Observe(const Event& event) {
@@ -30,17 +30,17 @@
       // Times count from when the message was due, even if the load generator was late.
       messages_[event.message] = {
           event.deadline - scoring_.deadline, Time(-1), Time(-1), event.destination, 0, -1};
-      by_destination_[event.destination].asked += 1;
+      by_destination_[event.destination].messages_due += 1;
       break;
     case Kind::kSubmitted:
       submissions_[event.id].message = event.message;
-      if (Message& m = messages_[event.message]; m.relay < 0) m.relay = event.relay;
+      if (Message& message = messages_[event.message]; message.relay < 0) message.relay = event.relay;
       break;
     case Kind::kAccepted: {
       Submission& submission = submissions_[event.id];
       submission.accepted = true;
-      Message& m = messages_[submission.message];
-      if (m.accepted_at < 0us) m.accepted_at = event.at;
+      Message& message = messages_[submission.message];
+      if (message.accepted_at < 0us) message.accepted_at = event.at;
       if (submission.served_at >= 0us) RecordDelivery(submission.message, submission.served_at);
       break;
     }
@@ -48,7 +48,7 @@
       counts_.rejected += 1;
       break;
     case Kind::kUnanswered:
-      // If the client submits the message again, it uses a new id; what happens to this id no longer counts.
+      // If the client submits the message again, it uses a new id, and later events of this id don't count.
       submissions_[event.id].unanswered = true;
       counts_.unanswered += 1;
       break;
@@ -87,8 +87,8 @@
       (event.deferred ? counts_.deferred : counts_.undeliverable) += 1;
       const auto submission = submissions_.find(event.id);
       if (submission == submissions_.end() || event.deferred) break;
-      const Message& m = messages_[submission->second.message];
-      if (m.delivered_at < 0us && event.at - m.due > scoring_.aim) ++late_failures_;
+      const Message& message = messages_[submission->second.message];
+      if (message.delivered_at < 0us && event.at - message.due > scoring_.aim) ++late_failures_;
       break;
     }
     case Kind::kHostCollapsed:
@@ -109,9 +109,9 @@
   counts_.worst_limit_excess = std::max(counts_.worst_limit_excess, calls / limit->second);
 }
 
-double Tally::Worth(const Message& m) const {
-  if (m.delivered_at < 0us || m.delivered_at - m.due > scoring_.deadline) return 0;
-  const Time delay = m.delivered_at - m.due;
+double Tally::Worth(const Message& message) const {
+  if (message.delivered_at < 0us || message.delivered_at - message.due > scoring_.deadline) return 0;
+  const Time delay = message.delivered_at - message.due;
   if (delay <= scoring_.aim) return 1;
   const double aims_over =
       static_cast<double>((delay - scoring_.aim).count()) / static_cast<double>(scoring_.aim.count());
@@ -125,39 +125,39 @@
   // Summed in order of message number, so that floating-point sums are reproducible.
   std::vector<std::uint64_t> numbers;
   numbers.reserve(messages_.size());
-  for (const auto& [number, m] : messages_) numbers.push_back(number);
+  for (const auto& [number, message] : messages_) numbers.push_back(number);
   std::sort(numbers.begin(), numbers.end());
-  std::vector<double> asked, worth;
+  std::vector<double> due_by_second, worth_sum_by_second;
   std::map<int, std::pair<double, double>> by_relay;  // messages, worth
   double total_worth = 0;
   for (const std::uint64_t number : numbers) {
-    const Message& m = messages_.at(number);
-    figures.asked += 1;
-    const double message_worth = Worth(m);
+    const Message& message = messages_.at(number);
+    figures.messages_due += 1;
+    const double message_worth = Worth(message);
     total_worth += message_worth;
-    const auto second = static_cast<std::size_t>(std::max<Time::rep>(0, m.due / 1s));
-    if (asked.size() <= second) {
-      asked.resize(second + 1);
-      worth.resize(second + 1);
+    const auto second = static_cast<std::size_t>(std::max<Time::rep>(0, message.due / 1s));
+    if (due_by_second.size() <= second) {
+      due_by_second.resize(second + 1);
+      worth_sum_by_second.resize(second + 1);
     }
-    asked[second] += 1;
-    worth[second] += message_worth;
-    by_relay[m.relay].first += 1;
-    by_relay[m.relay].second += message_worth;
-    if (m.accepted_at >= 0us) {
+    due_by_second[second] += 1;
+    worth_sum_by_second[second] += message_worth;
+    by_relay[message.relay].first += 1;
+    by_relay[message.relay].second += message_worth;
+    if (message.accepted_at >= 0us) {
       figures.accepted += 1;
-      accept_ms.push_back(static_cast<double>((m.accepted_at - m.due).count()) / 1e3);
+      accept_ms.push_back(static_cast<double>((message.accepted_at - message.due).count()) / 1e3);
     }
     if (message_worth > 0) {
       figures.delivered += 1;
-      figures.by_destination[m.destination].delivered += 1;
-      if (m.delivered_at - m.due <= scoring_.aim) figures.within_aim += 1;
-      deliver_ms.push_back(static_cast<double>((m.delivered_at - m.due).count()) / 1e3);
+      figures.by_destination[message.destination].delivered += 1;
+      if (message.delivered_at - message.due <= scoring_.aim) figures.within_aim += 1;
+      deliver_ms.push_back(static_cast<double>((message.delivered_at - message.due).count()) / 1e3);
     } else {
       figures.undelivered += 1;
     }
   }
-  if (figures.asked == 0) return figures;
+  if (figures.messages_due == 0) return figures;
   double shares = 0, squared_shares = 0;
   for (const auto& [relay, sum] : by_relay) {
     const double share = sum.second / sum.first;
@@ -166,19 +166,19 @@
   }
   if (squared_shares > 0)
     figures.fairness = shares * shares / squared_shares / static_cast<double>(by_relay.size());
-  const auto message_count = static_cast<double>(figures.asked);
+  const auto message_count = static_cast<double>(figures.messages_due);
   figures.worth_share = total_worth / message_count;
-  const auto width =
-      std::min(asked.size(), static_cast<std::size_t>(std::max<Time::rep>(1, scoring_.worst_window / 1s)));
+  const auto width = std::min(due_by_second.size(),
+                              static_cast<std::size_t>(std::max<Time::rep>(1, scoring_.worst_window / 1s)));
   figures.worst_window_share = 1;
-  for (std::size_t from = 0; from + width <= asked.size(); ++from) {
-    double window_asked = 0, window_worth = 0;
+  for (std::size_t from = 0; from + width <= due_by_second.size(); ++from) {
+    double window_due = 0, window_worth = 0;
     for (std::size_t i = from; i < from + width; ++i) {
-      window_asked += asked[i];
-      window_worth += worth[i];
+      window_due += due_by_second[i];
+      window_worth += worth_sum_by_second[i];
     }
-    if (window_asked > 0)
-      figures.worst_window_share = std::min(figures.worst_window_share, window_worth / window_asked);
+    if (window_due > 0)
+      figures.worst_window_share = std::min(figures.worst_window_share, window_worth / window_due);
   }
   figures.deductions = (scoring_.over_limit_price * static_cast<double>(figures.over_limit) +
                         scoring_.new_connection_price * static_cast<double>(figures.new_connections) +
@@ -187,8 +187,8 @@
   for (std::size_t zone = 0; zone < std::min(deliveries_by_zone_.size(), scoring_.zone_fees.size()); ++zone) {
     figures.deductions += scoring_.zone_fees[zone] * deliveries_by_zone_[zone] / message_count;
   }
-  figures.service = scoring_.overall_weight * figures.worth_share +
-                    (1 - scoring_.overall_weight) * figures.worst_window_share - figures.deductions;
+  figures.service_score = scoring_.overall_weight * figures.worth_share +
+                          (1 - scoring_.overall_weight) * figures.worst_window_share - figures.deductions;
   figures.calls_per_message = static_cast<double>(figures.calls) / message_count;
   figures.accept_p50_ms = Quantile(&accept_ms, 0.5);
   figures.accept_p99_ms = Quantile(&accept_ms, 0.99);
@@ -198,8 +198,8 @@
                                     std::pair("95", 0.95), std::pair("99", 0.99), std::pair("99.9", 0.999)}) {
     figures.deliver_ms.emplace_back(name, Quantile(&deliver_ms, share));
   }
-  for (std::size_t i = 0; i < asked.size(); ++i) {
-    figures.worth_by_second.push_back(asked[i] > 0 ? worth[i] / asked[i] : -1);
+  for (std::size_t i = 0; i < due_by_second.size(); ++i) {
+    figures.worth_by_second.push_back(due_by_second[i] > 0 ? worth_sum_by_second[i] / due_by_second[i] : -1);
   }
   return figures;
 }
--- a/src/check/tally.hpp
+++ b/src/check/tally.hpp
@@ -1,4 +1,4 @@
-// The figures of a run: the service as the operators of the platform count it, and what it cost. Fed with the
+// The figures of a run: the service score as the platform's operators compute it, and its cost. Reads the
 // same events as the checker. No I/O.
 #pragma once
 
@@ -13,43 +13,45 @@
 
 namespace oxbowspread::check {
 
-// How the worth of a message falls with its delay, and what is deducted from the service. Times in
-// microseconds, prices in points of service (1 is the whole service).
+// How the worth of a message falls with its delay, and what is deducted from the service score. Times are in
+// microseconds, prices in units of the score (1 is the full score).
 struct Scoring {
   trace::Time aim{3'000'000};
   trace::Time deadline{16'000'000};
   double late_value = 0.5;  // worth halves with each further aim, down to this value
   trace::Time worst_window{10'000'000};
-  double overall_weight = 0.75;  // share of worth_share in the service; the rest is worst_window_share
-  // Prices of one such event for each message of the run.
+  double overall_weight = 0.75;  // weight of worth_share in the score; the rest is that of worst_window_share
+  // Price of one such event, if it happened once for each message of the run.
   double over_limit_price = 0;
   double new_connection_price = 0;
   double late_failure_price = 0;
-  std::vector<double> zone_fees;
-  std::map<std::string, double>
-      host_limits;  // by host id, in calls a second; for worst_limit_excess, may be empty
+  std::vector<double> zone_fees;  // by zone, for each delivery in it
+  // By host id, in calls per second. Used for worst_limit_excess only; may be empty.
+  std::map<std::string, double> host_limits;
 };
 
-// Counts for one destination.
+// The counts of one destination.
 struct DestinationFigures {
-  std::uint64_t asked = 0, delivered = 0, calls = 0, refused = 0, errors = 0;
+  std::uint64_t messages_due = 0, delivered = 0, calls = 0, refused = 0, errors = 0;
 };
 
-// The result of the count.
+// All figures of a run.
 struct Figures {
-  std::uint64_t asked = 0;       // messages that became due
-  std::uint64_t accepted = 0;    // of these, accepted at least once
-  std::uint64_t delivered = 0;   // of these, 200 was written while the client believed the message accepted
+  std::uint64_t messages_due = 0;  // messages that became due
+  std::uint64_t accepted = 0;      // of these, accepted at least once
+  // Of these, a host answered 200 within the deadline to a submission for which the client received +OK. An
+  // answer after the client stopped waiting for +OK doesn't count.
+  std::uint64_t delivered = 0;
   std::uint64_t within_aim = 0;  // of these, within the aim
   std::uint64_t undelivered = 0;
   std::uint64_t rejected = 0;                     // -BUSY answers
   std::uint64_t unanswered = 0;                   // submissions without an answer
   std::uint64_t deferred = 0, undeliverable = 0;  // notices
   std::uint64_t calls = 0, new_connections = 0, over_limit = 0, refused_calls = 0, errors = 0, dropped = 0;
-  double worth_share = 0;         // worth delivered over worth asked for
-  double worst_window_share = 0;  // the same in the worst window, by when messages were due
+  double worth_share = 0;         // delivered worth over the worth of all messages
+  double worst_window_share = 0;  // the same for messages that were due in the worst window
   double deductions = 0;          // sum of all prices
-  double service = 0;             // the score: weighted shares less deductions
+  double service_score = 0;       // weighted shares less deductions
   double calls_per_message = 0;
   // Milliseconds from when the message was due.
   double accept_p50_ms = 0, accept_p99_ms = 0, deliver_p50_ms = 0, deliver_p99_ms = 0;
@@ -57,10 +59,12 @@
   std::vector<std::pair<std::string, double>> deliver_ms;
   std::uint64_t repeats = 0;  // calls beyond the first of a message, over all its submissions
   std::map<int, DestinationFigures> by_destination;
-  std::vector<double> worth_by_second;  // delivered over asked for, by when due; -1: no message was due
-  double worst_limit_excess = 0;  // refused calls above a host's limit in its worst second, over that limit
+  // Delivered worth over possible worth, by the second in which messages were due; -1: no message was due.
+  std::vector<double> worth_by_second;
+  // Most calls that a host refused within one second because of its limit, over that limit.
+  double worst_limit_excess = 0;
   double fairness = 1;  // Jain's index of worth per message, by the first relay that each was submitted to
-  std::uint64_t collapsed_hosts = 0;  // cold hosts that went down under load
+  std::uint64_t collapsed_hosts = 0;  // cold hosts that collapsed under load
 };
 
 // Counts the events of a run.
@@ -76,14 +80,14 @@
     trace::Time due{0}, accepted_at{-1}, delivered_at{-1};
     int destination = -1;
     std::uint32_t calls = 0;
-    int relay = -1;  // the first one that it was submitted to
+    int relay = -1;  // the first relay that it was submitted to
   };
   struct Submission {
     std::uint64_t message = 0;
     bool accepted = false, unanswered = false;
     trace::Time served_at{-1};
   };
-  void RecordDelivery(std::uint64_t message, trace::Time at);
+  void RecordDelivery(std::uint64_t number, trace::Time at);
   double Worth(const Message& message) const;
   void RecordOverLimit(const std::string& host, trace::Time at);
 
--- a/src/lab/outcome.hpp
+++ b/src/lab/outcome.hpp
@@ -19,15 +19,15 @@
   std::vector<check::Breach> breaches;
   bool cut_short = false;
   std::string crash;           // message of a relay that failed, or how its process ended; empty: none
-  std::string invalid_reason;  // why the run says nothing about the relays; empty: it is valid
+  std::string invalid_reason;  // why the results are not valid; empty: they are
   trace::Time length{0};       // time of the run at its end
-  // How much later than due a message was submitted, at most; 0 on a virtual clock.
+  // Longest delay between a message's due time and its submission; 0 on a virtual clock.
   trace::Time load_lateness{0};
   std::uint64_t steps = 0;  // steps of the decision modules of all relays; on a virtual clock only
   std::uint64_t max_held_messages = 0;              // at one relay; on a virtual clock only
   trace::Time cpu_time{0};                          // of all relays; on sockets only
   std::uint64_t peak_kb = 0;                        // resident memory of the largest relay; on sockets only
-  trace::Time worst_list_delay{0};                  // until a relay was told of a drain: see check::ListDelay
+  trace::Time worst_list_delay{0};                  // until a drain was announced: see check::ListDelay
   std::vector<std::uint64_t> list_calls_by_second;  // calls to discovery; on sockets only
 
   bool clean() const { return breaches.empty() && crash.empty() && invalid_reason.empty() && !cut_short; }
@@ -49,7 +49,7 @@
     list_delay_.Observe(event);
     if (trace_) trace_(event);
   }
-  // Called after the last event: fills in the results of the events; other fields of the outcome stay.
+  // Must be called after the last event. Sets the fields that follow from the events and leaves the others.
   void Finish(Outcome* outcome) {
     checker_.Finish();
     outcome->breaches = checker_.breaches();
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -12,10 +12,10 @@
 
 double Seconds(trace::Time t) { return static_cast<double>(t.count()) / 1e6; }
 
-// The outer name of an event of the day.
-const char* NameOf(const model::ScheduledEvent& turn) {
+// The name of a scheduled event in the report.
+const char* NameOf(const model::ScheduledEvent& event) {
   using Kind = model::ScheduledEvent::Kind;
-  switch (turn.kind) {
+  switch (event.kind) {
     case Kind::kKillRelay:
       return "relay killed";
     case Kind::kTerminateRelay:
@@ -27,7 +27,7 @@
     case Kind::kContinueRelay:
       return "relay goes on";
     case Kind::kStartOutage:
-      return turn.value >= 1 ? "host shuts" : "host fails";
+      return event.value >= 1 ? "host shuts" : "host fails";
     case Kind::kEndOutage:
       return "host back";
     case Kind::kDrainHost:
@@ -37,7 +37,7 @@
     case Kind::kAddHost:
       return "host added";
     case Kind::kSetListLag:
-      return turn.value > 0 ? "list behind" : "list back";
+      return event.value > 0 ? "list behind" : "list back";
     case Kind::kDiscoveryDown:
       return "discovery down";
     case Kind::kDiscoverySilent:
@@ -55,7 +55,7 @@
     case Kind::kSignals:
       return "signals";
     case Kind::kIdleClients:
-      return turn.value > 0 ? "idle clients" : "idle clients leave";
+      return event.value > 0 ? "idle clients" : "idle clients leave";
   }
   return "";
 }
@@ -64,7 +64,7 @@
   Json partners = Json::array();
   for (const auto& [number, counts] : figures.by_destination) {
     partners.push_back({{"partner", number},
-                        {"asked", counts.asked},
+                        {"asked", counts.messages_due},
                         {"delivered", counts.delivered},
                         {"calls", counts.calls},
                         {"refused", counts.refused},
@@ -72,11 +72,11 @@
   }
   Json latency = Json::object();
   for (const auto& [name, ms] : figures.deliver_ms) latency[name] = ms;
-  return {{"service", figures.service},
+  return {{"service", figures.service_score},
           {"whole", figures.worth_share},
           {"worst_10s", figures.worst_window_share},
           {"prices", figures.deductions},
-          {"asked", figures.asked},
+          {"asked", figures.messages_due},
           {"taken", figures.accepted},
           {"delivered", figures.delivered},
           {"in_aim", figures.within_aim},
@@ -137,13 +137,13 @@
   report["most_held"] = outcome.max_held_messages;
   report["cpu_us"] = outcome.cpu_time.count();
   report["cpu_us_a_message"] = static_cast<double>(outcome.cpu_time.count()) /
-                               std::max(1.0, static_cast<double>(outcome.figures.asked));
+                               std::max(1.0, static_cast<double>(outcome.figures.messages_due));
   report["peak_kb"] = outcome.peak_kb;
   report["worst_news_us"] = outcome.worst_list_delay.count();
   report["list_calls"] = outcome.list_calls_by_second;
   report["turns"] = Json::array();
-  for (const model::ScheduledEvent& turn : day.scheduled_events) {
-    report["turns"].push_back({{"at_s", Seconds(turn.at)}, {"what", NameOf(turn)}, {"index", turn.index}});
+  for (const model::ScheduledEvent& event : day.scheduled_events) {
+    report["turns"].push_back({{"at_s", Seconds(event.at)}, {"what", NameOf(event)}, {"index", event.index}});
   }
   return report;
 }
@@ -151,15 +151,16 @@
 std::string ToText(const Outcome& outcome, const model::Day& day, const std::string& scenario) {
   const check::Figures& figures = outcome.figures;
   std::string text = FormatLine("%-22s seed %-6llu service %.3f  whole %.3f  worst 10 s %.3f  prices %.3f",
-                                scenario.c_str(), AsUnsignedLongLong(day.seed), figures.service,
+                                scenario.c_str(), AsUnsignedLongLong(day.seed), figures.service_score,
                                 figures.worth_share, figures.worst_window_share, figures.deductions);
   text += FormatLine(
       "  asked %llu  taken %llu  delivered %llu  within the aim %llu  turned away %llu  unanswered %llu",
-      AsUnsignedLongLong(figures.asked), AsUnsignedLongLong(figures.accepted),
+      AsUnsignedLongLong(figures.messages_due), AsUnsignedLongLong(figures.accepted),
       AsUnsignedLongLong(figures.delivered), AsUnsignedLongLong(figures.within_aim),
       AsUnsignedLongLong(figures.rejected), AsUnsignedLongLong(figures.unanswered));
   text += FormatLine(
-      "  calls %llu (%.3f a message)  refused %llu, above a limit %llu  errors %llu  dropped %llu  new lines "
+      "  calls %llu (%.3f per message)  refused %llu, above a limit %llu  errors %llu  dropped %llu  new "
+      "connections "
       "%llu",
       AsUnsignedLongLong(figures.calls), figures.calls_per_message, AsUnsignedLongLong(figures.refused_calls),
       AsUnsignedLongLong(figures.over_limit), AsUnsignedLongLong(figures.errors),
@@ -169,23 +170,23 @@
       figures.accept_p50_ms, figures.accept_p99_ms, figures.deliver_p50_ms, figures.deliver_p99_ms,
       AsUnsignedLongLong(figures.deferred), AsUnsignedLongLong(figures.undeliverable));
   if (outcome.cpu_time.count() > 0) {
-    text += FormatLine(
-        "  relays: %.1f us of CPU a message, %.1f MB at most  load late %.1f ms at most",
-        static_cast<double>(outcome.cpu_time.count()) / std::max(1.0, static_cast<double>(figures.asked)),
-        static_cast<double>(outcome.peak_kb) / 1024, Seconds(outcome.load_lateness) * 1e3);
+    text += FormatLine("  relays: %.1f us of CPU per message, %.1f MB at most  load late %.1f ms at most",
+                       static_cast<double>(outcome.cpu_time.count()) /
+                           std::max(1.0, static_cast<double>(figures.messages_due)),
+                       static_cast<double>(outcome.peak_kb) / 1024, Seconds(outcome.load_lateness) * 1e3);
   }
   if (!outcome.list_calls_by_second.empty()) {
     std::vector<std::uint64_t> calls = outcome.list_calls_by_second;
     std::sort(calls.begin(), calls.end());
-    text += FormatLine("  discovery: %llu calls a second in the median, %llu at most  news %.2f s at most",
+    text += FormatLine("  discovery: median %llu calls per second, %llu at most  list delay %.2f s at most",
                        AsUnsignedLongLong(calls[calls.size() / 2]), AsUnsignedLongLong(calls.back()),
                        Seconds(outcome.worst_list_delay));
   }
   if (!outcome.crash.empty()) text += "  crashed: " + outcome.crash + "\n";
-  if (!outcome.invalid_reason.empty()) text += "  spoilt: " + outcome.invalid_reason + "\n";
-  if (outcome.cut_short) text += "  the stream was cut short\n";
+  if (!outcome.invalid_reason.empty()) text += "  invalid: " + outcome.invalid_reason + "\n";
+  if (outcome.cut_short) text += "  the trace was cut short\n";
   for (const check::Breach& breach : outcome.breaches) {
-    text += FormatLine("  broken at %.6f s: ", Seconds(breach.at));
+    text += FormatLine("  rule broken at %.6f s: ", Seconds(breach.at));
     text.pop_back();
     text += breach.rule + ", " + breach.message + ": " + breach.events + "\n";
   }
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -9,7 +9,9 @@
 
 namespace oxbowspread::lab {
 
+// Returns the whole outcome with the scheduled events of the day. `scenario` is the scenario's name.
 nlohmann::ordered_json ToJson(const Outcome& outcome, const model::Day& day, const std::string& scenario);
+// Returns a summary in a few lines, and one line for each breach.
 std::string ToText(const Outcome& outcome, const model::Day& day, const std::string& scenario);
 
 }  // namespace oxbowspread::lab
--- a/src/lab/settings.cpp
+++ b/src/lab/settings.cpp
@@ -6,6 +6,7 @@
 namespace oxbowspread::lab {
 namespace {
 
+// In units of the service score, per event and message of the run.
 constexpr double kNewConnectionPrice = 0.06, kLateFailurePrice = 0.02;
 
 model::Time ToTime(double seconds) {
@@ -60,8 +61,9 @@
 }
 
 std::uint64_t RelaySeed(const model::Day& day, int relay, int process_number) {
-  model::RandomStream dice(day.seed, "relay-" + std::to_string(relay) + "-" + std::to_string(process_number));
-  return dice.UniformBelow(~0ull);
+  model::RandomStream random(day.seed,
+                             "relay-" + std::to_string(relay) + "-" + std::to_string(process_number));
+  return random.UniformBelow(~0ull);
 }
 
 check::Rules RulesOf(const model::Scenario& scenario) {
--- a/src/lab/simulated_relay.cpp
+++ b/src/lab/simulated_relay.cpp
@@ -125,8 +125,8 @@
   RunAfter(Time(0), [this] { unread_since_ = Time(-1); });
 }
 
-// How long a command may have waited in the socket before it was read. The client side of the relay program
-// computes the same from net::Loop::earliest_arrival.
+// How long a command may have waited in the socket before it was read. The `client` module of the relay
+// program computes the same from net::Loop::earliest_arrival.
 Time SimulatedRelay::TimeUnread() const {
   return unread_since_ < 0us ? Time(0) : std::min<Time>(Now() - unread_since_, relay::kClientTimeout);
 }
@@ -186,8 +186,9 @@
 }
 
 void SimulatedRelay::ReturnConnection(const std::string& host, const std::string& address) {
-  const endpoint::Host* const known = hosts_.Find(host);
-  if (known == nullptr || !known->ready || !known->owns_address || known->address != address)
+  const endpoint::Host* const listed_host = hosts_.Find(host);
+  if (listed_host == nullptr || !listed_host->ready || !listed_host->owns_address ||
+      listed_host->address != address)
     return CloseConnection(address);
   Pool& pool = pools_[host];
   pool.address = address;
@@ -296,7 +297,7 @@
   const Call call = it->second;
   calls_.erase(it);
   by_attempt_.erase(call.attempt);
-  // Interpreted as the endpoint side interprets a response.
+  // The relay program interprets responses with the same function.
   proto::HttpResponseHead head;
   head.status = answer.status;
   if (answer.retry_after > 0us) {
@@ -313,7 +314,7 @@
   relay_->AttemptEnded(call.attempt, result);
 }
 
-void SimulatedRelay::BreakCall(std::uint64_t number) {
+void SimulatedRelay::OnCallConnectionClosed(std::uint64_t number) {
   const auto it = calls_.find(number);
   if (it == calls_.end()) return;
   const Call call = it->second;
@@ -370,11 +371,11 @@
   OnListReceived(list.call);
 }
 
-void SimulatedRelay::OnHeartbeat(const model::SendHeartbeat& beat) { OnListReceived(beat.call); }
+void SimulatedRelay::OnHeartbeat(const model::SendHeartbeat& heartbeat) { OnListReceived(heartbeat.call); }
 
-void SimulatedRelay::RefuseListCall(const model::RefuseList& refused) {
-  if (refused.call <= list_call_offset_) return;
-  const auto number = ToSubscriptionCall(refused.call);
+void SimulatedRelay::RefuseListCall(const model::RefuseList& refusal) {
+  if (refusal.call <= list_call_offset_) return;
+  const auto number = ToSubscriptionCall(refusal.call);
   const auto open_call = open_list_calls_.find(number);
   if (number == list_.subscription()) {
     UpdateLease(wheathub::ListLease::SubscriptionEnded{});
@@ -385,7 +386,7 @@
   StepList(wheathub::ListSubscription::Failed{number});
 }
 
-void SimulatedRelay::BreakList(std::uint64_t call) {
+void SimulatedRelay::OnListTruncated(std::uint64_t call) {
   if (call <= list_call_offset_) return;
   UpdateLease(wheathub::ListLease::SubscriptionBroken{});
   StepList(wheathub::ListSubscription::Failed{ToSubscriptionCall(call)});
@@ -408,7 +409,7 @@
 }
 
 void SimulatedRelay::UpdateLease(const wheathub::ListLease::Event& event) {
-  // As in routing::DiscoveryClient: what was deferred counts from the earliest time at which it may have
+  // As in routing::DiscoveryClient, deferred input counts from the earliest time at which it may have
   // arrived.
   relay_->SetListValidUntil(lease_.Step(unread_since_ < 0us ? Now() : unread_since_, event));
 }
--- a/src/lab/simulated_relay.hpp
+++ b/src/lab/simulated_relay.hpp
@@ -1,6 +1,6 @@
 // One process of a relay on a virtual clock: the real relay core, decision module, journal and
-// endpoint::Hosts. The connections to hosts are numbers instead of sockets. Stands in for `client`,
-// `endpoint::Pool`, `routing` and `notice` of the relay program.
+// endpoint::Hosts. It has numbers instead of sockets for its connections to hosts, and replaces the modules
+// `client`, `endpoint::Pool`, `routing` and `notice` of the relay program.
 #pragma once
 
 #include <functional>
@@ -27,7 +27,7 @@
                              private relay::EndpointTransport,
                              private relay::NoticeSender {
  public:
-  // What the simulation provides to the relay. Outlives it.
+  // What the simulation provides to the relay. It must outlive the relay.
   class Environment {
    public:
     virtual ~Environment() = default;
@@ -36,7 +36,8 @@
     virtual void Schedule(Time moment, std::function<void()> callback) = 0;
     virtual void Notify(model::Input input) = 0;  // the model gets the input within the same moment
     virtual std::uint64_t NextCallNumber(int relay) = 0;
-    // Whether a host at the address takes one more connection; each one is given back with Disconnect.
+    // Returns whether a host at the address accepts one more connection. Each accepted connection is released
+    // by Disconnect.
     virtual bool Connect(const std::string& address) = 0;
     virtual void Disconnect(const std::string& address) = 0;
     virtual void OnExit(int relay) = 0;  // after Terminate; the relay is destroyed after this call
@@ -44,7 +45,7 @@
 
   struct Options {
     int relay_index = 0;
-    std::string folder;  // for the journal; kept from one process of the relay to the next
+    std::string folder;  // for the journal; all processes of the relay use the same one
     std::size_t disk_bytes = 3'000'000;
     std::size_t max_connections = 500;
     std::uint64_t seed = 0;
@@ -52,7 +53,8 @@
     std::uint64_t list_call_offset = 0;  // list calls of earlier processes have numbers up to this one
   };
 
-  // Recovers the messages of the journal that have not ended. Throws what the journal throws.
+  // Recovers the messages of the journal that have not ended. `known` is the list that the relay starts with.
+  // Throws the exceptions of journal::Journal.
   SimulatedRelay(const Options& options, const wheathub::Settings& settings, Environment& environment,
                  const model::SendList& known);
   // Acts as SIGKILL does: open calls lose their connection, and so do clients that wait for an answer.
@@ -61,15 +63,15 @@
   void Submit(const model::SubmitMessage& request, const std::string& body);
   void Withdraw(std::uint64_t number);
   void AnswerCall(const model::AnswerCall& answer);
-  void BreakCall(std::uint64_t call);
+  void OnCallConnectionClosed(std::uint64_t call);
   void ApplyList(const model::SendList& list);
-  void RefuseListCall(const model::RefuseList& refused);
-  void OnHeartbeat(const model::SendHeartbeat& beat);
-  void BreakList(std::uint64_t call);  // the subscription ends in the middle of a message
+  void RefuseListCall(const model::RefuseList& refusal);
+  void OnHeartbeat(const model::SendHeartbeat& heartbeat);
+  void OnListTruncated(std::uint64_t call);  // a message is cut off and ends the subscription
   void MoveDiscovery();
   void Terminate();
-  // SIGSTOP and SIGCONT. Timers that fall due meanwhile run after Resume, in their order. All other calls
-  // from outside go through RunOrDefer, so that they are deferred too.
+  // SIGSTOP and SIGCONT. Timers that fall due meanwhile run after Resume, in their order. The simulation
+  // makes all other calls through RunOrDefer, so that they are deferred too.
   void Suspend();
   void Resume();
   // Runs the callback now, or after Resume if the process is suspended; never once the process has ended.
@@ -105,7 +107,7 @@
   std::uint64_t ToEnvironmentCall(wheathub::ListSubscription::CallNumber number) const;
   void Post(const std::string& id, const journal::Ending& ending) override;
 
-  void RunAfter(Time after, std::function<void()> callback);  // not once this process has ended
+  void RunAfter(Time after, std::function<void()> callback);  // never once this process has ended
   void FailAttempt(const relay::AttemptId& attempt, wheathub::Outcome outcome);
   bool TakeIdleConnection(const std::string& host, const std::string& address, Time now);
   void ReturnConnection(const std::string& host, const std::string& address);
@@ -127,12 +129,12 @@
   bool suspended_ = false;
   Time unread_since_{-1};  // since when deferred input may have waited; below 0: none has
   std::vector<std::function<void()>> deferred_;  // callbacks that fell due while the process was suspended
-  std::int64_t version_ = 0;
+  std::int64_t version_ = 0;                     // of the list
   wheathub::ListSubscription list_;
   wheathub::ListLease lease_;
   std::map<wheathub::ListSubscription::CallNumber, Time> open_list_calls_;  // when each unanswered call began
   std::uint64_t list_call_offset_ = 0;       // keeps numbers unique across processes of the relay
-  std::uint64_t list_alarm_generation_ = 0;  // only the timer of this generation counts
+  std::uint64_t list_alarm_generation_ = 0;  // timers of earlier generations are ignored
   std::map<std::string, Pool> pools_;
   std::size_t connections_ = 0;
   std::map<std::uint64_t, Call> calls_;
--- a/src/lab/simulation.cpp
+++ b/src/lab/simulation.cpp
@@ -11,8 +11,10 @@
 namespace oxbowspread::lab {
 namespace {
 
+// Each process of a relay numbers its list calls in a range of this size, so that no two share a number.
 constexpr std::uint64_t kListCallsPerProcess = 1'000'000'000;
 
+// One run. Its loop advances the virtual clock to the next event of the model or of a relay.
 class Simulation final : public SimulatedRelay::Environment {
  public:
   Simulation(const model::Scenario& scenario, const model::Day& day, const SimulationOptions& options)
@@ -20,14 +22,14 @@
         day_(day),
         options_(options),
         observer_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
-        world_(scenario, day, [this](const trace::Event& event) { observer_.Observe(event); }),
+        platform_(scenario, day, [this](const trace::Event& event) { observer_.Observe(event); }),
         body_(static_cast<std::size_t>(scenario.traffic.body_bytes), 'b'),
         process_counts_(static_cast<std::size_t>(day.relays)) {
     std::filesystem::remove_all(options_.folder);
     std::filesystem::create_directories(options_.folder);
     for (int rank = 0; rank < day.relays; ++rank) {
-      std::vector<std::string> faults;
-      settings_.push_back(wheathub::wire::ParseSettings(SettingsOf(scenario, day, rank), &faults));
+      std::vector<std::string> unknown_keys;
+      settings_.push_back(wheathub::wire::ParseSettings(SettingsOf(scenario, day, rank), &unknown_keys));
     }
     relays_.resize(static_cast<std::size_t>(day.relays));
   }
@@ -41,8 +43,8 @@
     Outcome outcome;
     try {
       for (int relay = 0; relay < day_.relays; ++relay) StartRelay(relay);
-      while (!world_.done()) {
-        Time next = world_.wake_at();
+      while (!platform_.done()) {
+        Time next = platform_.wake_at();
         if (!schedule_.empty()) next = std::min(next, schedule_.top().at);
         if (inputs_.empty()) now_ = std::max(now_, next);
         RunMoment();
@@ -70,8 +72,8 @@
     }
   };
 
-  // Runs the callbacks that are due now, then lets the model step with their inputs. Inputs that follow from
-  // this at once belong to the next moment, at the same time.
+  // Runs the callbacks that are due now, then steps the model with their inputs. Inputs that this produces
+  // are handled by the next call, at the same time of the run.
   void RunMoment() {
     while (!schedule_.empty() && schedule_.top().at <= now_) {
       const std::function<void()> callback =
@@ -80,7 +82,7 @@
       callback();
     }
     const std::vector<model::Input> inputs = std::exchange(inputs_, {});
-    for (const model::Effect& effect : world_.Step(now_, inputs)) {
+    for (const model::Effect& effect : platform_.Step(now_, inputs)) {
       std::visit([this](const auto& e) { Apply(e); }, effect);
     }
   }
@@ -90,44 +92,44 @@
     return FindRelay(static_cast<int>(call % static_cast<std::uint64_t>(day_.relays)));
   }
 
-  void Apply(const model::SubmitMessage& in) {
-    if (SimulatedRelay* relay = FindRelay(in.relay)) {
-      relay->RunOrDefer([this, relay, in] {
-        relay->Submit(in, body_);
+  void Apply(const model::SubmitMessage& submit) {
+    if (SimulatedRelay* relay = FindRelay(submit.relay)) {
+      relay->RunOrDefer([this, relay, submit] {
+        relay->Submit(submit, body_);
         max_held_messages_ = std::max<std::uint64_t>(max_held_messages_, relay->held_messages());
       });
     } else {
-      Notify(model::SubmissionAnswered{in.submission, model::SubmissionAnswered::Result::kConnectionLost,
+      Notify(model::SubmissionAnswered{submit.submission, model::SubmissionAnswered::Result::kConnectionLost,
                                        Time(0)});
     }
   }
-  void Apply(const model::AbandonSubmission& leave) {
-    if (SimulatedRelay* relay = FindRelay(leave.relay))
-      relay->RunOrDefer([relay, hand = leave.submission] { relay->Withdraw(hand); });
+  void Apply(const model::AbandonSubmission& abandoned) {
+    if (SimulatedRelay* relay = FindRelay(abandoned.relay))
+      relay->RunOrDefer([relay, submission = abandoned.submission] { relay->Withdraw(submission); });
   }
   void Apply(const model::AnswerCall& answer) {
     if (SimulatedRelay* relay = FindRelayOfCall(answer.call))
       relay->RunOrDefer([relay, answer] { relay->AnswerCall(answer); });
   }
-  void Apply(const model::CloseCallConnection& broken) {
-    if (SimulatedRelay* relay = FindRelayOfCall(broken.call))
-      relay->RunOrDefer([relay, call = broken.call] { relay->BreakCall(call); });
+  void Apply(const model::CloseCallConnection& closed) {
+    if (SimulatedRelay* relay = FindRelayOfCall(closed.call))
+      relay->RunOrDefer([relay, call = closed.call] { relay->OnCallConnectionClosed(call); });
   }
   void Apply(const model::SendList& list) {
     if (SimulatedRelay* relay = FindRelay(list.relay))
       relay->RunOrDefer([relay, list] { relay->ApplyList(list); });
   }
-  void Apply(const model::RefuseList& refused) {
-    if (SimulatedRelay* relay = FindRelay(refused.relay))
-      relay->RunOrDefer([relay, refused] { relay->RefuseListCall(refused); });
+  void Apply(const model::RefuseList& refusal) {
+    if (SimulatedRelay* relay = FindRelay(refusal.relay))
+      relay->RunOrDefer([relay, refusal] { relay->RefuseListCall(refusal); });
   }
-  void Apply(const model::SendHeartbeat& beat) {
-    if (SimulatedRelay* relay = FindRelay(beat.relay))
-      relay->RunOrDefer([relay, beat] { relay->OnHeartbeat(beat); });
+  void Apply(const model::SendHeartbeat& heartbeat) {
+    if (SimulatedRelay* relay = FindRelay(heartbeat.relay))
+      relay->RunOrDefer([relay, heartbeat] { relay->OnHeartbeat(heartbeat); });
   }
-  void Apply(const model::TruncateList& broken) {
-    if (SimulatedRelay* relay = FindRelay(broken.list.relay)) {
-      relay->RunOrDefer([relay, call = broken.list.call] { relay->BreakList(call); });
+  void Apply(const model::TruncateList& truncated) {
+    if (SimulatedRelay* relay = FindRelay(truncated.list.relay)) {
+      relay->RunOrDefer([relay, call = truncated.list.call] { relay->OnListTruncated(call); });
     }
   }
   void Apply(const model::MoveDiscovery& move) {
@@ -136,7 +138,7 @@
   // Signals that don't end a process and idle clients exist in runs on sockets only.
   void Apply(const model::SignalRelay&) {}
   void Apply(const model::SetIdleClients&) {}
-  // Connect asks the model itself whether a host is there.
+  // Connect asks the model whether a host listens at an address.
   void Apply(const model::HostUp&) {}
   void Apply(const model::HostDown&) {}
   void Apply(const model::KillRelay& kill) { EndRelay(kill.relay); }
@@ -163,7 +165,7 @@
     options.list_call_offset = static_cast<std::uint64_t>(process_counts_[index]) * kListCallsPerProcess;
     options.seed = RelaySeed(day_, relay, process_counts_[index]++);
     relays_[index] =
-        std::make_unique<SimulatedRelay>(options, settings_[index], *this, world_.KnownList(relay));
+        std::make_unique<SimulatedRelay>(options, settings_[index], *this, platform_.KnownList(relay));
     Notify(model::RelayUp{relay});
   }
 
@@ -184,8 +186,8 @@
   std::uint64_t NextCallNumber(int relay) override {
     return ++calls_made_ * static_cast<std::uint64_t>(day_.relays) + static_cast<std::uint64_t>(relay);
   }
-  bool Connect(const std::string& address) override { return world_.Connect(address); }
-  void Disconnect(const std::string& address) override { world_.Disconnect(address); }
+  bool Connect(const std::string& address) override { return platform_.Connect(address); }
+  void Disconnect(const std::string& address) override { platform_.Disconnect(address); }
   void OnExit(int relay) override {
     Schedule(now_, [this, relay] { EndRelay(relay); });
   }
@@ -194,7 +196,7 @@
   const model::Day& day_;
   const SimulationOptions& options_;
   EventObserver observer_;
-  model::PlatformModel world_;
+  model::PlatformModel platform_;
   std::string body_;
   std::vector<wheathub::Settings> settings_;
   std::vector<std::unique_ptr<SimulatedRelay>> relays_;
--- a/src/lab/simulation.hpp
+++ b/src/lab/simulation.hpp
@@ -16,7 +16,8 @@
 };
 
 // Throws std::filesystem::filesystem_error if the folder can't be used, and std::invalid_argument of wheathub
-// if the settings of the scenario are invalid. What a relay throws later is reported as its crash.
+// if the settings of the scenario are invalid. An exception of a relay during the run is reported as its
+// crash.
 Outcome Simulate(const model::Scenario& scenario, const model::Day& day, const SimulationOptions& options);
 
 }  // namespace oxbowspread::lab
--- a/src/lab/socket_run.cpp
+++ b/src/lab/socket_run.cpp
@@ -30,9 +30,9 @@
 constexpr Time kPollInterval = 10ms;  // of the relay processes
 constexpr Time kReadyTimeout = 20s;
 constexpr Time kKillAfter = 3700ms;             // after SIGTERM
-constexpr Time kOldDiscoveryLifetime = 1500ms;  // the old address keeps its connections so long after a move
-// The n-th discovery server of a relay numbers its connections from n times this on, so that no two servers
-// share a number.
+constexpr Time kOldDiscoveryLifetime = 1500ms;  // connections to the old address close this long after a move
+// The n-th discovery server of a relay adds n times this to the numbers of its connections, so that no two
+// servers share a number.
 constexpr std::uint64_t kCallsPerDiscoveryServer = 1'000'000;
 
 // One run. Its loop drives the model, the stand-ins and the relay processes.
@@ -43,14 +43,14 @@
         day_(day),
         options_(options),
         observer_(RulesOf(scenario), ScoringOf(scenario, day), options.trace),
-        world_(scenario, day, [this](const trace::Event& event) { observer_.Observe(event); }),
+        platform_(scenario, day, [this](const trace::Event& event) { observer_.Observe(event); }),
         body_(static_cast<std::size_t>(scenario.traffic.body_bytes), 'b'),
-        world_timer_(loop_, [this] { StepWorld(); }),
+        platform_timer_(loop_, [this] { StepPlatform(); }),
         poll_timer_(loop_, [this] { PollProcesses(); }),
         second_timer_(loop_, [this] { CountSecond(); }) {
     std::filesystem::remove_all(options_.folder);
     std::filesystem::create_directories(options_.folder);
-    for (const std::string& address : world_.Addresses()) StartHost(address);
+    for (const std::string& address : platform_.Addresses()) StartHost(address);
     relays_.resize(static_cast<std::size_t>(day.relays));
     for (std::size_t relay_index = 0; relay_index < relays_.size(); ++relay_index) {
       Relay& relay = relays_[relay_index];
@@ -76,7 +76,7 @@
     second_timer_.After(1s);
     loop_.Run();
     observer_.Finish(&outcome_);
-    outcome_.load_lateness = world_.lateness();
+    outcome_.load_lateness = platform_.lateness();
     if (outcome_.invalid_reason.empty() && outcome_.load_lateness > options_.max_lateness) {
       outcome_.invalid_reason =
           "the load was up to " + std::to_string(outcome_.load_lateness / 1ms) + " ms late";
@@ -89,31 +89,31 @@
   // A discovery server at one address, which a single relay uses.
   struct DiscoveryServer {
     std::unique_ptr<standin::HttpServer> server;
-    Time closes_at{0};  // 0 until discovery has moved on to another address
+    Time closes_at{0};  // 0 while this is the current address
   };
   struct Relay {
     std::string listen;
     net::Address address{};
     std::vector<DiscoveryServer> discovery_servers;  // the last one is current
-    Json config;                                     // of the present process
-    int signals_left = 0;                            // SIGHUP and SIGUSR1 in turn, one at each poll
+    Json config;                                     // of the current process
+    int signals_left = 0;                            // alternately SIGHUP and SIGUSR1, one at each poll
     std::vector<std::unique_ptr<standin::ClientConnection>> idle_clients;
     std::set<std::uint64_t> open_watches;  // calls for which a response has begun
     pid_t pid = 0;
     int process_count = 0;
     bool ready = false;
     bool pinging = false;
-    bool exit_expected = false;  // its process was told to end
+    bool exit_expected = false;  // its process was sent SIGTERM or SIGKILL
     Time kill_at{0};
   };
   struct HostServer {
     std::unique_ptr<standin::HttpServer> server;
-    std::map<std::uint64_t, std::uint64_t> calls;  // connection number to its open call; 0: none
+    std::map<std::uint64_t, std::uint64_t> calls;  // by connection number: its open call; 0: none
   };
-  struct ClientConnection {
-    std::unique_ptr<standin::ClientConnection> line;
+  struct Client {
+    std::unique_ptr<standin::ClientConnection> connection;
     int relay = 0;
-    std::uint64_t hand = 0;  // 0: a PING
+    std::uint64_t submission = 0;  // 0: a PING
     bool resent = false;  // the request was sent again, since the first connection closed without reading it
     std::string request;
   };
@@ -125,19 +125,19 @@
 
   void Notify(model::Input input) {
     inputs_.push_back(std::move(input));
-    if (started()) world_timer_.After(Time(0));
+    if (started()) platform_timer_.After(Time(0));
   }
 
-  void StepWorld() {
+  void StepPlatform() {
     if (!started() || run_ended_) return;
     do {
       const std::vector<model::Input> inputs = std::exchange(inputs_, {});
-      for (const model::Effect& effect : world_.Step(TimeOfRun(), inputs)) {
+      for (const model::Effect& effect : platform_.Step(TimeOfRun(), inputs)) {
         std::visit([this](const auto& e) { Apply(e); }, effect);
       }
     } while (!inputs_.empty());
-    if (world_.done()) return EndRun();
-    world_timer_.After(std::max(Time(0), world_.wake_at() - TimeOfRun()));
+    if (platform_.done()) return EndRun();
+    platform_timer_.After(std::max(Time(0), platform_.wake_at() - TimeOfRun()));
   }
 
   void EndRun() {
@@ -228,7 +228,7 @@
                      {{"memory_mb", scenario_.relay.memory_mb},
                       {"sockets", scenario_.relay.sockets},
                       {"disk_mb", scenario_.relay.disk_mb}}},
-                    {"known", ListJson(world_.KnownList(number), scenario_, ports_)},
+                    {"known", ListJson(platform_.KnownList(number), scenario_, ports_)},
                     {"settings", Json::parse(SettingsOf(scenario_, day_, number))}};
     WriteConfig(number);
     supervise::Program program;
@@ -254,13 +254,13 @@
       pending_starts_.pop_front();
     }
     const Time now = net::Loop::Now();
-    bool all_ready = true, all_gone = true;
+    bool all_ready = true, all_exited = true;
     for (std::size_t relay_index = 0; relay_index < relays_.size(); ++relay_index) {
       Relay& relay = relays_[relay_index];
       int status = 0;
-      rusage used{};
-      if (relay.pid > 0 && wait4(relay.pid, &status, WNOHANG, &used) == relay.pid)
-        OnRelayExit(relay_index, status, used);
+      rusage usage{};
+      if (relay.pid > 0 && wait4(relay.pid, &status, WNOHANG, &usage) == relay.pid)
+        OnRelayExit(relay_index, status, usage);
       if (relay.pid > 0 && relay.exit_expected && relay.kill_at > 0us && now >= relay.kill_at) {
         kill(relay.pid, SIGKILL);
         relay.kill_at = Time(0);
@@ -270,15 +270,15 @@
         kill(relay.pid, relay.signals_left-- % 2 == 0 ? SIGHUP : SIGUSR1);
       CloseMovedServers(relay_index, now);
       all_ready = all_ready && relay.ready;
-      all_gone = all_gone && relay.pid <= 0;
+      all_exited = all_exited && relay.pid <= 0;
     }
     if (run_ended_) {
-      if (all_gone) loop_.Stop();
+      if (all_exited) loop_.Stop();
       return;
     }
     if (!started() && all_ready) {
       started_at_ = now;
-      world_timer_.After(Time(0));
+      platform_timer_.After(Time(0));
     } else if (!started() && now > ready_deadline_) {
       MarkInvalid("not all relays were ready within 20 s");
     }
@@ -301,14 +301,14 @@
     }
   }
 
-  void OnRelayExit(std::size_t relay_index, int status, const rusage& used) {
+  void OnRelayExit(std::size_t relay_index, int status, const rusage& usage) {
     Relay& relay = relays_[relay_index];
     relay.pid = 0;
     relay.signals_left = 0;
     relay.ready = false;
-    const auto micro = [](const timeval& t) { return Time(t.tv_sec * 1'000'000 + t.tv_usec); };
-    outcome_.cpu_time += micro(used.ru_utime) + micro(used.ru_stime);
-    outcome_.peak_kb = std::max(outcome_.peak_kb, static_cast<std::uint64_t>(used.ru_maxrss));
+    const auto to_time = [](const timeval& t) { return Time(t.tv_sec * 1'000'000 + t.tv_usec); };
+    outcome_.cpu_time += to_time(usage.ru_utime) + to_time(usage.ru_stime);
+    outcome_.peak_kb = std::max(outcome_.peak_kb, static_cast<std::uint64_t>(usage.ru_maxrss));
     const bool clean = relay.exit_expected && (WIFSIGNALED(status) || WEXITSTATUS(status) == 0);
     if (!clean && outcome_.crash.empty()) {
       outcome_.crash = "n" + std::to_string(relay_index + 1) +
@@ -354,9 +354,9 @@
   }
   void Apply(const model::SetIdleClients& effect) {
     Relay& relay = relays_[static_cast<std::size_t>(effect.relay)];
-    for (auto& line : relay.idle_clients) {
-      line->Close();
-      loop_.DestroyLater(std::move(line));
+    for (auto& connection : relay.idle_clients) {
+      connection->Close();
+      loop_.DestroyLater(std::move(connection));
     }
     relay.idle_clients.clear();
     for (int i = 0; i < effect.count; ++i) {
@@ -374,94 +374,95 @@
   };
 
   standin::ClientConnection* OpenClient(int relay) {
-    auto line = std::make_unique<standin::ClientConnection>(
+    auto connection = std::make_unique<standin::ClientConnection>(
         loop_, *this, relays_[static_cast<std::size_t>(relay)].address, Time(0));
-    if (!line->opened()) return nullptr;
-    standin::ClientConnection* const opened = line.get();
-    clients_[opened] = {std::move(line), relay, 0, false, {}};
+    if (!connection->opened()) return nullptr;
+    standin::ClientConnection* const opened = connection.get();
+    clients_[opened] = {std::move(connection), relay, 0, false, {}};
     return opened;
   }
 
-  void SendRequest(standin::ClientConnection* line, std::uint64_t hand, std::string request) {
-    if (line == nullptr) return MarkInvalid("no socket for a client");
-    ClientConnection& client = clients_.at(line);
-    client.hand = hand;
+  void SendRequest(standin::ClientConnection* connection, std::uint64_t submission, std::string request) {
+    if (connection == nullptr) return MarkInvalid("no socket for a client");
+    Client& client = clients_.at(connection);
+    client.submission = submission;
     client.request = request;
-    if (hand > 0) waiting_clients_[hand] = line;
-    line->Send(std::move(request));
-  }
-
-  void Apply(const model::SubmitMessage& in) {
-    relay_by_id_[in.id] = in.relay;
-    const auto time_left_ms = std::max<std::int64_t>(1, in.time_left / 1ms);
-    const std::string values = "c=outbound,d=" + std::to_string(time_left_ms) + ",k=" + in.key +
-                               ",dest=" + std::to_string(in.destination) + (in.refused_before ? ",r=1" : "") +
-                               (in.lost_before ? ",again=1" : "");
-    std::string request = standin::RespCommand({"MSG.PUT", "0000000000000000", in.id, values, body_});
-    for (auto& [line, client] : clients_) {
-      if (client.relay == in.relay && client.line->idle() && !client.request.empty()) {
+    if (submission > 0) waiting_clients_[submission] = connection;
+    connection->Send(std::move(request));
+  }
+
+  void Apply(const model::SubmitMessage& submit) {
+    relay_by_id_[submit.id] = submit.relay;
+    const auto time_left_ms = std::max<std::int64_t>(1, submit.time_left / 1ms);
+    const std::string values = "c=outbound,d=" + std::to_string(time_left_ms) + ",k=" + submit.key +
+                               ",dest=" + std::to_string(submit.destination) +
+                               (submit.refused_before ? ",r=1" : "") + (submit.lost_before ? ",again=1" : "");
+    std::string request = standin::RespCommand({"MSG.PUT", "0000000000000000", submit.id, values, body_});
+    for (auto& [connection, client] : clients_) {
+      if (client.relay == submit.relay && client.connection->idle() && !client.request.empty()) {
         client.resent = false;
-        return SendRequest(line, in.submission, std::move(request));
+        return SendRequest(connection, submit.submission, std::move(request));
       }
     }
-    SendRequest(OpenClient(in.relay), in.submission, std::move(request));
+    SendRequest(OpenClient(submit.relay), submit.submission, std::move(request));
   }
-  void Apply(const model::AbandonSubmission& leave) {
-    const auto it = waiting_clients_.find(leave.submission);
+  void Apply(const model::AbandonSubmission& abandoned) {
+    const auto it = waiting_clients_.find(abandoned.submission);
     if (it == waiting_clients_.end()) return;
-    standin::ClientConnection* const line = it->second;
+    standin::ClientConnection* const connection = it->second;
     waiting_clients_.erase(it);
-    CloseClient(*line);
+    CloseClient(*connection);
   }
 
-  void CloseClient(standin::ClientConnection& line) {
-    const auto it = clients_.find(&line);
+  void CloseClient(standin::ClientConnection& connection) {
+    const auto it = clients_.find(&connection);
     if (it == clients_.end()) return;
-    line.Close();
-    loop_.DestroyLater(std::move(it->second.line));
+    connection.Close();
+    loop_.DestroyLater(std::move(it->second.connection));
     clients_.erase(it);
   }
 
-  void OnAnswer(standin::ClientConnection& line, const std::string& answer) override {
-    ClientConnection& client = clients_.at(&line);
-    const std::uint64_t hand = std::exchange(client.hand, 0);
-    if (hand == 0) {
+  void OnAnswer(standin::ClientConnection& connection, const std::string& answer) override {
+    Client& client = clients_.at(&connection);
+    const std::uint64_t submission = std::exchange(client.submission, 0);
+    if (submission == 0) {
       Relay& relay = relays_[static_cast<std::size_t>(client.relay)];
       relay.pinging = false;
       if (answer == "+PONG" && !std::exchange(relay.ready, true)) Notify(model::RelayUp{client.relay});
       return;
     }
-    waiting_clients_.erase(hand);
+    waiting_clients_.erase(submission);
     using Result = model::SubmissionAnswered::Result;
     if (answer[0] == '+' || answer[0] == '$')
-      return Notify(model::SubmissionAnswered{hand, Result::kAccepted, Time(0)});
+      return Notify(model::SubmissionAnswered{submission, Result::kAccepted, Time(0)});
     if (answer.rfind("-BUSY", 0) == 0) {
       const Time wait(answer.size() > 6 ? std::atoll(answer.c_str() + 6) * 1000 : 0);
-      return Notify(model::SubmissionAnswered{hand, Result::kRejected, wait});
+      return Notify(model::SubmissionAnswered{submission, Result::kRejected, wait});
     }
     // An error answer is final for the client. The commands here are well-formed, so it counts as a failure
     // of the relay.
     if (outcome_.crash.empty()) outcome_.crash = "a relay answered " + answer;
-    Notify(model::SubmissionAnswered{hand, Result::kRejected, Time(0)});
+    Notify(model::SubmissionAnswered{submission, Result::kRejected, Time(0)});
   }
 
-  void OnLost(standin::ClientConnection& line, const standin::ClientConnection::Loss& end) override {
-    const ClientConnection& client = clients_.at(&line);
+  void OnLost(standin::ClientConnection& connection, const standin::ClientConnection::Loss& loss) override {
+    const Client& client = clients_.at(&connection);
     const int relay = client.relay;
-    const std::uint64_t hand = client.hand;
-    const bool resend = end.request_pending && hand > 0 && end.request_unread && !client.resent;
+    const std::uint64_t submission = client.submission;
+    const bool resend = loss.request_pending && submission > 0 && loss.request_unread && !client.resent;
     std::string request = client.request;
-    waiting_clients_.erase(hand);
-    CloseClient(line);
-    if (hand == 0 && end.request_pending)
+    waiting_clients_.erase(submission);
+    CloseClient(connection);
+    if (submission == 0 && loss.request_pending)
       relays_[static_cast<std::size_t>(relay)].pinging = false;  // the relay does not listen yet
-    if (run_ended_ || hand == 0 || !end.request_pending) return;
+    if (run_ended_ || submission == 0 || !loss.request_pending) return;
     if (resend) {
-      standin::ClientConnection* const next = OpenClient(relay);
-      if (next != nullptr) clients_.at(next).resent = true;
-      return SendRequest(next, hand, std::move(request));
+      standin::ClientConnection* const replacement = OpenClient(relay);
+      if (replacement != nullptr) clients_.at(replacement).resent = true;
+      return SendRequest(replacement, submission, std::move(request));
     }
-    Notify(model::SubmissionAnswered{hand, model::SubmissionAnswered::Result::kConnectionLost, Time(0)});
+    Notify(
+        model::SubmissionAnswered{submission, model::SubmissionAnswered::Result::kConnectionLost, Time(0)});
   }
 
   // ---- endpoints ----
@@ -493,22 +494,23 @@
       host.server->Write(connection, standin::FormatResponse("400 Bad Request"));
       return;
     }
-    const auto [slot, new_connection] = host.calls.emplace(connection, 0);
-    const bool crowded = new_connection && !world_.Connect(address);
+    const auto [open_call, new_connection] = host.calls.emplace(connection, 0);
+    const bool over_connection_limit = new_connection && !platform_.Connect(address);
     const std::uint64_t call = ++calls_made_;
-    slot->second = call;
+    open_call->second = call;
     calls_[call] = {address, connection};
     const std::string id = request.Header("x-request-id");
     EndEarlierCall(id);
     last_call_by_id_[id] = call;
     const auto relay = relay_by_id_.find(id);
     Notify(model::CallReceived{call, relay == relay_by_id_.end() ? -1 : relay->second, address, id,
-                               request.Header("idempotency-key"), new_connection, crowded});
-    if (crowded) host.calls.erase(connection);  // so that no Disconnect follows for it
+                               request.Header("idempotency-key"), new_connection, over_connection_limit});
+    if (over_connection_limit) host.calls.erase(connection);  // so that no Disconnect follows for it
   }
 
-  // The relay may have ended an earlier call for this id whose closed connection has not been read yet, since
-  // it is another socket in the same iteration of the loop. Reports its end first.
+  // The relay may have closed the connection of an earlier call for this id, and the loop may not have
+  // handled this yet, since another socket came first in the same iteration. Reports the end of that call
+  // first.
   void EndEarlierCall(const std::string& id) {
     const auto previous = last_call_by_id_.find(id);
     const auto it = previous == last_call_by_id_.end() ? calls_.end() : calls_.find(previous->second);
@@ -524,7 +526,7 @@
     if (it == host.calls.end()) return;
     const std::uint64_t call = it->second;
     host.calls.erase(it);
-    world_.Disconnect(address);
+    platform_.Disconnect(address);
     if (calls_.erase(call) > 0) Notify(model::CallDropped{call});
   }
 
@@ -534,7 +536,8 @@
     const auto [address, connection] = it->second;
     calls_.erase(it);
     HostServer& host = hosts_.at(address);
-    if (const auto slot = host.calls.find(connection); slot != host.calls.end()) slot->second = 0;
+    if (const auto open_call = host.calls.find(connection); open_call != host.calls.end())
+      open_call->second = 0;
     std::string headers;
     if (answer.retry_after > 0us) {
       char text[60];
@@ -545,8 +548,8 @@
     const std::string status = std::to_string(answer.status) + " -";
     if (host.server) host.server->Write(connection, standin::FormatResponse(status.c_str(), {}, headers));
   }
-  void Apply(const model::CloseCallConnection& broken) {
-    const auto it = calls_.find(broken.call);
+  void Apply(const model::CloseCallConnection& closed) {
+    const auto it = calls_.find(closed.call);
     if (it == calls_.end()) return;
     const auto [address, connection] = it->second;
     calls_.erase(it);
@@ -612,10 +615,10 @@
   const model::Day& day_;
   const SocketRunOptions& options_;
   EventObserver observer_;
-  model::PlatformModel world_;
+  model::PlatformModel platform_;
   std::string body_;
   net::Loop loop_;
-  net::Timer world_timer_, poll_timer_, second_timer_;
+  net::Timer platform_timer_, poll_timer_, second_timer_;
   std::uint64_t list_calls_ = 0;  // in the current second
   Time started_at_{0}, ready_deadline_{0};
   bool run_ended_ = false;
@@ -631,7 +634,7 @@
   std::uint64_t calls_made_ = 0;
   std::map<std::string, std::uint64_t> last_call_by_id_;  // by submission id
   std::map<std::string, int> relay_by_id_;                // by submission id
-  std::map<standin::ClientConnection*, ClientConnection> clients_;
+  std::map<standin::ClientConnection*, Client> clients_;
   std::map<std::uint64_t, standin::ClientConnection*>
       waiting_clients_;  // by submission that waits for its answer
 };
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -128,8 +128,7 @@
         BrokenRules{"lost"});
 }
 
-TEST_CASE("checker: while its relay restarts no end is overdue, until it has been back for 1.5 s",
-          "[checker]") {
+TEST_CASE("checker: no end is overdue while its relay restarts and for 1.5 s afterwards", "[checker]") {
   const auto restarted = [] {
     EventStream stream;
     stream.Add(Kind::kTerminating, 15s, 0).Add(Kind::kExited, 18s, 0).Add(Kind::kReady, 19s, 0);
@@ -149,10 +148,10 @@
 }
 
 // In the soak with seed 7300003, the checker reported a lost message in 7 of 12 runs. A relay that was
-// stopped (SIGSTOP) got SIGTERM at 6.690 s and was continued at 6.787 s, which the checker took for the
-// return from its restart. A message accepted at 7.922 s had its deadline at 10.001 s; the process exited
-// at 10.360 s, and the next one reported the end at 10.938 s, as soon as it was up. From SIGTERM until 1.5 s
-// after the return no end is overdue.
+// stopped (SIGSTOP) got SIGTERM at 6.690 s and was continued at 6.787 s, which the checker mistook for the
+// end of its restart. A message accepted at 7.922 s had its deadline at 10.001 s; the process exited
+// at 10.360 s, and the next one reported the message's end at 10.938 s, as soon as it was up. From SIGTERM
+// until 1.5 s after the restart no end is overdue.
 TEST_CASE("checker: a stopped relay that is continued after SIGTERM has not restarted yet", "[checker]") {
   const auto restarted = [] {
     EventStream stream;
@@ -165,7 +164,7 @@
         BrokenRules{"lost"});
 }
 
-TEST_CASE("checker: two attempts of a message at once", "[checker]") {
+TEST_CASE("checker: two simultaneous attempts of a message are a breach", "[checker]") {
   CHECK(EventStream().Call(20ms).Call(30ms, "b").Answer(40ms, 200, 0ms, "b").Answer(50ms, 200).FinishRun() ==
         BrokenRules{"two-legs"});
   CHECK(
@@ -212,7 +211,7 @@
             .FinishRun() == BrokenRules{});
 }
 
-TEST_CASE("checker: twelve attempts, and no thirteenth", "[checker]") {
+TEST_CASE("checker: a message may have twelve attempts, but not thirteen", "[checker]") {
   for (const int attempts : {12, 13}) {
     EventStream stream;
     for (int i = 0; i < attempts; ++i) {
@@ -224,7 +223,7 @@
 
 // Guards against a checker that counts only changes written to a relay: the rule applies whether or not a
 // change was written.
-TEST_CASE("checker: a drain that was never written counts as known after 6 s", "[checker]") {
+TEST_CASE("checker: a drain that was never written counts as announced after 6 s", "[checker]") {
   const auto called = [](Time call) {
     EventStream stream;
     stream.Add(Kind::kHostChanged, 2s, -1, "a");
@@ -234,7 +233,7 @@
   CHECK(called(8s + 301ms) == BrokenRules{"drain"});
 }
 
-TEST_CASE("checker: the 6 s start when discovery can be reached again", "[checker]") {
+TEST_CASE("checker: the 6 s begin when discovery can be reached again", "[checker]") {
   const auto called = [](Time call) {
     EventStream stream;
     stream.Add(Kind::kDiscoveryReachable, 1s, -1)
@@ -246,13 +245,13 @@
   CHECK(called(11s + 301ms) == BrokenRules{"drain"});
 }
 
-TEST_CASE("checker: no change counts as known while discovery is unreachable", "[checker]") {
+TEST_CASE("checker: no change counts as announced while discovery is unreachable", "[checker]") {
   EventStream stream;
   stream.Add(Kind::kDiscoveryReachable, 1s, -1).Add(Kind::kHostChanged, 2s, -1, "a");
   CHECK(stream.Call(15s).Answer(15s + 100ms, 200).FinishRun(20s) == BrokenRules{});
 }
 
-TEST_CASE("checker: a drain written to a relay counts as known before the 6 s are over", "[checker]") {
+TEST_CASE("checker: a drain written to a relay counts as announced before the 6 s have passed", "[checker]") {
   EventStream stream;
   stream.Add(Kind::kHostChanged, 2s, -1, "a").Add(Kind::kHostAnnounced, 3s, 0, "a");
   CHECK(stream.Call(3s + 301ms).Answer(4s, 200).FinishRun(20s) == BrokenRules{"drain"});
@@ -285,7 +284,7 @@
   CHECK(stream.Call(12s).Answer(12s + 100ms, 200).FinishRun(20s) == BrokenRules{});
 }
 
-TEST_CASE("list delay: from when a relay could know of a drain until discovery wrote it to the relay",
+TEST_CASE("list delay: lasts from when a relay could learn of a drain until discovery writes it to the relay",
           "[checker]") {
   check::ListDelay delay;
   const auto observe = [&delay](Kind kind, Time at, int relay, const std::string& host, bool up) {
@@ -309,7 +308,7 @@
   CHECK(delay.worst() == 5s);  // it was never written to relay 2
 }
 
-TEST_CASE("checker: calls may start for 250 ms and the slack after a drain is known", "[checker]") {
+TEST_CASE("checker: calls may start until 250 ms plus the slack after a drain is announced", "[checker]") {
   const auto drained = [](Time call) {
     return EventStream()
         .Add(Kind::kHostAnnounced, 1s, 0, "a")
@@ -345,7 +344,7 @@
         .Answer(call + 10ms, 200, 0ms, "a", "n", relay)
         .FinishRun();
   };
-  CHECK(call_during_wait(30ms + 150ms, 0) == BrokenRules{});  // the call was already on its way
+  CHECK(call_during_wait(30ms + 150ms, 0) == BrokenRules{});  // the call was already in flight
   CHECK(call_during_wait(30ms + 151ms, 0) == BrokenRules{"wait"});
   CHECK(call_during_wait(2s + 29ms, 0) == BrokenRules{"wait"});
   CHECK(call_during_wait(2s + 30ms, 0) == BrokenRules{});
@@ -358,7 +357,8 @@
   CHECK(stream.Call(1s, "a", 1, 7, "o").Answer(2s, 200, 0ms, "a", "o").FinishRun() == BrokenRules{"wait"});
 }
 
-TEST_CASE("checker: what no client handed in, and what goes to another's host", "[checker]") {
+TEST_CASE("checker: ids that no client submitted, and calls to a host of another destination, are breaches",
+          "[checker]") {
   CHECK(EventStream().Call(20ms, "a", 1, 7, "x").Notice(30ms, false).FinishRun() ==
         BrokenRules{"unknown-message"});
   CHECK(EventStream().Notice(30ms, false, "x").Notice(31ms, false).FinishRun() ==
@@ -367,7 +367,7 @@
         BrokenRules{"wrong-destination"});
 }
 
-TEST_CASE("checker: nothing after the end, and one end only", "[checker]") {
+TEST_CASE("checker: a message has only one end, and no calls after it", "[checker]") {
   CHECK(EventStream().Notice(1s, false).Call(2s).Answer(3s, 200).FinishRun() == BrokenRules{"after-end"});
   CHECK(EventStream().Notice(1s, false).Notice(2s, true).FinishRun() == BrokenRules{"two-ends"});
   // A notice may be sent again if the first 204 response was not read, and a notice of a delivered message is
@@ -376,7 +376,7 @@
   CHECK(EventStream().Call(20ms).Answer(1s, 200).Notice(2s, true).FinishRun() == BrokenRules{});
 }
 
-TEST_CASE("checker: a message that may have run is not refused", "[checker]") {
+TEST_CASE("checker: a message that may have run is not deferred", "[checker]") {
   CHECK(EventStream().Call(20ms).Answer(30ms, 500).Notice(1s, true).FinishRun() ==
         BrokenRules{"refused-after-risk"});
   CHECK(EventStream().Call(20ms).Notice(1s, true).Answer(2s, 500).FinishRun() ==
@@ -406,13 +406,14 @@
   CHECK(collapse(3, true) == BrokenRules{});  // an earlier process of the relay saw the outage
 }
 
-TEST_CASE("checker: time that runs backwards, and a trace cut short", "[checker]") {
+TEST_CASE("checker: decreasing times are a breach, and a trace that is cut short leaves messages undecided",
+          "[checker]") {
   CHECK(EventStream().Call(2s).Answer(1s, 200).Answer(3s, 200).FinishRun() == BrokenRules{"trace"});
   CHECK(EventStream().Call(2s).Answer(2s, 200).FinishRun() == BrokenRules{});
-  EventStream cut;
-  CHECK(cut.Call(2s).FinishCutShort() == BrokenRules{});
-  CHECK(cut.checker().cut_short());
-  CHECK(cut.checker().undecided() == 1);
+  EventStream truncated;
+  CHECK(truncated.Call(2s).FinishCutShort() == BrokenRules{});
+  CHECK(truncated.checker().cut_short());
+  CHECK(truncated.checker().undecided() == 1);
 }
 
 TEST_CASE("checker: forgets messages that ended long ago", "[checker]") {
@@ -448,7 +449,7 @@
   }
 }
 
-TEST_CASE("tally: worth, windows and prices by hand", "[checker]") {
+TEST_CASE("tally: worth, windows and prices equal values computed by hand", "[checker]") {
   check::Scoring scoring;
   scoring.over_limit_price = 0.03;
   scoring.new_connection_price = 0.06;
@@ -488,9 +489,9 @@
   const check::Figures figures = tally.ComputeFigures();
   CHECK(figures.worst_limit_excess ==
         Approx(1.5));                      // three calls in one second to a host with a limit of two
-  CHECK(figures.fairness == Approx(0.5));  // all worth is of messages of one relay
+  CHECK(figures.fairness == Approx(0.5));  // all worth comes from messages of one relay
   CHECK(figures.collapsed_hosts == 1);
-  CHECK(figures.asked == 4);
+  CHECK(figures.messages_due == 4);
   CHECK(figures.accepted == 2);
   CHECK(figures.delivered == 2);
   CHECK(figures.within_aim == 1);
@@ -498,5 +499,5 @@
   CHECK(figures.worth_share == Approx(1.5 / 4));
   CHECK(figures.worst_window_share == Approx(0));  // the window from 21 to 30 s
   CHECK(figures.deductions == Approx(0.03 * 4 / 4 + 0.06 * 3 / 4));
-  CHECK(figures.service == Approx(0.75 * 1.5 / 4 - figures.deductions));
+  CHECK(figures.service_score == Approx(0.75 * 1.5 / 4 - figures.deductions));
 }
