--- a/src/standin/client_connection.cpp
+++ b/src/standin/client_connection.cpp
@@ -12,10 +12,11 @@
   return command;
 }
 
-ClientConnection::ClientConnection(net::Loop& loop, Owner& owner, const net::Address& to, net::Time timeout)
+ClientConnection::ClientConnection(net::Loop& loop, Owner& owner, const net::Address& address,
+                                   net::Time timeout)
     : owner_(owner),
       timeout_(timeout),
-      connection_(net::Connection::Open(loop, to, *this)),
+      connection_(net::Connection::Open(loop, address, *this)),
       timeout_timer_(loop, [this] { ReportLoss(false); }) {
   StartTimeout();
 }
--- a/src/standin/client_connection.hpp
+++ b/src/standin/client_connection.hpp
@@ -1,4 +1,4 @@
-// A client's connection to one relay. It carries one request at a time and reports the answer or the loss of
+// A client's connection to one relay. It sends one request at a time and reports the answer or the loss of
 // the connection.
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace oxbowspread::standin {
 
-// Formats a command as RESP2 wants it: an array of bulk strings.
+// Formats a command in RESP2, as an array of bulk strings.
 std::string RespCommand(const std::vector<std::string>& words);
 
 class ClientConnection final : private net::Connection::Handler {
@@ -21,7 +21,8 @@
     bool was_connected = false;    // false: the relay refused the connection or did not accept it in time
     bool request_unread = false;   // closed between two requests; the relay may not have read the pending one
   };
-  // May destroy the connection from within a callback: by Loop::DestroyLater, after Close.
+  // Receives the results. Within a callback it may destroy the connection with Loop::DestroyLater, after a
+  // call to Close.
   class Owner {
    public:
     virtual ~Owner() = default;
@@ -30,14 +31,14 @@
     virtual void OnLost(ClientConnection& connection, const Loss& loss) = 0;
   };
 
-  // Waits for the connection, and for each answer, no longer than `timeout`; 0: without limit. Loop and owner
-  // must outlive it.
-  ClientConnection(net::Loop& loop, Owner& owner, const net::Address& to, net::Time timeout);
+  // `timeout` limits the wait for the connection and for each answer; 0: no limit. Loop and owner must
+  // outlive this object.
+  ClientConnection(net::Loop& loop, Owner& owner, const net::Address& address, net::Time timeout);
   bool opened() const { return connection_ != nullptr; }  // false: no socket was available
   bool idle() const { return request_.empty() && !closed_; }
   // The connection must be idle. `request` must not be empty and is sent once the connection is established.
   void Send(std::string request);
-  void Close();  // the owner is not called any more
+  void Close();  // no callback follows
 
  private:
   void OnConnected() override;
--- a/src/standin/load.cpp
+++ b/src/standin/load.cpp
@@ -54,8 +54,7 @@
   timer_.After(kTickInterval);
 }
 
-// Round robin over the relays that the load balancer believes up; if it believes none up, it tries one all
-// the same.
+// Round robin over the relays that the load balancer considers up; if there is none, it tries one anyway.
 void LoadGenerator::Submit(Submission submission) {
   if (!submission.repeated) {
     submission.id = run_id_ + "-" + std::to_string(++id_count_);
@@ -82,8 +81,8 @@
 }
 
 std::string LoadGenerator::FormatCommand(const Submission& submission) const {
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(options_.deadline).count();
-  const std::string values = "c=outbound,d=" + std::to_string(ms) +
+  const auto deadline_ms = std::chrono::duration_cast<std::chrono::milliseconds>(options_.deadline).count();
+  const std::string values = "c=outbound,d=" + std::to_string(deadline_ms) +
                              ",k=" + MessageTracker::KeyOf(submission.message) + ",dest=7" +
                              (submission.number > 1 ? ",again=1" : "");
   const std::string body(options_.body_bytes, 'x');
@@ -111,7 +110,7 @@
   connections_.erase(it);
   if (!loss.was_connected) skipped_until_[relay] = net::Loop::Now() + options_.relay_skip_time;
   if (!loss.request_pending) return;
-  // No relay has read the request: sends the same one once more.
+  // No relay has read the request, so the same one is sent once more.
   if ((!loss.was_connected || loss.request_unread) && !submission.repeated) {
     submission.repeated = true;
     return Submit(submission);
--- a/src/standin/load.hpp
+++ b/src/standin/load.hpp
@@ -1,6 +1,6 @@
-// Stands in for the clients and the load balancer before the relays. Messages come at a fixed rate whatever
-// becomes of them (open loop). Each is submitted to a relay that the load balancer believes up, and
-// resubmitted as the platform's clients do.
+// Stands in for the clients and the load balancer before the relays. Messages come at a fixed rate, whatever
+// the results of earlier ones (open loop). Each is submitted to a relay that the load balancer considers up,
+// and resubmitted as the platform's clients do.
 #pragma once
 
 #include <cstdint>
@@ -20,11 +20,13 @@
   double rate = 200;                // messages per second
   net::Time deadline{8'000'000};
   net::Time answer_timeout{400'000};
-  int max_submissions = 3;               // per message, whether rejected or lost with the connection
-  net::Time relay_skip_time{1'000'000};  // the load balancer skips a relay that refuses connections so long
+  int max_submissions = 3;  // per message, including rejected and unanswered ones
+  // How long the load balancer skips a relay that refused a connection.
+  net::Time relay_skip_time{1'000'000};
   std::size_t body_bytes = 200;
 };
 
+// Submits the messages and records their results in the tracker.
 class LoadGenerator final : public ClientConnection::Owner {
  public:
   // Loop and tracker must outlive it. Throws std::bad_optional_access if the address of a relay is invalid.
@@ -34,11 +36,12 @@
   LoadGenerator& operator=(const LoadGenerator&) = delete;
 
   void Start();
-  // Submits no new messages; those that wait for an answer still get it.
+  // Stops creating messages. Submissions that wait for an answer still get it.
   void Stop() {
     timer_.Stop();
     stopping_ = true;
   }
+  // Whether every message so far was accepted or given up by its client.
   bool idle() const { return pending_ == 0; }
   // Longest delay between a message's due time and its submission: the generator's own share of every
   // measured time.
--- a/src/standin/message_tracker.cpp
+++ b/src/standin/message_tracker.cpp
@@ -8,9 +8,9 @@
 
 double Percentile(std::vector<double> values, double share) {
   if (values.empty()) return 0;
-  const auto at = static_cast<std::ptrdiff_t>(share * static_cast<double>(values.size() - 1));
-  std::nth_element(values.begin(), values.begin() + at, values.end());
-  return values[static_cast<std::size_t>(at)];
+  const auto index = static_cast<std::ptrdiff_t>(share * static_cast<double>(values.size() - 1));
+  std::nth_element(values.begin(), values.begin() + index, values.end());
+  return values[static_cast<std::size_t>(index)];
 }
 
 std::string MessageTracker::KeyOf(std::uint64_t message) {
@@ -45,11 +45,11 @@
   Message& entry = messages_[message];
   submissions_[id].message = message;
   submissions_[id].delivered = true;
-  if (entry.effects > 0) {
+  if (entry.executions > 0) {
     ++duplicate_calls_;
     return false;
   }
-  entry.effects = 1;
+  entry.executions = 1;
   entry.delivered_at = now;
   return true;
 }
@@ -75,7 +75,7 @@
     if (entry.due < since) continue;
     ++totals.due;
     totals.resubmitted += entry.ids.size() > 1 ? static_cast<std::int64_t>(entry.ids.size()) - 1 : 0;
-    totals.ended_twice += entry.effects > 1;
+    totals.ended_twice += entry.executions > 1;
     if (!entry.accepted) {
       totals.rejected += entry.rejected;
       totals.unanswered += entry.unanswered;
@@ -83,7 +83,7 @@
     }
     ++totals.accepted;
     totals.accept_ms.push_back(static_cast<double>((entry.accepted_at - entry.due).count()) * 1e-3);
-    if (entry.effects > 0) {
+    if (entry.executions > 0) {
       ++totals.delivered;
       totals.deliver_ms.push_back(static_cast<double>((entry.delivered_at - entry.due).count()) * 1e-3);
     } else {
--- a/src/standin/message_tracker.hpp
+++ b/src/standin/message_tracker.hpp
@@ -1,5 +1,4 @@
-// Tracks what became of every message of a run, as its clients, its endpoints and the platform saw it. No
-// I/O.
+// Tracks the outcome of every message of a run, as clients, endpoints and the platform report it. No I/O.
 #pragma once
 
 #include <chrono>
@@ -13,24 +12,26 @@
 
 using Time = std::chrono::microseconds;
 
+// The counts of a run: numbers of messages, unless a comment says otherwise.
 struct Totals {
-  std::int64_t due = 0;         // messages that became due
-  std::int64_t accepted = 0;    // of these, accepted (+OK) at least once
-  std::int64_t delivered = 0;   // of the accepted ones, an endpoint answered 200
-  std::int64_t failed = 0;      // of the accepted ones, ended by a notice and not delivered
-  std::int64_t rejected = 0;    // answered -BUSY and given up by their client
-  std::int64_t unanswered = 0;  // no answer in time, or no relay reachable, and given up by their client
-  std::int64_t resubmitted = 0;
-  std::int64_t lost = 0;                      // ids that were accepted and have no end
-  std::int64_t ended_twice = 0;               // more than one effect, or two different notices for one id
-  std::int64_t noticed_after_delivery = 0;    // notices for delivered messages, which do no harm
-  std::int64_t duplicate_calls = 0;           // calls that a host recognised by key: no second effect
+  std::int64_t due = 0;          // messages that became due
+  std::int64_t accepted = 0;     // of these, accepted (+OK) at least once
+  std::int64_t delivered = 0;    // of the accepted ones, an endpoint answered 200
+  std::int64_t failed = 0;       // of the accepted ones, ended by a notice and not delivered
+  std::int64_t rejected = 0;     // answered -BUSY and given up by their client
+  std::int64_t unanswered = 0;   // no answer in time, or no relay reachable, and given up by their client
+  std::int64_t resubmitted = 0;  // submissions after the first one of a message
+  std::int64_t lost = 0;         // ids that were accepted and have no end
+  std::int64_t ended_twice = 0;  // delivered more than once, or with two different notices for one id
+  std::int64_t noticed_after_delivery = 0;    // notices for delivered messages, which are harmless
+  std::int64_t duplicate_calls = 0;           // calls that a host recognised by their key and did not execute
   std::vector<double> accept_ms, deliver_ms;  // of accepted and delivered messages, since they became due
 };
 
 // Returns the value below which `share` (0 to 1) of the values lie; 0 if there are none.
 double Percentile(std::vector<double> values, double share);
 
+// The stand-ins report each event to it. Not safe for use by several threads.
 class MessageTracker {
  public:
   // `message` numbers the messages of the run; its idempotency key is KeyOf(message).
@@ -40,7 +41,7 @@
   enum class GiveUpReason { kRejected, kUnanswered };
   void RecordGivenUp(std::uint64_t message, GiveUpReason reason);
 
-  // Called by an endpoint when it writes 200. Returns false if the key has taken effect already.
+  // Called by an endpoint when it writes 200. Returns false if a call with the key was executed before.
   bool RecordDelivery(const std::string& id, const std::string& key, Time now);
   void RecordNotice(const std::string& id, const std::string& status);
 
@@ -56,7 +57,7 @@
     Time due{0};
     std::set<std::string> ids;
     bool accepted = false, rejected = false, unanswered = false;
-    int effects = 0;
+    int executions = 0;
     Time accepted_at{0}, delivered_at{0};
   };
   struct Submission {
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -162,7 +162,7 @@
   while (!pending_calls_.empty() && pending_calls_.begin()->first <= net::Loop::Now()) {
     const PendingCall call = std::move(pending_calls_.begin()->second);
     pending_calls_.erase(pending_calls_.begin());
-    // The call takes effect here, whether or not the relay still waits for the answer.
+    // The call is executed here, whether or not the relay still waits for the answer.
     tracker_.RecordDelivery(call.request.Header("x-request-id"), call.request.Header("idempotency-key"),
                             net::Loop::Now());
     hosts_[call.host]->Write(call.connection, FormatResponse("200 OK", "ok"));
--- a/src/standin/platform.hpp
+++ b/src/standin/platform.hpp
@@ -1,5 +1,5 @@
-// Stands in for what the relays call: discovery with its watch, the receiver of notices, and endpoints that
-// answer after a delay. Loopback only.
+// Stands in for the servers that relays call: discovery with its watch, the receiver of notices, and
+// endpoints that answer after a delay. Uses loopback addresses only.
 #pragma once
 
 #include <cstdint>
@@ -48,7 +48,7 @@
   std::unique_ptr<net::Listener> listener_;
 };
 
-// Formats a complete response; `status` is such as "200 OK", and each line of `headers` includes its line
+// Formats a complete response. `status` is, for example, "200 OK"; each line of `headers` includes its line
 // end.
 std::string FormatResponse(const char* status, const std::string& body = {}, const std::string& headers = {});
 // Formats one chunk of a response with chunked transfer encoding.
@@ -63,6 +63,7 @@
   std::uint64_t seed = 1;
 };
 
+// The servers of the platform. Deliveries and notices are recorded in the tracker.
 class StubPlatform {
  public:
   // Loop and tracker must outlive it. Throws std::system_error if a port is not available.
@@ -90,7 +91,7 @@
   bool down_ = false;
   HttpServer discovery_;
   std::vector<std::unique_ptr<HttpServer>> hosts_;
-  std::vector<std::uint64_t> watches_;  // connections
+  std::vector<std::uint64_t> watches_;  // connections to discovery with an open watch
   std::multimap<net::Time, PendingCall> pending_calls_;
   net::Timer answer_timer_, heartbeat_timer_;
 };
--- a/src/standin/request.cpp
+++ b/src/standin/request.cpp
@@ -24,18 +24,18 @@
     return 0;
   };
   callbacks_.on_header_field = [](http_parser* state, const char* data, std::size_t size) {
-    if (std::exchange(FromParser(state).in_value_, false)) kStoreHeader(FromParser(state));
+    if (std::exchange(FromParser(state).reading_value_, false)) kStoreHeader(FromParser(state));
     FromParser(state).field_.append(data, size);
     return 0;
   };
   callbacks_.on_header_value = [](http_parser* state, const char* data, std::size_t size) {
-    FromParser(state).in_value_ = true;
+    FromParser(state).reading_value_ = true;
     FromParser(state).value_.append(data, size);
     return 0;
   };
   callbacks_.on_headers_complete = [](http_parser* state) {
     kStoreHeader(FromParser(state));
-    FromParser(state).in_value_ = false;
+    FromParser(state).reading_value_ = false;
     return 0;
   };
   callbacks_.on_body = [](http_parser* state, const char* data, std::size_t size) {
--- a/src/standin/request.hpp
+++ b/src/standin/request.hpp
@@ -1,4 +1,4 @@
-// Parses HTTP/1.1 requests on the server side: wraps http-parser and is fed bytes. Uses no socket.
+// A parser of HTTP/1.1 requests for servers, which wraps http-parser. Uses no socket.
 #pragma once
 
 #include <http_parser.h>
@@ -10,6 +10,7 @@
 
 namespace oxbowspread::standin {
 
+// A request that has been received completely.
 struct Request {
   std::string method, target, body;
   std::map<std::string, std::string> headers;  // names in lower case
@@ -21,6 +22,7 @@
   }
 };
 
+// Parses the bytes of one connection.
 class HttpRequestParser {
  public:
   explicit HttpRequestParser(std::function<void(Request)> on_request);
@@ -32,14 +34,16 @@
   bool Feed(std::string_view bytes);
 
  private:
-  static HttpRequestParser& FromParser(http_parser* p) { return *static_cast<HttpRequestParser*>(p->data); }
+  static HttpRequestParser& FromParser(http_parser* parser) {
+    return *static_cast<HttpRequestParser*>(parser->data);
+  }
 
   std::function<void(Request)> on_request_;
   http_parser parser_;
   http_parser_settings callbacks_;
   Request request_;
-  std::string field_, value_;  // of the header that is being parsed
-  bool in_value_ = false;
+  std::string field_, value_;  // of the current header
+  bool reading_value_ = false;
 };
 
 }  // namespace oxbowspread::standin
--- a/src/standin/settings.hpp
+++ b/src/standin/settings.hpp
@@ -1,5 +1,5 @@
-// Settings, in the platform's JSON, of a relay whose surroundings are stand-ins: one partner in two zones,
-// and one message class whose repeats are dropped by key. Times are in seconds, as the names of the keys say.
+// Settings, in the platform's JSON, for a relay that runs against stand-ins: one partner in two zones, and
+// one message class whose repeats are dropped by key. Times are in seconds, as the names of the keys say.
 #pragma once
 
 namespace oxbowspread::standin {
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -12,9 +12,9 @@
 #include "tls/keys.hpp"
 
 namespace oxbowspread::standin {
-// The port stays bound until this process ends or has reserved many later ports. Meanwhile the system doesn't
-// use it as the local port of a connection, while a process that listens with SO_REUSEADDR, as all of the
-// relay's programs do, still can.
+// The port stays bound until this process ends or has reserved kMaxReserved later ports. Meanwhile the system
+// doesn't choose it as the local port of a connection, but a process that listens with SO_REUSEADDR, as all
+// of the relay's programs do, can use it.
 int FreePort() {
   static std::deque<int> reserved;
   constexpr std::size_t kMaxReserved = 1000;
@@ -22,8 +22,8 @@
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const int on = 1;
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const int enabled = 1;
+  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   socklen_t size = sizeof address;
   bind(fd, reinterpret_cast<const sockaddr*>(&address), size);
   getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
--- a/src/standin/site.hpp
+++ b/src/standin/site.hpp
@@ -1,4 +1,4 @@
-// Writes the files of a whole small installation on loopback: group file, relay configurations, keys.
+// Writes the files of a small installation on loopback: group file, relay configurations, keys.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -16,6 +16,7 @@
   std::string limits;     // YAML lines of the group file's `limits`, each indented by two spaces
 };
 
+// The installation that was written.
 struct Site {
   std::string group_file;
   std::vector<std::string> agents, instances;  // names
@@ -25,9 +26,9 @@
 
 // Writes all files, with free ports. Throws std::runtime_error.
 Site MakeSite(const SiteOptions& options);
-// The relay's configuration, which tests of `apply` change and write again.
+// Returns the configuration of one relay. Tests of `apply` change it and write it again.
 nlohmann::json RelayConfig(const std::string& name, const std::string& listen, int discovery_port);
-// Returns a free port on loopback. It stays reserved for the process that is to listen there.
+// Returns a free port on loopback. It stays reserved for the process that will listen on it.
 int FreePort();
 
 }  // namespace oxbowspread::standin
--- a/src/trace/event.cpp
+++ b/src/trace/event.cpp
@@ -15,22 +15,23 @@
                                "changed",    "discovery", "end"};
 static_assert(kNames.size() == static_cast<std::size_t>(Event::Kind::kEnd) + 1);
 
-// Lists the optional fields under their outer names, for writing and for reading.
-template <typename E, typename Visit>
-void VisitFields(E&& e, Visit visit) {
-  visit("message", e.message);
-  visit("id", e.id);
-  visit("relay", e.relay);
-  visit("host", e.host);
-  visit("destination", e.destination);
-  visit("zone", e.zone);
-  visit("until_us", e.deadline);
-  visit("wait_us", e.retry_after);
-  visit("status", e.status);
-  visit("fresh", e.new_connection);
-  visit("over_limit", e.over_limit);
-  visit("deferred", e.deferred);
-  visit("up", e.up);
+// Calls `visit` with the name in a stored trace and the value of each optional field, for writing and
+// reading.
+template <typename EventReference, typename Visit>
+void VisitFields(EventReference&& event, Visit visit) {
+  visit("message", event.message);
+  visit("id", event.id);
+  visit("relay", event.relay);
+  visit("host", event.host);
+  visit("destination", event.destination);
+  visit("zone", event.zone);
+  visit("until_us", event.deadline);
+  visit("wait_us", event.retry_after);
+  visit("status", event.status);
+  visit("fresh", event.new_connection);
+  visit("over_limit", event.over_limit);
+  visit("deferred", event.deferred);
+  visit("up", event.up);
 }
 
 }  // namespace
@@ -64,14 +65,14 @@
 Event ParseJsonLine(const std::string& line) {
   try {
     const Json json = Json::parse(line);
-    Event e;
-    e.at = Time(json.at("at_us").get<Time::rep>());
+    Event event;
+    event.at = Time(json.at("at_us").get<Time::rep>());
     const std::string kind = json.at("kind");
     std::size_t index = 0;
     while (index < kNames.size() && kind != kNames[index]) ++index;
     if (index == kNames.size()) throw std::runtime_error("kind: unknown: '" + kind + "'");
-    e.kind = static_cast<Event::Kind>(index);
-    VisitFields(e, [&](const char* name, auto& value) {
+    event.kind = static_cast<Event::Kind>(index);
+    VisitFields(event, [&](const char* name, auto& value) {
       const auto it = json.find(name);
       if (it == json.end()) return;
       if constexpr (std::is_same_v<std::decay_t<decltype(value)>, Time>) {
@@ -80,9 +81,9 @@
         it->get_to(value);
       }
     });
-    return e;
-  } catch (const Json::exception& e) {
-    throw std::runtime_error(std::string("not a trace event: ") + e.what());
+    return event;
+  } catch (const Json::exception& error) {
+    throw std::runtime_error(std::string("not a trace event: ") + error.what());
   }
 }
 
--- a/src/trace/event.hpp
+++ b/src/trace/event.hpp
@@ -13,7 +13,7 @@
 
 // One exchange between two parties, or a change of one party's state.
 struct Event {
-  // Each kind lists the fields that it sets beside `at`.
+  // Each kind lists the fields that it sets in addition to `at`.
   enum class Kind {
     kMessageDue,  // a client's message became due: message, destination, deadline
     kSubmitted,   // a message was written to a relay: message, id, relay, destination, deadline
@@ -24,7 +24,7 @@
     kCalled,      // a host received the last byte of a call: id, relay, host, destination, zone of the host,
                   // new_connection
     kAnswered,    // a host wrote its answer to a call: id, relay, host, status, retry_after, over_limit
-    kConnectionLost,  // the connection of a call ended before its answer: id, relay, host
+    kConnectionLost,  // the connection of a call closed before its answer: id, relay, host
     kNoticeReceived,  // the platform received the notice of a message's end: id, relay, deferred, retry_after
     kHostAnnounced,   // discovery wrote the state of a host to a relay: relay, host, up
     kReady,           // a relay answers commands: relay
@@ -32,9 +32,9 @@
     kExited,          // a relay's process has ended: relay
     kSuspended,       // a relay got SIGSTOP: relay. Followed by kReady when the process continues, even if it
                       // is terminating
-    kHostOutage,      // a host stops accepting connections or fails most calls: host
-    kHostRecovered,   // a host is back and cold: host
-    kHostCollapsed,   // a cold host went down under load: host
+    kHostOutage,      // a host begins to refuse all calls or to fail many of them: host
+    kHostRecovered,   // the outage has ended and the host is cold: host
+    kHostCollapsed,   // a cold host collapsed under load: host
     kHostChanged,     // discovery's list changed: a host is up, or is draining or removed: host, up
     kDiscoveryReachable,  // whether discovery can be reached from now on: up
     kEnd,                 // the regular end of the run
@@ -51,7 +51,7 @@
   Time deadline{0};     // of the message
   Time retry_after{0};  // wait that the answer or notice asked for; 0: none
   int status = 0;
-  bool new_connection = false;  // the connection had carried no call before
+  bool new_connection = false;  // the call is the first one on its connection
   bool over_limit = false;      // refused because the host's rate limit was used up
   bool deferred = false;        // false: undeliverable
   bool up = false;              // false: draining, removed or not reachable
