--- a/src/apps/oxbowfloor.cpp
+++ b/src/apps/oxbowfloor.cpp
@@ -1,7 +1,7 @@
 // oxbowfloor: the baseline for a relay's processing cost. For each message it reads the command, writes three
-// records, calls the next host of the destination and answers, with the relay's own loop, ring buffers and
-// parsers. It makes no decisions and gives no delivery guarantees. `oxbowlab run --relay` starts it in place
-// of a relay to measure what the system calls alone cost.
+// records, answers, and calls the next host of the destination, with the relay's own event loop, ring buffers
+// and parsers. It makes no decisions and gives no delivery guarantees. `oxbowlab run --relay` starts it
+// instead of a relay to measure what the system calls alone cost.
 #include <fcntl.h>
 #include <signal.h>
 #include <unistd.h>
@@ -31,18 +31,18 @@
 class HostConnection final : public net::Connection::Handler {
  public:
   HostConnection(BaselineRelay& relay, int destination, const net::Address& address);
-  void Call(std::string text);
+  void Call(std::string request);
   bool open() const { return connection_ != nullptr; }
 
  private:
-  void OnConnected() override { connection_->Send(text_); }
+  void OnConnected() override { connection_->Send(request_); }
   void OnBytes(proto::RingBuffer& in) override;
   void OnClosed() override;
 
   BaselineRelay& relay_;
   int destination_;
   std::unique_ptr<net::Connection> connection_;
-  std::string text_;
+  std::string request_;
 };
 
 // One client connection.
@@ -89,16 +89,16 @@
     WriteRecord(message.body.size() + 100);
     client.Send("+OK\r\n");
     WriteRecord(kAttemptRecordBytes);
-    std::string text = "POST /inbox HTTP/1.1\r\nHost: floor\r\nX-Request-ID: " + message.id +
-                       "\r\nIdempotency-Key: " + message.key +
-                       "\r\nX-Timeout: 1500m\r\nContent-Length: " + std::to_string(message.body.size()) +
-                       "\r\n\r\n" + message.body;
+    std::string request = "POST /inbox HTTP/1.1\r\nHost: floor\r\nX-Request-ID: " + message.id +
+                          "\r\nIdempotency-Key: " + message.key +
+                          "\r\nX-Timeout: 1500m\r\nContent-Length: " + std::to_string(message.body.size()) +
+                          "\r\n\r\n" + message.body;
     const int destination = static_cast<int>(message.destination);
     auto& idle_connections = idle_connections_[destination];
     if (!idle_connections.empty()) {
       HostConnection* const connection = idle_connections.back();
       idle_connections.pop_back();
-      return connection->Call(std::move(text));
+      return connection->Call(std::move(request));
     }
     const auto& hosts = hosts_.at(destination);
     auto connection =
@@ -106,7 +106,7 @@
     if (!connection->open()) return;
     HostConnection* const created = connection.get();
     host_connections_[created] = std::move(connection);
-    created->Call(std::move(text));
+    created->Call(std::move(request));
   }
 
   void OnAnswer(HostConnection& connection, int destination) {
@@ -141,9 +141,9 @@
       destination_(destination),
       connection_(net::Connection::Open(relay.loop, address, *this)) {}
 
-void HostConnection::Call(std::string text) {
-  text_ = std::move(text);
-  if (connection_->connected()) connection_->Send(text_);
+void HostConnection::Call(std::string request) {
+  request_ = std::move(request);
+  if (connection_->connected()) connection_->Send(request_);
 }
 
 // The stand-in endpoints send each answer in one piece and without a body.
--- a/src/apps/oxbowlab.cpp
+++ b/src/apps/oxbowlab.cpp
@@ -1,4 +1,4 @@
-// oxbowlab: runs days of the platform model against relays, checks every rule and measures the service.
+// oxbowlab: runs days of the platform model against relays, checks every rule and computes the service score.
 // Stores, compares and charts the results.
 #include <unistd.h>
 
@@ -47,14 +47,15 @@
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("oxbowlab-" + std::to_string(getpid()))).string();
   std::ofstream trace;
-  lab::TraceSink keep;
+  lab::TraceSink trace_sink;
   if (!options.trace.empty()) {
     trace.open(options.trace);
     if (!trace) throw yaml::Error(options.trace + ": can't be written");
-    keep = [&](const trace::Event& event) { trace << trace::ToJsonLine(event) << "\n"; };
+    trace_sink = [&](const trace::Event& event) { trace << trace::ToJsonLine(event) << "\n"; };
   }
-  const lab::Outcome outcome = on_sockets ? lab::RunOnSockets(scenario, day, {options.relay, folder, keep})
-                                          : lab::Simulate(scenario, day, {folder, keep});
+  const lab::Outcome outcome = on_sockets
+                                   ? lab::RunOnSockets(scenario, day, {options.relay, folder, trace_sink})
+                                   : lab::Simulate(scenario, day, {folder, trace_sink});
   if (options.json) {
     std::cout << lab::ToJson(outcome, day, scenario.name).dump() << "\n";
   } else {
@@ -74,43 +75,44 @@
 int RunSoakDay(std::uint64_t seed, const std::string& relay, const std::string& folder) {
   const model::Scenario scenario = model::DrawSoak(seed);
   const model::Day day = model::DrawDay(scenario, seed);
-  const std::string at =
+  const std::string run_folder =
       folder.empty()
           ? (std::filesystem::temp_directory_path() / ("oxbowlab-" + std::to_string(getpid()))).string()
           : folder + "/" + scenario.name;
   std::ofstream trace;
-  lab::TraceSink keep;
+  lab::TraceSink trace_sink;
   if (!folder.empty()) {
     std::filesystem::create_directories(folder);
-    trace.open(at + ".trace");
-    keep = [&](const trace::Event& event) { trace << trace::ToJsonLine(event) << "\n"; };
+    trace.open(run_folder + ".trace");
+    trace_sink = [&](const trace::Event& event) { trace << trace::ToJsonLine(event) << "\n"; };
   }
-  const lab::Outcome outcome = lab::RunOnSockets(scenario, day, {relay, at, keep});
+  const lab::Outcome outcome = lab::RunOnSockets(scenario, day, {relay, run_folder, trace_sink});
   std::cout << lab::ToJson(outcome, day, scenario.name).dump() << "\n";
   return outcome.clean() ? 0 : kExitNotClean;
 }
 
 void PrintSoakRow(std::uint64_t seed, const Json& report) {
   const Json& breaches = report.at("breaches");
-  std::string broken;
+  std::string broken_rules;
   for (const Json& breach : breaches) {
     const std::string rule = breach.at("rule");
-    if (broken.find(rule) == std::string::npos) broken += (broken.empty() ? "" : " ") + rule;
+    if (broken_rules.find(rule) == std::string::npos)
+      broken_rules += (broken_rules.empty() ? "" : " ") + rule;
   }
   const Json& figures = report.at("figures");
   std::printf("| %llu | %ld | %ld, %ld | %zu %s | %s | %s |\n", static_cast<unsigned long long>(seed),
               figures.at("calls").get<long>(), figures.at("asked").get<long>(),
-              figures.at("delivered").get<long>(), breaches.size(), broken.c_str(),
+              figures.at("delivered").get<long>(), breaches.size(), broken_rules.c_str(),
               report.at("crash").get<std::string>().c_str(), report.at("spoilt").get<std::string>().c_str());
   std::fflush(stdout);
 }
 
-// Runs each day in a process of its own. Returns kExitNotClean if a rule was broken or a relay crashed. An
-// invalid day, with a late load, is printed with the rules that it broke, but the lateness may have caused
-// those: only a crash on such a day counts.
+// Runs each day in a separate process. Returns kExitNotClean if a rule was broken or a relay crashed. A day
+// is invalid if its load was late. Such a day is printed with the rules that were broken, but the lateness
+// may have caused the breaches, so that only a crash counts.
 int RunSoak(const SoakOptions& options) {
   const auto seeds = results::ParseSeeds(options.seeds);
-  std::printf("| seed | calls | asked, delivered | breaches | crash | spoilt |\n");
+  std::printf("| seed | calls | asked, delivered | breaches | crash | invalid |\n");
   std::printf("| --- | --- | --- | --- | --- | --- |\n");
   std::mutex mutex;
   std::atomic<std::size_t> next{0};
@@ -139,8 +141,8 @@
   std::vector<std::thread> threads;
   for (int i = 0; i < options.jobs; ++i) threads.emplace_back(run_days);
   for (std::thread& thread : threads) thread.join();
-  std::printf("%zu days: %zu with a broken rule or a crash, %zu spoilt by the load\n", seeds.size(),
-              not_clean, invalid_days);
+  std::printf("%zu days: %zu with a broken rule or a crash, %zu invalid because of a late load\n",
+              seeds.size(), not_clean, invalid_days);
   if (!error.empty()) throw std::runtime_error(error);
   return not_clean == 0 ? 0 : kExitNotClean;
 }
@@ -153,23 +155,23 @@
   if (!scenario_file.empty()) rules = lab::RulesOf(model::ReadScenario(scenario_file));
   check::Checker checker(rules);
   std::string line;
-  std::uint64_t number = 0;
+  std::uint64_t line_number = 0;
   while (std::getline(in, line)) {
-    ++number;
+    ++line_number;
     try {
       checker.Observe(trace::ParseJsonLine(line));
     } catch (const std::exception& e) {
-      // A last line without a line end was cut short, which the checker reports.
+      // A last line without a line end is incomplete: the trace is cut short, which the checker reports.
       if (in.eof()) break;
-      throw yaml::Error(file + ":" + std::to_string(number) + ": " + e.what());
+      throw yaml::Error(file + ":" + std::to_string(line_number) + ": " + e.what());
     }
   }
   checker.Finish();
-  for (const check::Breach& b : checker.breaches()) {
-    std::printf("%.6f s: %s, %s: %s\n", static_cast<double>(b.at.count()) / 1e6, b.rule.c_str(),
-                b.message.c_str(), b.events.c_str());
+  for (const check::Breach& breach : checker.breaches()) {
+    std::printf("%.6f s: %s, %s: %s\n", static_cast<double>(breach.at.count()) / 1e6, breach.rule.c_str(),
+                breach.message.c_str(), breach.events.c_str());
   }
-  std::printf("%llu events, %llu calls, %zu breaches", static_cast<unsigned long long>(number),
+  std::printf("%llu events, %llu calls, %zu breaches", static_cast<unsigned long long>(line_number),
               static_cast<unsigned long long>(checker.calls()), checker.breaches().size());
   if (checker.cut_short()) std::printf(", cut short with %zu messages undecided", checker.undecided());
   std::printf("\n");
@@ -194,32 +196,32 @@
 std::vector<PlannedRun> PlanRuns(const SweepOptions& options) {
   const auto seeds = results::ParseSeeds(options.seeds);
   const auto variants = results::ExpandVariants(options.sets);
-  std::vector<PlannedRun> all;
+  std::vector<PlannedRun> planned_runs;
   for (const std::string& file : options.scenarios) {
     for (const std::string& variant : variants) {
-      // All scenarios are read before the first run, so that an error in the last one does not show up only
+      // All scenarios are read before the first run, so that an error in the last one is not reported only
       // after an hour of runs.
       const model::Scenario scenario = model::ReadScenario(file, results::SplitVariant(variant));
       for (const std::uint64_t seed : seeds) {
-        all.push_back(
+        planned_runs.push_back(
             {{options.label, scenario.name, scenario.version, variant, seed, options.driver}, file});
       }
     }
   }
-  return all;
+  return planned_runs;
 }
 
-void PrintProgress(std::size_t done, std::size_t all, std::size_t not_clean) {
+void PrintProgress(std::size_t done, std::size_t total, std::size_t not_clean) {
   if (isatty(STDERR_FILENO) == 0) return;
   constexpr std::size_t kWidth = 40;
-  const std::size_t filled = all == 0 ? kWidth : kWidth * done / all;
+  const std::size_t filled = total == 0 ? kWidth : kWidth * done / total;
   std::fprintf(stderr, "\r[%s%s] %zu of %zu days%s", std::string(filled, '#').c_str(),
-               std::string(kWidth - filled, '.').c_str(), done, all,
+               std::string(kWidth - filled, '.').c_str(), done, total,
                not_clean > 0 ? (", " + std::to_string(not_clean) + " not clean").c_str() : "");
-  if (done == all) std::fprintf(stderr, "\n");
+  if (done == total) std::fprintf(stderr, "\n");
 }
 
-// Runs a day in a process of its own, so that a crash does not end the sweep.
+// Runs a day in a separate process, so that a crash does not end the sweep.
 results::Row RunInChild(const SweepOptions& options, const PlannedRun& planned_run) {
   std::vector<std::string> arguments = {options.program,  options.driver,
                                         planned_run.file, "--json",
@@ -239,18 +241,18 @@
 
 // Runs the planned days that have no stored result yet, several at once.
 int RunSweep(const SweepOptions& options) {
-  const std::vector<PlannedRun> all = PlanRuns(options);
+  const std::vector<PlannedRun> planned_runs = PlanRuns(options);
   results::ResultStore stored_results(options.out);
   std::vector<const PlannedRun*> missing_runs;
-  for (const PlannedRun& planned_run : all) {
+  for (const PlannedRun& planned_run : planned_runs) {
     if (!stored_results.Contains(planned_run.key)) missing_runs.push_back(&planned_run);
   }
-  const std::size_t already_done = all.size() - missing_runs.size();
+  const std::size_t already_done = planned_runs.size() - missing_runs.size();
   std::mutex mutex;
   std::size_t done = already_done, not_clean = 0;
   std::string error;
   std::atomic<std::size_t> next{0};
-  PrintProgress(done, all.size(), not_clean);
+  PrintProgress(done, planned_runs.size(), not_clean);
   const auto run_days = [&] {
     for (std::size_t i = next++; i < missing_runs.size(); i = next++) {
       const PlannedRun& planned_run = *missing_runs[i];
@@ -260,11 +262,12 @@
         stored_results.Put(row);
         ++done;
         if (!row.clean()) ++not_clean;
-        PrintProgress(done, all.size(), not_clean);
+        PrintProgress(done, planned_runs.size(), not_clean);
       } catch (const std::exception& e) {
         const std::lock_guard<std::mutex> guard(mutex);
         if (error.empty()) error = e.what();
-        next = missing_runs.size();  // stops; stored results stay, and the next sweep runs the remaining days
+        // Stops all threads. The stored results stay, and the next sweep runs the remaining days.
+        next = missing_runs.size();
       }
     }
   };
@@ -273,8 +276,8 @@
   std::vector<std::thread> threads;
   for (int i = 0; i < (options.jobs > 0 ? options.jobs : default_jobs); ++i) threads.emplace_back(run_days);
   for (std::thread& thread : threads) thread.join();
-  std::printf("%zu days: %zu played, %zu known already, %zu not clean\n", all.size(), done - already_done,
-              already_done, not_clean);
+  std::printf("%zu days: %zu run, %zu already stored, %zu not clean\n", planned_runs.size(),
+              done - already_done, already_done, not_clean);
   if (!error.empty()) {
     std::cerr << "oxbowlab: " << error << "\n";
     return kExitNotClean;
@@ -301,7 +304,7 @@
   std::printf("%-28s %6s %10s %10s %10s   within\n", "setting", "days", "p99 ms", "refused", "delivered");
   const auto within_bounds = [&](double value) {
     double p99 = 0, refused = 0, delivered = 1;
-    bool all = true;
+    bool all_within = true;
     for (const std::uint64_t seed : seeds) {
       const results::Row row = RunInChild(
           options, {{"search", scenario.name, scenario.version, variant(value), seed, options.driver}, file});
@@ -311,22 +314,22 @@
                                    row.Number("figures/deferred")) /
                                       asked);
       delivered = std::min(delivered, row.Number("figures/delivered") / asked);
-      all = results::IsWithin(row, bounds) && all;
+      all_within = results::IsWithin(row, bounds) && all_within;
     }
     std::printf("%-28s %6zu %10.0f %10.4f %10.4f   %s\n", setting(value).c_str(), seeds.size(), p99, refused,
-                delivered, all ? "yes" : "no");
+                delivered, all_within ? "yes" : "no");
     std::fflush(stdout);
-    return all;
+    return all_within;
   };
-  const auto tried = results::SearchHighest(low, high, tolerance, within_bounds);
+  const auto trials = results::SearchHighest(low, high, tolerance, within_bounds);
   double best = low;
-  bool any = false;
-  for (const results::Trial& t : tried) {
-    if (t.good) best = std::max(best, t.value), any = true;
+  bool any_passed = false;
+  for (const results::Trial& trial : trials) {
+    if (trial.passed) best = std::max(best, trial.value), any_passed = true;
   }
-  std::printf(any ? "highest within: %s%s\n" : "none within: not even %s%s\n", setting(best).c_str(),
-              any && best >= high ? ", the end of the span" : "");
-  return any ? 0 : kExitNotClean;
+  std::printf(any_passed ? "highest within: %s%s\n" : "none within, not even %s%s\n", setting(best).c_str(),
+              any_passed && best >= high ? ", the upper end of the range" : "");
+  return any_passed ? 0 : kExitNotClean;
 }
 
 // Prints the difference of a figure between two selections of results, paired by day.
@@ -336,31 +339,33 @@
   const auto table =
       results::Compare(rows, results::ParseSelector(a), results::ParseSelector(b), "figures/" + figure);
   if (table.back().pairs == 0) {
-    throw std::runtime_error("no day was played cleanly by both '" + a + "' and '" + b + "' with a " +
+    throw std::runtime_error("no day has clean results of both '" + a + "' and '" + b + "' with a figure " +
                              figure);
   }
-  Json all = Json::array();
-  if (!json) std::printf("%-24s %6s %10s %10s %10s   95%% of it\n", "scenario", "pairs", "a", "b", "b - a");
-  for (const results::Difference& d : table) {
-    all.push_back({{"scenario", d.scenario},
-                   {"pairs", d.pairs},
-                   {"a", d.a},
-                   {"b", d.b},
-                   {"difference", d.mean},
-                   {"low", d.low},
-                   {"high", d.high}});
+  Json differences = Json::array();
+  if (!json)
+    std::printf("%-24s %6s %10s %10s %10s   95%% interval\n", "scenario", "pairs", "a", "b", "b - a");
+  for (const results::Difference& difference : table) {
+    differences.push_back({{"scenario", difference.scenario},
+                           {"pairs", difference.pairs},
+                           {"a", difference.a},
+                           {"b", difference.b},
+                           {"difference", difference.mean},
+                           {"low", difference.low},
+                           {"high", difference.high}});
     if (json) continue;
-    std::printf("%-24s %6zu %10.4f %10.4f %+10.4f   %+.4f to %+.4f%s\n", d.scenario.c_str(), d.pairs, d.a,
-                d.b, d.mean, d.low, d.high, d.low > 0 || d.high < 0 ? "" : "  (may be none)");
+    std::printf("%-24s %6zu %10.4f %10.4f %+10.4f   %+.4f to %+.4f%s\n", difference.scenario.c_str(),
+                difference.pairs, difference.a, difference.b, difference.mean, difference.low,
+                difference.high, difference.low > 0 || difference.high < 0 ? "" : "  (not significant)");
   }
-  if (json) std::cout << all.dump() << "\n";
+  if (json) std::cout << differences.dump() << "\n";
   return 0;
 }
 
 // Writes the stored results as an HTML page with charts.
 int Report(const std::string& file, const std::string& out, const std::string& svg_folder) {
   const auto rows = results::ResultStore(file).ReadAll();
-  if (rows.empty()) throw std::runtime_error(file + ": holds no results");
+  if (rows.empty()) throw std::runtime_error(file + ": contains no results");
   const auto charts = results::MakeCharts(rows);
   std::vector<std::string> svg;
   for (const results::Chart& chart : charts) {
@@ -381,7 +386,7 @@
 
 int main(int argc, char** argv) {
   CLI::App app(
-      "Plays days of the platform's model around relays, checks every rule, and counts the service.");
+      "Runs days of the platform model against relays, checks every rule and computes the service score.");
   app.set_version_flag("--version", OXBOWSPREAD_VERSION);
   app.require_subcommand(1);
   const std::string default_relay = (std::filesystem::path(argv[0]).parent_path() / "oxbowspread").string();
@@ -392,46 +397,52 @@
   CLI::App* const run = app.add_subcommand("run", "one day on loopback sockets, in real time");
   for (CLI::App* const subcommand : {sim, run}) {
     subcommand->add_option("SCENARIO", run_options.file, "YAML file")->required();
-    subcommand->add_option("--seed", run_options.seed, "which day (1)");
+    subcommand->add_option("--seed", run_options.seed, "selects the day (1)");
     subcommand->add_option("--set", run_options.sets,
-                           "KEY=VALUE laid over the scenario, such as traffic.load=0.9");
-    subcommand->add_flag("--json", run_options.json, "one JSON object");
-    subcommand->add_option("--trace", run_options.trace, "all that crossed, one JSON object a line");
+                           "KEY=VALUE that replaces a value of the scenario, such as traffic.load=0.9");
+    subcommand->add_flag("--json", run_options.json, "print one JSON object");
+    subcommand->add_option("--trace", run_options.trace,
+                           "file for the trace events, one JSON object per line");
   }
-  run->add_option("--relay", run_options.relay, "the relay's program (beside this one)");
+  run->add_option("--relay", run_options.relay,
+                  "the relay's program (oxbowspread in the folder of this program)");
 
   SoakOptions soak_options;
   soak_options.relay = default_relay;
   soak_options.program = argv[0];
   std::uint64_t one_seed = 0;
-  CLI::App* const soak = app.add_subcommand("soak", "days on sockets with faults drawn from seeds");
-  soak->add_option("--seeds", soak_options.seeds, "such as 1-50 (1-10)");
-  soak->add_option("--jobs", soak_options.jobs, "days at once (2)")->check(CLI::Range(1, 64));
-  soak->add_option("--relay", soak_options.relay, "the relay's program (beside this one)");
+  CLI::App* const soak = app.add_subcommand("soak", "days on sockets with random faults");
+  soak->add_option("--seeds", soak_options.seeds, "for example 1-50 (1-10)");
+  soak->add_option("--jobs", soak_options.jobs, "days that run at the same time (2)")
+      ->check(CLI::Range(1, 64));
+  soak->add_option("--relay", soak_options.relay,
+                   "the relay's program (oxbowspread in the folder of this program)");
   soak->add_option("--keep", soak_options.keep,
-                   "a folder for traces, and for what relays leave on days that are not clean");
-  soak->add_option("--one", one_seed, "this day alone, in this process; one JSON object");
+                   "a folder for traces, and for the relays' files of days that are not clean");
+  soak->add_option("--one", one_seed,
+                   "run the day of this seed only, in this process, and print one JSON object");
 
   std::string file, scenario_file;
-  CLI::App* const check = app.add_subcommand("check", "the rules, on a trace that was kept");
-  check->add_option("TRACE", file, "one JSON object a line")->required();
-  check->add_option("--scenario", scenario_file, "whose figures the rules have");
+  CLI::App* const check = app.add_subcommand("check", "check a stored trace against the rules");
+  check->add_option("TRACE", file, "file with one JSON object per line")->required();
+  check->add_option("--scenario", scenario_file, "YAML file from which the rules take their limits");
 
   SweepOptions sweep_options;
   sweep_options.relay = default_relay;
   sweep_options.program = argv[0];
   CLI::App* const sweep_command =
-      app.add_subcommand("sweep", "many days, side by side; goes on where it was broken off");
+      app.add_subcommand("sweep", "many days in parallel; continues an interrupted sweep");
   sweep_command->add_option("SCENARIO", sweep_options.scenarios, "YAML files")->required();
   sweep_command->add_option("--out", sweep_options.out, "file of results (SQLite)")->required();
-  sweep_command->add_option("--seeds", sweep_options.seeds, "such as 1-20 (1-5)");
+  sweep_command->add_option("--seeds", sweep_options.seeds, "for example 1-20 (1-5)");
   sweep_command->add_option("--set", sweep_options.sets,
-                            "KEY=VALUE,VALUE: each value a variant; several: their product");
+                            "KEY=VALUE,VALUE: one variant per value; if repeated, all combinations");
   sweep_command->add_option("--label", sweep_options.label,
-                            "what is tried, such as a program's version (now)");
+                            "name of what is tested, such as a program's version (now)");
   sweep_command->add_option("--driver", sweep_options.driver, "sim or run (sim)")
       ->check(CLI::IsMember({"sim", "run"}));
-  sweep_command->add_option("--jobs", sweep_options.jobs, "days at once (one a core; 2 with run)")
+  sweep_command
+      ->add_option("--jobs", sweep_options.jobs, "days that run at the same time (one per core; 2 with run)")
       ->check(CLI::Range(1, 256));
   sweep_command->add_option("--relay", sweep_options.relay, "with run: the relay's program");
 
@@ -442,15 +453,18 @@
   std::string one_file;
   search->add_option("SCENARIO", one_file, "YAML file")->required();
   search->add_option("--key", key, "the setting (traffic.load)");
-  search->add_option("--from", low, "good, one hopes (0.1)");
-  search->add_option("--to", high, "not good, one hopes (3)");
-  search->add_option("--tolerance", tolerance, "of the answer (0.02)")->check(CLI::Range(0.0001, 1.0));
-  search->add_option("--p99-ms", bounds.max_deliver_p99_ms, "of delivery, from when due, at most (3000)");
+  search->add_option("--from", low, "lower end of the range, expected to be within bounds (0.1)");
+  search->add_option("--to", high, "upper end of the range, expected not to be within bounds (3)");
+  search->add_option("--tolerance", tolerance, "relative tolerance of the result (0.02)")
+      ->check(CLI::Range(0.0001, 1.0));
+  search->add_option("--p99-ms", bounds.max_deliver_p99_ms,
+                     "highest 99th percentile of the time from due to delivered (3000)");
   search->add_option("--refused", bounds.max_refused_share,
-                     "turned away, given back or unanswered, a message (0.01)");
-  search->add_option("--delivered", bounds.min_delivered_share, "share of the messages, at least (0.99)");
-  search->add_option("--seeds", sweep_options.seeds, "all of which must be within (1-5)");
-  search->add_option("--set", sweep_options.sets, "KEY=VALUE laid over the scenario");
+                     "highest share of messages that are rejected, deferred or unanswered (0.01)");
+  search->add_option("--delivered", bounds.min_delivered_share,
+                     "lowest share of messages that are delivered (0.99)");
+  search->add_option("--seeds", sweep_options.seeds, "seeds, all of which must be within bounds (1-5)");
+  search->add_option("--set", sweep_options.sets, "KEY=VALUE that replaces a value of the scenario");
   search->add_option("--driver", sweep_options.driver, "sim or run (sim)")
       ->check(CLI::IsMember({"sim", "run"}));
   search->add_option("--relay", sweep_options.relay, "with run: the relay's program");
@@ -459,16 +473,16 @@
   bool json = false;
   CLI::App* const compare = app.add_subcommand("compare", "two labels or variants, paired by day");
   compare->add_option("RESULTS", file, "file of results")->required();
-  compare->add_option("A", a, "LABEL, LABEL:VARIANT, with @sim or @run behind it")->required();
-  compare->add_option("B", b, "the same")->required();
-  compare->add_option("--figure", figure, "of a report's figures (service)");
-  compare->add_flag("--json", json, "one JSON list");
+  compare->add_option("A", a, "LABEL or LABEL:VARIANT, optionally followed by @sim or @run")->required();
+  compare->add_option("B", b, "as A")->required();
+  compare->add_option("--figure", figure, "name of a figure in the reports (service)");
+  compare->add_flag("--json", json, "print one JSON list");
   CLI::App* const csv = app.add_subcommand("export", "results as CSV");
   csv->add_option("RESULTS", file, "file of results")->required();
   CLI::App* const report = app.add_subcommand("report", "results as one HTML page with charts");
   report->add_option("RESULTS", file, "file of results")->required();
-  report->add_option("--out", out, "the page")->required();
-  report->add_option("--svg", svg_folder, "a folder for the charts by themselves");
+  report->add_option("--out", out, "file for the page")->required();
+  report->add_option("--svg", svg_folder, "a folder for the charts as separate SVG files");
 
   if (const auto code = apps::Parse(app, "oxbowlab", argc, argv)) return *code;
   try {
@@ -483,7 +497,7 @@
     }
     for (CLI::App* const subcommand : {compare, csv, report}) {
       if (subcommand->parsed() && !std::filesystem::exists(file))
-        throw std::runtime_error(file + ": is not there");
+        throw std::runtime_error(file + ": does not exist");
     }
     if (compare->parsed()) return Compare(file, a, b, figure, json);
     if (report->parsed()) return Report(file, out, svg_folder);
--- a/src/apps/oxbowstandin.cpp
+++ b/src/apps/oxbowstandin.cpp
@@ -1,5 +1,5 @@
-// oxbowstandin: stands in for everything around a group of relays on loopback, for the demo and for
-// measurements.
+// oxbowstandin: stand-ins for the clients, endpoints, discovery and platform of a group of relays, on
+// loopback. Used by the demo and for measurements.
 #include <csignal>
 #include <fstream>
 #include <iostream>
@@ -42,8 +42,8 @@
   std::string out;
 };
 
-// Runs until the time is over or SIGTERM arrives, then waits until every accepted message has ended, for at
-// most the deadline plus 4 s.
+// Runs until the configured time has passed or SIGTERM arrives. Then waits until every accepted message has
+// ended, for at most the deadline plus 4 s.
 int Run(const RunOptions& options) {
   net::Loop loop;
   standin::MessageTracker tracker;
@@ -87,28 +87,27 @@
   std::vector<std::string> limits;
   CLI::App* const site_command =
       app.add_subcommand("site", "write a group file, configurations and keys into a folder");
-  site_command->add_option("folder", site.folder, "a new one")->required();
+  site_command->add_option("folder", site.folder, "a new folder")->required();
   site_command->add_option("--instances", site.instances)->check(CLI::Range(1, 200))->capture_default_str();
   site_command->add_option("--agents", site.agents)->check(CLI::Range(1, 20))->capture_default_str();
-  site_command->add_option("--capacity", site.capacity, "of an instance, messages a second")
+  site_command->add_option("--capacity", site.capacity, "of an instance, messages per second")
       ->capture_default_str();
   site_command->add_option("--limit", limits, "a line of the group file's limits, such as 'watch_for: 1s'");
   RunOptions run;
   double deadline_s = 8;
-  CLI::App* const run_command =
-      app.add_subcommand("run", "be the surroundings, and print what became of the messages");
+  CLI::App* const run_command = app.add_subcommand("run", "run the stand-ins, then print the message totals");
   run_command->add_option("--discovery-port", run.platform.discovery_port)->required();
   run_command->add_option("--relays", run.load.relays, "address:port of each")->required()->delimiter(',');
-  run_command->add_option("--rate", run.load.rate, "messages a second")
+  run_command->add_option("--rate", run.load.rate, "messages per second")
       ->check(CLI::Range(1, 5000))
       ->capture_default_str();
-  run_command->add_option("--for", run.seconds, "seconds; until SIGTERM if absent")
+  run_command->add_option("--for", run.seconds, "seconds to run; without it, until SIGTERM")
       ->check(CLI::Range(0, 3600));
-  run_command->add_option("--warm", run.warm_up_s, "seconds at the beginning that the sums leave out");
+  run_command->add_option("--warm", run.warm_up_s, "initial seconds that the totals leave out");
   run_command->add_option("--hosts", run.platform.hosts)->check(CLI::Range(1, 64))->capture_default_str();
   run_command->add_option("--deadline", deadline_s, "seconds in which a message may be delivered")
       ->capture_default_str();
-  run_command->add_option("--out", run.out, "write the result there");
+  run_command->add_option("--out", run.out, "file for the result");
   if (const auto code = apps::Parse(app, "oxbowstandin", argc, argv)) return *code;
   std::signal(SIGPIPE, SIG_IGN);
   try {
--- a/src/results/child.hpp
+++ b/src/results/child.hpp
@@ -6,6 +6,7 @@
 
 namespace oxbowspread::results {
 
+// The exit code and the output of a process that has ended.
 struct ProcessResult {
   int exit_code = -1;  // -1: ended by a signal
   std::string out, err;
--- a/src/results/compare.cpp
+++ b/src/results/compare.cpp
@@ -17,6 +17,7 @@
              : std::accumulate(values.begin(), values.end(), 0.0) / static_cast<double>(values.size());
 }
 
+// The values of a figure on the days that both selections have, and their differences b - a.
 struct Pairs {
   std::vector<double> a, b, difference;
 };
--- a/src/results/compare.hpp
+++ b/src/results/compare.hpp
@@ -19,14 +19,16 @@
 
   bool Matches(const Key& key) const;
 };
+// Accepts every text. Without a variant or a driver all of them are selected.
 Selector ParseSelector(const std::string& text);
 
+// The difference of one figure between selection a and selection b.
 struct Difference {
   std::string scenario;  // "all" for the last
   std::size_t pairs = 0;
   double a = 0, b = 0;       // means
   double mean = 0;           // of b - a
-  double low = 0, high = 0;  // 95% of the bootstrap's means lie between
+  double low = 0, high = 0;  // bounds of the 95% bootstrap interval of `mean`
 };
 
 // Returns one difference per scenario, then one for all. A pair is left out if either row isn't clean; rows
@@ -35,8 +37,8 @@
 std::vector<Difference> Compare(const std::vector<Row>& rows, const Selector& a, const Selector& b,
                                 const std::string& figure);
 
-// Returns the interval that holds 95% of the means of `resamples` resamples. With fewer than two values it is
-// their mean, twice.
+// Returns the bounds of the interval that contains 95% of the means of `resamples` resamples. With fewer than
+// two values both bounds are their mean.
 std::pair<double, double> Bootstrap(const std::vector<double>& values, std::uint64_t seed,
                                     int resamples = 2000);
 
--- a/src/results/report.cpp
+++ b/src/results/report.cpp
@@ -17,36 +17,36 @@
 namespace {
 
 std::string EscapeHtml(const std::string& text) {
-  std::string out;
+  std::string escaped;
   for (const char c : text) {
     switch (c) {
       case '<':
-        out += "&lt;";
+        escaped += "&lt;";
         break;
       case '>':
-        out += "&gt;";
+        escaped += "&gt;";
         break;
       case '&':
-        out += "&amp;";
+        escaped += "&amp;";
         break;
       case '"':
-        out += "&quot;";
+        escaped += "&quot;";
         break;
       default:
-        out += c;
+        escaped += c;
     }
   }
-  return out;
+  return escaped;
 }
 
-// Quotes a text for gnuplot, whose terminal option "noenhanced" turns off markup in it.
+// Quotes a text for gnuplot. The terminal option "noenhanced" keeps gnuplot from interpreting markup in it.
 std::string QuoteForGnuplot(const std::string& text) {
-  std::string out = "\"";
+  std::string quoted = "\"";
   for (const char c : text) {
-    if (c == '"' || c == '\\') out += '\\';
-    if (c != '\n') out += c;
+    if (c == '"' || c == '\\') quoted += '\\';
+    if (c != '\n') quoted += c;
   }
-  return out + "\"";
+  return quoted + "\"";
 }
 
 std::string FormatFixed(double value, int digits) {
@@ -72,9 +72,9 @@
 using ByScenario = std::map<std::string, BySeries>;
 
 ByScenario GroupRows(const std::vector<Row>& rows) {
-  ByScenario all;
-  for (const Row& row : rows) all[row.key.scenario][SeriesName(row.key)].push_back(&row);
-  return all;
+  ByScenario rows_by_scenario;
+  for (const Row& row : rows) rows_by_scenario[row.key.scenario][SeriesName(row.key)].push_back(&row);
+  return rows_by_scenario;
 }
 
 // Appends one data block per series and the plot command.
@@ -98,16 +98,16 @@
   *script << "\n";
 }
 
-Chart ServiceChart(const ByScenario& all) {
-  std::ostringstream script = ChartHeader("Service by scenario, one point a seed", "", "service");
+Chart ServiceChart(const ByScenario& rows_by_scenario) {
+  std::ostringstream script = ChartHeader("Service by scenario, one point per seed", "", "service");
   script << "set xtics rotate by -30 (";
   int x = 0;
-  for (const auto& [scenario, series] : all)
+  for (const auto& [scenario, series] : rows_by_scenario)
     script << (x > 0 ? ", " : "") << QuoteForGnuplot(scenario) << " " << x, ++x;
   script << ")\nset xrange [-0.6:" << x << "]\n";
   std::map<std::string, std::vector<std::pair<double, double>>> points;
   x = 0;
-  for (const auto& [scenario, series] : all) {
+  for (const auto& [scenario, series] : rows_by_scenario) {
     int count = 0;
     for (const auto& [name, rows] : series) {
       for (const Row* row : rows) points[name].emplace_back(x + 0.12 * count, row->Number("figures/service"));
@@ -119,12 +119,13 @@
   return {"Service", "service", script.str()};
 }
 
-// Uses the first seed of each series and marks the scheduled events.
+// The delivered share of the worth over time, for the first seed of each series. Marks the scheduled events.
 Chart OverTimeChart(const std::string& scenario, const BySeries& series) {
   const std::uint64_t seed = series.begin()->second.front()->key.seed;
-  std::ostringstream script = ChartHeader(scenario + ", seed " + std::to_string(seed) +
-                                              ": worth delivered of what was asked for, by when it was due",
-                                          "s", "share");
+  std::ostringstream script =
+      ChartHeader(scenario + ", seed " + std::to_string(seed) +
+                      ": share of the worth that was delivered, by when messages were due",
+                  "s", "share");
   script << "set yrange [0:1.05]\n";
   std::set<std::pair<double, std::string>> marks;
   for (const Json& event : series.begin()->second.front()->report.value("turns", Json::array())) {
@@ -150,7 +151,7 @@
 
 Chart LatencyChart(const std::string& scenario, const BySeries& series) {
   std::ostringstream script =
-      ChartHeader(scenario + ": delivered within, by percentile, mean of the seeds", "percentile", "ms");
+      ChartHeader(scenario + ": time until delivery by percentile, mean of the seeds", "percentile", "ms");
   script << "set logscale y\nset xtics (";
   constexpr const char* kNames[] = {"50", "75", "90", "95", "99", "99.9"};
   for (int i = 0; i < 6; ++i) script << (i > 0 ? ", " : "") << "'" << kNames[i] << "' " << i;
@@ -174,8 +175,8 @@
 Chart PartnersChart(const std::string& scenario, const BySeries& series) {
   const auto& [name, rows] = *series.begin();
   std::ostringstream script =
-      ChartHeader(scenario + ", " + name + ": calls a message and refused calls a message, by partner",
-                  "partner, the busiest first", "a message");
+      ChartHeader(scenario + ", " + name + ": calls and refused calls per message, by partner",
+                  "partner, the busiest first", "per message");
   std::map<int, std::array<double, 3>> sums;
   for (const Row* row : rows) {
     for (const Json& partner_figures : row->report["figures"].value("partners", Json::array())) {
@@ -196,7 +197,8 @@
   return {scenario + " by partner", "partners-" + scenario, script.str()};
 }
 
-// For variants that set a single number: charts of the figures over that number.
+// Appends charts of the figures over a setting, from the variants that set this setting to a number and no
+// other.
 void AppendVariantCharts(const std::vector<Row>& rows, std::vector<Chart>* charts) {
   std::map<std::string, std::map<std::string, std::map<double, std::vector<const Row*>>>> by_key;
   for (const Row& row : rows) {
@@ -212,7 +214,7 @@
   }
   const std::vector<std::pair<const char*, const char*>> figures = {
       {"figures/service", "service"},
-      {"cpu_us_a_message", "us of CPU a message"},
+      {"cpu_us_a_message", "us of CPU per message"},
       {"peak_kb", "peak memory of a relay, kB"}};
   for (const auto& [key, series] : by_key) {
     for (const auto& [path, what] : figures) {
@@ -229,7 +231,7 @@
         }
       }
       bool has_curve = false;
-      for (const auto& [name, all] : points) has_curve = has_curve || all.size() > 1;
+      for (const auto& [name, curve] : points) has_curve = has_curve || curve.size() > 1;
       if (!has_curve) continue;
       std::ostringstream script = ChartHeader(std::string(what) + " against " + key, key.c_str(), what);
       AppendPlots(&script, points, "with linespoints pt 7 lw 2");
@@ -239,32 +241,34 @@
   }
 }
 
-std::string FormatTable(const ByScenario& all) {
+std::string FormatTable(const ByScenario& rows_by_scenario) {
   std::ostringstream table;
-  table << "<table><tr><th>scenario<th>what<th>days<th>service<th>least<th>delivered %<th>tries a message"
-           "<th>refused calls a message<th>turned away a message<th>broken rules, crashes, spoilt</tr>\n";
-  for (const auto& [scenario, series] : all) {
+  table << "<table><tr><th>scenario<th>series<th>days<th>mean service<th>lowest<th>delivered %<th>calls per "
+           "message"
+           "<th>refused calls per message<th>rejections per message<th>broken rules, crashes, invalid</tr>\n";
+  for (const auto& [scenario, series] : rows_by_scenario) {
     for (const auto& [name, rows] : series) {
-      double service = 0, min_service = 1, asked = 0, delivered = 0, calls = 0, refused = 0, rejected = 0;
-      int bad = 0;
+      double service = 0, min_service = 1, messages_due = 0, delivered = 0, calls = 0, refused = 0,
+             rejected = 0;
+      int unclean_days = 0;
       for (const Row* row : rows) {
         const double value = row->Number("figures/service");
         service += value;
         min_service = std::min(min_service, value);
-        asked += row->Number("figures/asked");
+        messages_due += row->Number("figures/asked");
         delivered += row->Number("figures/delivered");
         calls += row->Number("figures/calls");
         refused += row->Number("figures/refused_calls");
         rejected += row->Number("figures/turned_away");
-        if (!row->clean()) ++bad;
+        if (!row->clean()) ++unclean_days;
       }
-      const double messages = std::max(asked, 1.0);
+      const double message_count = std::max(messages_due, 1.0);
       table << "<tr><td>" << EscapeHtml(scenario) << "<td>" << EscapeHtml(name) << "<td>" << rows.size()
             << "<td>" << FormatFixed(service / static_cast<double>(rows.size()), 3) << "<td>"
-            << FormatFixed(min_service, 3) << "<td>" << FormatFixed(100 * delivered / messages, 2) << "<td>"
-            << FormatFixed(calls / messages, 3) << "<td>" << FormatFixed(refused / messages, 3) << "<td>"
-            << FormatFixed(rejected / messages, 4) << "<td" << (bad > 0 ? " class=bad>" : ">") << bad
-            << "</tr>\n";
+            << FormatFixed(min_service, 3) << "<td>" << FormatFixed(100 * delivered / message_count, 2)
+            << "<td>" << FormatFixed(calls / message_count, 3) << "<td>"
+            << FormatFixed(refused / message_count, 3) << "<td>" << FormatFixed(rejected / message_count, 4)
+            << "<td" << (unclean_days > 0 ? " class=bad>" : ">") << unclean_days << "</tr>\n";
     }
   }
   table << "</table>\n";
@@ -275,11 +279,11 @@
 
 std::vector<Chart> MakeCharts(const std::vector<Row>& rows) {
   std::vector<Chart> charts;
-  const ByScenario all = GroupRows(rows);
-  if (all.empty()) return charts;
-  charts.push_back(ServiceChart(all));
+  const ByScenario rows_by_scenario = GroupRows(rows);
+  if (rows_by_scenario.empty()) return charts;
+  charts.push_back(ServiceChart(rows_by_scenario));
   AppendVariantCharts(rows, &charts);
-  for (const auto& [scenario, series] : all) {
+  for (const auto& [scenario, series] : rows_by_scenario) {
     charts.push_back(OverTimeChart(scenario, series));
     charts.push_back(LatencyChart(scenario, series));
     charts.push_back(PartnersChart(scenario, series));
@@ -290,10 +294,11 @@
 std::string FormatPage(const std::vector<Row>& rows, const std::vector<Chart>& charts,
                        const std::vector<std::string>& svg) {
   std::ostringstream page;
-  page << "<!DOCTYPE html>\n<html lang=en><meta charset=utf-8><title>Played days</title>\n"
+  page << "<!DOCTYPE html>\n<html lang=en><meta charset=utf-8><title>Results of simulated days</title>\n"
           "<style>body{font:15px sans-serif;margin:2em auto;max-width:960px}table{border-collapse:collapse}"
           "td,th{border:1px solid #ccc;padding:3px 8px;text-align:right}td:nth-child(-n+2),th:nth-child(-n+2)"
-          "{text-align:left}.bad{background:#fbb}svg{max-width:100%}</style>\n<h1>Played days</h1>\n<p>"
+          "{text-align:left}.bad{background:#fbb}svg{max-width:100%}</style>\n<h1>Results of simulated "
+          "days</h1>\n<p>"
        << rows.size() << " days.</p>\n"
        << FormatTable(GroupRows(rows));
   for (std::size_t i = 0; i < charts.size() && i < svg.size(); ++i) {
--- a/src/results/report.hpp
+++ b/src/results/report.hpp
@@ -14,7 +14,7 @@
   std::string title, name;  // name: file name without extension
   std::string script;
 };
-// No I/O.
+// Makes all charts of the page. No I/O.
 std::vector<Chart> MakeCharts(const std::vector<Row>& rows);
 
 // Formats the page; `svg` holds the rendered charts in the order of `charts`. No I/O.
--- a/src/results/results.hpp
+++ b/src/results/results.hpp
@@ -15,9 +15,9 @@
 
 // Identifies a day and what ran it.
 struct Key {
-  std::string label;             // the operator's name for what was tried, such as a program's version
+  std::string label;             // the operator's name for what was tested, such as a program's version
   std::string scenario;          // name
-  std::string scenario_version;  // hash of the scenario's text: another text gives another day
+  std::string scenario_version;  // hash of the scenario's text, on which the day depends
   std::string variant;  // settings that override the scenario's, "traffic.load=0.9 relay.slots=1"; may be
                         // empty
   std::uint64_t seed = 0;
@@ -26,6 +26,7 @@
   auto operator<=>(const Key&) const = default;
 };
 
+// The result of one run.
 struct Row {
   Key key;
   Json report;  // as printed by `oxbowlab sim --json`
@@ -35,6 +36,7 @@
   bool clean() const;  // no rule broken, no crash, and the run was valid
 };
 
+// The file of results.
 class ResultStore {
  public:
   // Creates the file if it doesn't exist. Throws sqlite::Error.
--- a/src/results/search.cpp
+++ b/src/results/search.cpp
@@ -15,11 +15,11 @@
 }
 
 std::vector<Trial> SearchHighest(double low, double high, double tolerance,
-                                 const std::function<bool(double)>& good) {
+                                 const std::function<bool(double)>& passes) {
   std::vector<Trial> trials;
   const auto try_value = [&](double value) {
-    trials.push_back({value, good(value)});
-    return trials.back().good;
+    trials.push_back({value, passes(value)});
+    return trials.back().passed;
   };
   if (!try_value(low) || try_value(high)) return trials;
   while (high - low > tolerance * high) {
--- a/src/results/search.hpp
+++ b/src/results/search.hpp
@@ -8,6 +8,7 @@
 
 namespace oxbowspread::results {
 
+// The limits that a day must keep.
 struct Bounds {
   double max_deliver_p99_ms = 3000;  // from when a message was due
   // Messages that were rejected, deferred or not answered, as a share of all.
@@ -18,15 +19,17 @@
 // Whether the day is clean and within all bounds.
 bool IsWithin(const Row& row, const Bounds& bounds);
 
+// A value that was tried, and whether it passed.
 struct Trial {
   double value = 0;
-  bool good = false;
+  bool passed = false;
 };
 
-// Bisects between `low` and `high` until the interval is below `tolerance` times its upper end. `good` is
-// called for `low` and `high` first and is assumed to hold up to some value and not above it. Returns all
-// trials in order; the highest good one is the answer, and if none is good there is no answer.
+// Bisects between `low` and `high` until the interval is shorter than `tolerance` times its upper end.
+// `passes` is called for `low` and `high` first, and is assumed to be true up to some value and false above
+// it. Returns all trials in order. The highest one that passed is the answer; if none passed, there is no
+// answer.
 std::vector<Trial> SearchHighest(double low, double high, double tolerance,
-                                 const std::function<bool(double)>& good);
+                                 const std::function<bool(double)>& passes);
 
 }  // namespace oxbowspread::results
--- a/src/results/sweep.cpp
+++ b/src/results/sweep.cpp
@@ -11,18 +11,18 @@
 
 // Splits the text at commas outside brackets.
 std::vector<std::string> SplitValues(const std::string& text) {
-  std::vector<std::string> all(1);
+  std::vector<std::string> values(1);
   int depth = 0;
   for (const char c : text) {
     if (c == '[') ++depth;
     if (c == ']') --depth;
     if (c == ',' && depth == 0) {
-      all.emplace_back();
+      values.emplace_back();
     } else {
-      all.back() += c;
+      values.back() += c;
     }
   }
-  return all;
+  return values;
 }
 
 }  // namespace
@@ -58,22 +58,22 @@
         setting.find(' ') != setting.npos) {
       throw std::runtime_error("set: must be KEY=VALUE,VALUE without blanks, not '" + setting + "'");
     }
-    std::vector<std::string> next;
+    std::vector<std::string> expanded;
     for (const std::string& variant : variants) {
       for (const std::string& value : SplitValues(setting.substr(equals + 1))) {
-        next.push_back(variant + (variant.empty() ? "" : " ") + setting.substr(0, equals + 1) + value);
+        expanded.push_back(variant + (variant.empty() ? "" : " ") + setting.substr(0, equals + 1) + value);
       }
     }
-    variants = std::move(next);
+    variants = std::move(expanded);
   }
   return variants;
 }
 
 std::vector<std::string> SplitVariant(const std::string& variant) {
-  std::vector<std::string> all;
+  std::vector<std::string> settings;
   std::istringstream words(variant);
-  for (std::string word; words >> word;) all.push_back(word);
-  return all;
+  for (std::string word; words >> word;) settings.push_back(word);
+  return settings;
 }
 
 }  // namespace oxbowspread::results
--- a/src/results/sweep.hpp
+++ b/src/results/sweep.hpp
@@ -7,7 +7,8 @@
 
 namespace oxbowspread::results {
 
-// Parses such as "1-20", "3" or "1-5,9". Throws std::runtime_error with a one-line message.
+// Parses a list of seeds, for example "1-20", "3" or "1-5,9". Throws std::runtime_error with a one-line
+// message.
 std::vector<std::uint64_t> ParseSeeds(const std::string& text);
 
 // Each of `settings` is "KEY=VALUE,VALUE,..."; a value in brackets counts as one. Returns the Cartesian
@@ -15,7 +16,7 @@
 // none. Throws std::runtime_error with a one-line message.
 std::vector<std::string> ExpandVariants(const std::vector<std::string>& settings);
 
-// Splits a variant into its settings.
+// Splits a variant into its settings "KEY=VALUE".
 std::vector<std::string> SplitVariant(const std::string& variant);
 
 }  // namespace oxbowspread::results
--- a/tests/lab/program_test.cpp
+++ b/tests/lab/program_test.cpp
@@ -53,27 +53,29 @@
 
 }  // namespace
 
-TEST_CASE("oxbowlab run: a day on sockets keeps every rule and delivers what the simulation does", "[lab]") {
+TEST_CASE(
+    "oxbowlab run: a day on sockets breaks no rule and delivers about as many messages as the simulation",
+    "[lab]") {
   TemporaryFolder folder;
   const std::string file = folder.Write("day.yaml", kScenario);
   const ProcessResult run =
       RunLab({"run", file, "--seed", "2", "--json", "--relay", OXBOWSPREAD, "--trace", folder / "trace"});
   INFO(run.out << run.err);
   REQUIRE((run.exit_code == 0 || run.exit_code == 1));
-  const Json played = Json::parse(run.out),
+  const Json on_sockets = Json::parse(run.out),
              simulated = Json::parse(RunLab({"sim", file, "--seed", "2", "--json"}).out);
-  CHECK(played["breaches"].empty());
-  CHECK(played["crash"] == "");
+  CHECK(on_sockets["breaches"].empty());
+  CHECK(on_sockets["crash"] == "");
   // Both drivers send the same messages, since these depend on the day alone.
-  CHECK(played["figures"]["asked"] == simulated["figures"]["asked"]);
-  CHECK(played["figures"]["asked"].get<int>() > 50);
-  CHECK(played["figures"]["delivered"].get<int>() >= simulated["figures"]["delivered"].get<int>() * 0.9);
-  CHECK(played["cpu_us"].get<int>() > 0);
-  CHECK(played["peak_kb"].get<int>() > 1000);
+  CHECK(on_sockets["figures"]["asked"] == simulated["figures"]["asked"]);
+  CHECK(on_sockets["figures"]["asked"].get<int>() > 50);
+  CHECK(on_sockets["figures"]["delivered"].get<int>() >= simulated["figures"]["delivered"].get<int>() * 0.9);
+  CHECK(on_sockets["cpu_us"].get<int>() > 0);
+  CHECK(on_sockets["peak_kb"].get<int>() > 1000);
   const std::string trace = ReadFile(folder / "trace");
   CHECK(trace.find("\"kind\":\"dead\"") != std::string::npos);
   CHECK(trace.find("\"kind\":\"terminated\"") != std::string::npos);
-  // A check of the stored trace finds the same, and reports a trace that is cut short.
+  // A check of the stored trace finds no breach either, and reports a trace that is cut short.
   CHECK(RunLab({"check", folder / "trace", "--scenario", file}).exit_code == 0);
   const ProcessResult truncated = RunLab({"check", folder.Write("cut", trace.substr(0, trace.size() / 2))});
   CHECK(truncated.exit_code == 1);
@@ -91,13 +93,13 @@
   const ProcessResult run =
       RunLab({"run", file, "--seed", "3", "--json", "--relay", OXBOWSPREAD, "--trace", folder / "trace"});
   INFO(run.out << run.err);
-  const Json played = Json::parse(run.out),
+  const Json on_sockets = Json::parse(run.out),
              simulated = Json::parse(RunLab({"sim", file, "--seed", "3", "--json"}).out);
-  CHECK(played["breaches"].empty());
+  CHECK(on_sockets["breaches"].empty());
   CHECK(simulated["breaches"].empty());
-  CHECK(played["crash"] == "");
-  CHECK(played["figures"]["delivered"].get<int>() >= simulated["figures"]["delivered"].get<int>() * 0.95);
-  CHECK(std::abs(played["figures"]["whole"].get<double>() - simulated["figures"]["whole"].get<double>()) <
+  CHECK(on_sockets["crash"] == "");
+  CHECK(on_sockets["figures"]["delivered"].get<int>() >= simulated["figures"]["delivered"].get<int>() * 0.95);
+  CHECK(std::abs(on_sockets["figures"]["whole"].get<double>() - simulated["figures"]["whole"].get<double>()) <
         0.05);
   // A stopped relay does not answer, so its clients disconnected and connected again.
   CHECK(ReadFile(folder / "trace").find("\"kind\":\"left\"") != std::string::npos);
@@ -147,24 +149,25 @@
       {"report", folder / "none", "--out", folder / "page"},
   };
   for (const auto& arguments : cases) {
-    const ProcessResult ran = RunLab(arguments);
-    INFO(Json(arguments).dump() << " " << ran.err);
-    CHECK(ran.exit_code == 2);
-    CHECK(std::count(ran.err.begin(), ran.err.end(), '\n') == 1);
-    CHECK(ran.out.empty());
+    const ProcessResult result = RunLab(arguments);
+    INFO(Json(arguments).dump() << " " << result.err);
+    CHECK(result.exit_code == 2);
+    CHECK(std::count(result.err.begin(), result.err.end(), '\n') == 1);
+    CHECK(result.out.empty());
   }
   CHECK_FALSE(std::filesystem::exists(folder / "results"));
 }
 
-TEST_CASE("oxbowlab sweep: continues a former sweep, and its results can be compared and charted", "[lab]") {
+TEST_CASE("oxbowlab sweep: continues an earlier sweep, and its results can be compared and charted",
+          "[lab]") {
   TemporaryFolder folder;
   const std::string file = folder.Write("day.yaml", "length: 4s\npartners: {count: 4}\n");
   const auto sweep = [&](const std::string& seeds) {
     return RunLab(
         {"sweep", file, "--out", folder / "results", "--seeds", seeds, "--set", "traffic.load=0.4,1.2"});
   };
-  CHECK(sweep("1-2").out == "4 days: 4 played, 0 known already, 0 not clean\n");
-  CHECK(sweep("1-3").out == "6 days: 2 played, 4 known already, 0 not clean\n");
+  CHECK(sweep("1-2").out == "4 days: 4 run, 0 already stored, 0 not clean\n");
+  CHECK(sweep("1-3").out == "6 days: 2 run, 4 already stored, 0 not clean\n");
   const std::string csv = RunLab({"export", folder / "results"}).out;
   CHECK(std::count(csv.begin(), csv.end(), '\n') == 7);
   const Json table = Json::parse(RunLab({"compare", folder / "results", "now:traffic.load=0.4",
@@ -182,18 +185,19 @@
   TemporaryFolder folder;
   const std::string file =
       folder.Write("day.yaml", "length: 10s\npartners: {count: 6}\ntraffic: {shape: steady, clumps: 0}\n");
-  const ProcessResult ran =
+  const ProcessResult result =
       RunLab({"search", file, "--seeds", "1", "--from", "0.1", "--to", "6", "--tolerance", "0.2", "--refused",
               "0.05", "--p99-ms", "8000", "--delivered", "0.95"});
-  INFO(ran.out << ran.err);
-  CHECK(ran.exit_code == 0);
-  CHECK(ran.out.find("traffic.load=0.1 ") != std::string::npos);
-  CHECK(ran.out.find("traffic.load=6 ") != std::string::npos);
-  CHECK(ran.out.find("highest within: traffic.load=") != std::string::npos);
-  CHECK(ran.out.find("the end of the span") == std::string::npos);
+  INFO(result.out << result.err);
+  CHECK(result.exit_code == 0);
+  CHECK(result.out.find("traffic.load=0.1 ") != std::string::npos);
+  CHECK(result.out.find("traffic.load=6 ") != std::string::npos);
+  CHECK(result.out.find("highest within: traffic.load=") != std::string::npos);
+  CHECK(result.out.find("the upper end of the range") == std::string::npos);
 }
 
-TEST_CASE("oxbowlab: a host with a low connection limit refuses further ones, with either driver", "[lab]") {
+TEST_CASE("oxbowlab: a host with a low connection limit refuses further connections, with either driver",
+          "[lab]") {
   TemporaryFolder folder;
   const std::string file = folder.Write(
       "day.yaml",
--- a/tests/lab/results_test.cpp
+++ b/tests/lab/results_test.cpp
@@ -92,7 +92,7 @@
         "\"a,b\",calm,,1,sim,1,0.5,100,90,120\n");
 }
 
-TEST_CASE("compare: pairs results by day, omits days with faults, and gives a confidence interval",
+TEST_CASE("compare: pairs results by day, omits days that are not clean, and gives a confidence interval",
           "[results]") {
   std::vector<Row> rows;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -101,9 +101,9 @@
     rows.push_back(MakeRow("new", "calm", seed, 0.52 + day_effect + (seed % 2 == 0 ? 0.001 : -0.001)));
   }
   rows.push_back(MakeRow("old", "calm", 99, 0));  // the other label has no result for this seed
-  Row broken = MakeRow("old", "busy", 1, 0);
-  broken.report["crash"] = "n1 ended by signal 6";
-  rows.push_back(broken);
+  Row crashed = MakeRow("old", "busy", 1, 0);
+  crashed.report["crash"] = "n1 ended by signal 6";
+  rows.push_back(crashed);
   rows.push_back(MakeRow("new", "busy", 1, 1));
   const auto table =
       results::Compare(rows, results::ParseSelector("old"), results::ParseSelector("new"), "figures/service");
@@ -153,7 +153,7 @@
   CHECK(results::Bootstrap(values, 1) == std::pair(low, high));
 }
 
-TEST_CASE("report: one page with all charts, its texts escaped", "[results]") {
+TEST_CASE("report: is one page with all charts, and its texts are escaped", "[results]") {
   const std::vector<Row> rows = {MakeRow("now", "calm", 1, 0.9),
                                  MakeRow("now", "calm", 1, 0.8, "relay.slots=1"),
                                  MakeRow("now", "calm", 1, 0.85, "relay.slots=2")};
@@ -175,26 +175,27 @@
   CHECK_THROWS_AS(results::RenderSvg({"t", "n", "plot nonsense(\n"}), std::runtime_error);
 }
 
-TEST_CASE("child: returns output, errors and exit code, also of output larger than a pipe buffer",
+TEST_CASE("child: returns output, errors and exit code, even if the output exceeds a pipe buffer",
           "[results]") {
-  const auto ran = results::RunProcess({"/bin/sh", "-c", "yes x | head -c 300000; echo bad >&2; exit 3"});
-  CHECK(ran.exit_code == 3);
-  CHECK(ran.out.size() == 300000);
-  CHECK(ran.err == "bad\n");
+  const auto result = results::RunProcess({"/bin/sh", "-c", "yes x | head -c 300000; echo bad >&2; exit 3"});
+  CHECK(result.exit_code == 3);
+  CHECK(result.out.size() == 300000);
+  CHECK(result.err == "bad\n");
   CHECK(results::RunProcess({"/bin/sh", "-c", "kill -9 $$"}).exit_code == -1);
   CHECK_THROWS_AS(results::RunProcess({"/no/such/program"}), std::runtime_error);
 }
 
-TEST_CASE("search: finds the highest passing value within the tolerance, and none where none passes",
+TEST_CASE("search: finds the highest passing value within the tolerance, or none if none passes",
           "[results]") {
-  const auto highest = [](double edge) {
+  const auto highest = [](double highest_passing) {
     double best = -1;
-    const auto tried = results::SearchHighest(1, 5, 0.01, [&](double v) { return v <= edge; });
-    for (const results::Trial& attempt : tried) {
-      CHECK(attempt.good == (attempt.value <= edge));
-      if (attempt.good) best = std::max(best, attempt.value);
+    const auto trials =
+        results::SearchHighest(1, 5, 0.01, [&](double value) { return value <= highest_passing; });
+    for (const results::Trial& trial : trials) {
+      CHECK(trial.passed == (trial.value <= highest_passing));
+      if (trial.passed) best = std::max(best, trial.value);
     }
-    CHECK(tried.size() < 12);
+    CHECK(trials.size() < 12);
     return best;
   };
   CHECK(highest(3.3) <= 3.3);
