--- a/tests/lab/arrival_bound_test.cpp
+++ b/tests/lab/arrival_bound_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the lower bound on the arrival time of bytes that a process reads now, which follows from the
-// times of its polls of the sockets.
+// Tests of the lower bound on the arrival time of the bytes that a process reads. The bound follows from the
+// times at which the process polled its sockets.
 #include "net/arrival_bound.hpp"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
 
 TEST_CASE("arrival bound: after a stall the bytes may have arrived since the poll before it", "[net]") {
   CHECK(AfterPolls({1s, 1050ms, 1100ms, 3s}).earliest() == 1100ms);
-  // A signal may have cut the poll short, and the connection may have been accepted only in the next round.
+  // A signal may have interrupted the poll, so that the connection was accepted only in the next iteration.
   CHECK(AfterPolls({1050ms, 1100ms, 3s, 3001ms}).earliest() == 1100ms);
   CHECK(AfterPolls({1100ms, 3s, 3001ms, 3002ms}).earliest() == 1100ms);
   CHECK(AfterPolls({3s, 3001ms, 3002ms, 3003ms}).earliest() == 3003ms);
@@ -34,7 +34,7 @@
   CHECK(AfterPolls({1s, 2s, 2001ms, 3s}).earliest() == 1s);
 }
 
-TEST_CASE("arrival bound: is zero until there were enough polls", "[net]") {
+TEST_CASE("arrival bound: is zero until enough polls were recorded", "[net]") {
   CHECK(ArrivalBound().earliest() == 0s);
   CHECK(AfterPolls({1s, 1001ms}).earliest() == 0s);
   CHECK(AfterPolls({1s, 1001ms, 1002ms, 1003ms}).earliest() == 1003ms);
--- a/tests/lab/hosts_test.cpp
+++ b/tests/lab/hosts_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the hosts that the endpoint transport knows: which may be written to, and which owns an address.
+// Tests of endpoint::Hosts: which hosts may be written to, and which host owns an address.
 #include "endpoint/hosts.hpp"
 
 #include <catch2/catch.hpp>
@@ -76,16 +76,16 @@
     "[hosts]") {
   Hosts hosts;
   hosts.SetSeparateRoutes({true, false});
-  std::vector<relay::Host> hosts_listed{
+  std::vector<relay::Host> listed_hosts{
       MakeHost("separate-1", "127.0.0.1:1"), MakeHost("separate-2", "127.0.0.1:2"),
       MakeHost("shared-1", "127.0.0.1:3"),   MakeHost("shared-2", "127.0.0.1:4"),
       MakeHost("other", "127.0.0.1:5"),      MakeHost("unknown-kind", "127.0.0.1:6")};
   const int kinds[] = {0, 0, 1, 1, 1, 7};
-  for (std::size_t i = 0; i < hosts_listed.size(); ++i) {
-    hosts_listed[i].info.kind = kinds[i];
-    hosts_listed[i].info.destination = hosts_listed[i].info.id == "other" ? 9 : 8;
+  for (std::size_t i = 0; i < listed_hosts.size(); ++i) {
+    listed_hosts[i].info.kind = kinds[i];
+    listed_hosts[i].info.destination = listed_hosts[i].info.id == "other" ? 9 : 8;
   }
-  hosts.Apply(MakeChange(hosts_listed), 1s);
+  hosts.Apply(MakeChange(listed_hosts), 1s);
   hosts.RecordRetryAfter("separate-1", 5s, 10s);
   CHECK_FALSE(MayWrite(hosts, "separate-1", 11s));
   CHECK(MayWrite(hosts, "separate-2", 11s));
@@ -95,8 +95,8 @@
   CHECK_FALSE(MayWrite(hosts, "unknown-kind", 11s));  // a kind that the settings lack has no separate routes
   CHECK(MayWrite(hosts, "separate-2", 11s));
   CHECK(MayWrite(hosts, "other", 11s));
-  // The wait also applies to a host of the destination that is added while it runs, and it outlives the host
-  // that asked for it.
+  // The wait also applies to a host of the destination that is added before its end, and it remains after the
+  // host that asked for it is forgotten.
   relay::Host added = MakeHost("shared-3", "127.0.0.1:7");
   added.info.kind = 1;
   added.info.destination = 8;
@@ -109,7 +109,7 @@
   CHECK(waits.size() == 4);
   Hosts restored;
   restored.SetSeparateRoutes({true, false});
-  restored.Apply(MakeChange(hosts_listed), 12s);
+  restored.Apply(MakeChange(listed_hosts), 12s);
   for (const relay::HostWait& wait : waits) restored.RestoreWait(wait);
   CHECK_FALSE(MayWrite(restored, "shared-1", 13s - 1us));
   CHECK(MayWrite(restored, "shared-1", 13s));
@@ -117,10 +117,10 @@
   CHECK(MayWrite(restored, "separate-2", 12s));
 }
 
-TEST_CASE("hosts: an address belongs to the host that is up there", "[hosts]") {
+TEST_CASE("hosts: an address is owned by the listed host that is up", "[hosts]") {
   Hosts hosts;
   hosts.Apply(MakeChange({MakeHost("old", "127.0.0.1:1")}), 1s);
-  // The new host is listed before the old one is known to be removed.
+  // The new host is listed before the removal of the old one.
   CHECK(hosts.Apply(MakeChange({MakeHost("new", "127.0.0.1:1")}), 2s) == Ids{"old"});
   CHECK_FALSE(hosts.Find("old")->owns_address);
   CHECK(hosts.Find("new")->owns_address);
@@ -152,7 +152,7 @@
   CHECK_FALSE(MayWrite(hosts, "new", 13s - 1us));
   CHECK(MayWrite(hosts, "new", 13s));
   CHECK(MayWrite(hosts, "other", 11s));
-  // The response to a call to the old host arrives after the new one is known.
+  // The response to a call to the old host arrives after the new one was listed.
   CHECK(hosts.RecordRetryAfter("old", first_address, 3s, 20s) == Ids{"new"});
   CHECK_FALSE(MayWrite(hosts, "new", 23s - 1us));
   // The wait does not apply to a host that is listed after its end, or that moves to another address.
@@ -184,7 +184,7 @@
   hosts.Forget("b");
   CHECK(hosts.Find("b") == nullptr);
   CHECK(hosts.size() == 1);
-  // Another host may use its address, and nothing of the former one affects it.
+  // Another host may use its address, and the state of the former one doesn't affect it.
   hosts.Apply(MakeChange({MakeHost("c", "127.0.0.1:2")}), 9s);
   CHECK(MayWrite(hosts, "c", 9s));
 }
--- a/tests/lab/model_test.cpp
+++ b/tests/lab/model_test.cpp
@@ -23,7 +23,7 @@
 using model::SimulatedHost;
 using model::Time;
 
-// A host with a limit of 4 calls a second, two servers and a short queue.
+// A host with a limit of 4 calls per second, two servers and a short queue.
 Host SmallHost() {
   Host host;
   host.id = "h";
@@ -63,9 +63,9 @@
   std::vector<trace::Event> events;
 
   std::string Trace() const {  // as text, on request only: writing it takes longer than simulating the day
-    std::string all;
-    for (const trace::Event& event : events) all += trace::ToJsonLine(event) + "\n";
-    return all;
+    std::string lines;
+    for (const trace::Event& event : events) lines += trace::ToJsonLine(event) + "\n";
+    return lines;
   }
 };
 
@@ -73,36 +73,36 @@
   TemporaryFolder folder;
   const model::Scenario scenario = model::ReadScenario(folder.Write("day.yaml", yaml));
   const model::Day day = model::DrawDay(scenario, seed);
-  SimulatedDay played;
+  SimulatedDay simulated_day;
   lab::SimulationOptions options;
   options.folder = folder.path() + "/relays";
-  options.trace = [&](const trace::Event& event) { played.events.push_back(event); };
-  played.outcome = lab::Simulate(scenario, day, options);
-  return played;
+  options.trace = [&](const trace::Event& event) { simulated_day.events.push_back(event); };
+  simulated_day.outcome = lab::Simulate(scenario, day, options);
+  return simulated_day;
 }
 
 // Describes a crash and all breaches of the rules.
 std::string Describe(const lab::Outcome& outcome) {
-  std::string all = outcome.crash;
+  std::string description = outcome.crash;
   for (const check::Breach& breach : outcome.breaches)
-    all += breach.rule + " " + breach.message + ": " + breach.events + "\n";
-  return all;
+    description += breach.rule + " " + breach.message + ": " + breach.events + "\n";
+  return description;
 }
 
-std::size_t CountEvents(const SimulatedDay& played, trace::Event::Kind kind) {
+std::size_t CountEvents(const SimulatedDay& simulated_day, trace::Event::Kind kind) {
   std::size_t count = 0;
-  for (const trace::Event& event : played.events) count += event.kind == kind;
+  for (const trace::Event& event : simulated_day.events) count += event.kind == kind;
   return count;
 }
 
 }  // namespace
 
-TEST_CASE("dice: the numbers depend on the seed and the name alone", "[model]") {
-  RandomStream a(7, "x"), b(7, "x"), other(7, "y"), later(8, "x");
+TEST_CASE("random stream: the numbers depend on the seed and the name alone", "[model]") {
+  RandomStream a(7, "x"), b(7, "x"), other_name(7, "y"), other_seed(8, "x");
   const double first = a.Uniform();
   CHECK(first == b.Uniform());
-  CHECK(first != other.Uniform());
-  CHECK(first != later.Uniform());
+  CHECK(first != other_name.Uniform());
+  CHECK(first != other_seed.Uniform());
   double sum = 0, sum_of_squares = 0, exponential_sum = 0;
   constexpr int kDraws = 20'000;
   for (int i = 0; i < kDraws; ++i) {
@@ -117,34 +117,37 @@
   CHECK(exponential_sum / kDraws == Approx(3).epsilon(0.05));
 }
 
-TEST_CASE("route: serves its limit and no more, and serves again when the retry-after ends", "[model]") {
-  SimulatedHost route(SmallHost(), 2, 3);
-  RandomStream dice(1, "t");
+TEST_CASE("simulated host: serves its limit and no more, and serves again when the retry-after ends",
+          "[model]") {
+  SimulatedHost simulated_host(SmallHost(), 2, 3);
+  RandomStream random(1, "t");
   int served_calls = 0;
   SimulatedHost::CallResult rejected;
   for (int i = 0; i < 10; ++i) {
-    const SimulatedHost::CallResult verdict = route.HandleCall(1s, dice);
-    served_calls += verdict.status == 200;
-    if (verdict.status != 200) rejected = verdict;
+    const SimulatedHost::CallResult result = simulated_host.HandleCall(1s, random);
+    served_calls += result.status == 200;
+    if (result.status != 200) rejected = result;
   }
-  CHECK(served_calls == 2);  // half a second of its limit may come at once
+  CHECK(served_calls == 2);  // half a second of the limit may be used at once
   CHECK(rejected.status == 429);
   CHECK(rejected.over_limit);
   CHECK(rejected.retry_after == 500ms);
-  CHECK(route.HandleCall(1s + rejected.retry_after, dice).status == 200);
+  CHECK(simulated_host.HandleCall(1s + rejected.retry_after, random).status == 200);
 }
 
-TEST_CASE("route: where refused calls count against the limit, almost none are served during an overload",
-          "[model]") {
-  const auto served = [](bool counts) {
+TEST_CASE(
+    "simulated host: almost no calls are served during an overload if refused calls count against the limit",
+    "[model]") {
+  const auto served = [](bool refused_calls_count) {
     Host host = SmallHost();
     host.limit = 40;
     host.servers = 100;
-    host.refused_calls_use_limit = counts;
-    SimulatedHost route(host, 2, 3);
-    RandomStream dice(1, "t");
+    host.refused_calls_use_limit = refused_calls_count;
+    SimulatedHost simulated_host(host, 2, 3);
+    RandomStream random(1, "t");
     int served_calls = 0;
-    for (Time at = 1s; at < 11s; at += 10ms) served_calls += route.HandleCall(at, dice).status == 200;
+    for (Time at = 1s; at < 11s; at += 10ms)
+      served_calls += simulated_host.HandleCall(at, random).status == 200;
     return served_calls;
   };
   CHECK(served(false) == Approx(40 * 10.5).epsilon(0.02));
@@ -152,7 +155,8 @@
 }
 
 TEST_CASE(
-    "route: a limit per fixed window gives the start of the next window as retry-after, and refused calls "
+    "simulated host: a limit per fixed window gives the start of the next window as retry-after, and refused "
+    "calls "
     "use up at most half of it",
     "[model]") {
   Host host = SmallHost();
@@ -160,17 +164,18 @@
   host.servers = 1000;
   host.limit_window_s = 2;
   host.limit_window_offset_s = 0.5;
-  const auto served = [&](bool counts, int calls) {
-    host.refused_calls_use_limit = counts;
-    SimulatedHost route(host, 2, 3);
-    RandomStream dice(1, "t");
-    std::vector<int> spans;
-    for (const Time span : {4500ms, 6500ms}) {
-      spans.push_back(0);
-      for (int i = 0; i < calls; ++i) spans.back() += route.HandleCall(span + 1ms * i, dice).status == 200;
-      CHECK(route.HandleCall(span + 1900ms, dice).retry_after == 100ms);
+  const auto served = [&](bool refused_calls_count, int calls) {
+    host.refused_calls_use_limit = refused_calls_count;
+    SimulatedHost simulated_host(host, 2, 3);
+    RandomStream random(1, "t");
+    std::vector<int> served_by_window;
+    for (const Time window_start : {4500ms, 6500ms}) {
+      served_by_window.push_back(0);
+      for (int i = 0; i < calls; ++i)
+        served_by_window.back() += simulated_host.HandleCall(window_start + 1ms * i, random).status == 200;
+      CHECK(simulated_host.HandleCall(window_start + 1900ms, random).retry_after == 100ms);
     }
-    return spans;
+    return served_by_window;
   };
   CHECK(served(false, 200) == std::vector<int>{80, 80});
   CHECK(served(true, 100) == std::vector<int>{80, 80 - 21});
@@ -178,44 +183,45 @@
 }
 
 TEST_CASE(
-    "route: a closed one gives a retry-after, a failing one fails most calls, and both warm up afterwards",
+    "simulated host: an unavailable host gives a retry-after, a failing one fails most calls, and both warm "
+    "up afterwards",
     "[model]") {
-  SimulatedHost route(SmallHost(), 2, 3);
-  RandomStream dice(1, "t");
-  route.StartOutage(10s, 1, 15s);
-  const SimulatedHost::CallResult closed = route.HandleCall(12s, dice);
-  CHECK(closed.status == 429);
-  CHECK(closed.retry_after == 3s);
-  CHECK_FALSE(closed.over_limit);
-  route.EndOutage(15s);
-  CHECK(route.CapacityShare(15s) == Approx(0.25));
-  CHECK(route.CapacityShare(20s) == Approx(0.625));
-  CHECK(route.CapacityShare(26s) == Approx(1));
+  SimulatedHost simulated_host(SmallHost(), 2, 3);
+  RandomStream random(1, "t");
+  simulated_host.StartOutage(10s, 1, 15s);
+  const SimulatedHost::CallResult refused = simulated_host.HandleCall(12s, random);
+  CHECK(refused.status == 429);
+  CHECK(refused.retry_after == 3s);
+  CHECK_FALSE(refused.over_limit);
+  simulated_host.EndOutage(15s);
+  CHECK(simulated_host.CapacityShare(15s) == Approx(0.25));
+  CHECK(simulated_host.CapacityShare(20s) == Approx(0.625));
+  CHECK(simulated_host.CapacityShare(26s) == Approx(1));
   SimulatedHost failing(SmallHost(), 2, 3);
   failing.StartOutage(10s, 0.9, 60s);
   int failed = 0;
-  for (int i = 0; i < 40; ++i) failed += failing.HandleCall(10s + 1s * i, dice).status == 500;
+  for (int i = 0; i < 40; ++i) failed += failing.HandleCall(10s + 1s * i, random).status == 500;
   CHECK(failed > 30);
   CHECK(failed < 40);
 }
 
-TEST_CASE("route: an overload makes it collapse during the warm-up, but not afterwards", "[model]") {
-  RandomStream dice(1, "t");
+TEST_CASE("simulated host: an overload makes it collapse during the warm-up, but not afterwards", "[model]") {
+  RandomStream random(1, "t");
   const auto collapses_under = [&](Time from, Time interval) {
-    SimulatedHost route(SmallHost(), 2, 3);
-    route.StartOutage(1s, 1, 5s);
-    route.EndOutage(5s);
+    SimulatedHost simulated_host(SmallHost(), 2, 3);
+    simulated_host.StartOutage(1s, 1, 5s);
+    simulated_host.EndOutage(5s);
     for (Time at = from; at < from + 4s; at += interval) {
-      if (route.HandleCall(at, dice).collapsed) {
-        CHECK(route.collapsed());
-        CHECK(route.HandleCall(at + 60s, dice).status == 503);  // it stays down
+      if (simulated_host.HandleCall(at, random).collapsed) {
+        CHECK(simulated_host.collapsed());
+        CHECK(simulated_host.HandleCall(at + 60s, random).status == 503);  // it stays down
         return true;
       }
     }
     return false;
   };
-  // It collapses at twice a quarter of 5 calls a second for 3 s, which is 7.5 calls, plus a margin for
-  // chance.
+  // It collapses at twice a quarter of 5 calls per second for 3 s, which is 7.5 calls, plus a margin for
+  // random variation.
   CHECK(collapses_under(5s, 100ms));
   CHECK_FALSE(collapses_under(5s, 400ms));
   CHECK_FALSE(collapses_under(20s, 100ms));
@@ -223,7 +229,7 @@
 
 TEST_CASE("scenario: an error names file, line and key", "[model]") {
   TemporaryFolder folder;
-  const auto fault = [&](const std::string& text) {
+  const auto error_of = [&](const std::string& text) {
     try {
       model::ReadScenario(folder.Write("s.yaml", text));
     } catch (const model::Error& error) {
@@ -231,21 +237,23 @@
     }
     return std::string("none");
   };
-  CHECK(fault("length: 20s\nrelays: 2\n") == "none");
-  CHECK(fault("lenght: 20s\n") == "s.yaml:1: lenght: is not a known key");
-  CHECK(fault("length: 20\n").find("s.yaml:1: length: must be a span") == 0);
-  CHECK(fault("length: [20s, 10s]\n") == "s.yaml:1: length: must not begin above its end");
-  CHECK(fault("length: 20s\ntraffic:\n  load: much\n").find("s.yaml:3: traffic.load: must be a number") == 0);
-  CHECK(fault("relays: 0\n").find("s.yaml:1: relays: ") == 0);
-  CHECK(fault("traffic: {shape: round}\n") ==
+  CHECK(error_of("length: 20s\nrelays: 2\n") == "none");
+  CHECK(error_of("lenght: 20s\n") == "s.yaml:1: lenght: is not a known key");
+  CHECK(error_of("length: 20\n").find("s.yaml:1: length: must be a span") == 0);
+  CHECK(error_of("length: [20s, 10s]\n") == "s.yaml:1: length: must not begin above its end");
+  CHECK(error_of("length: 20s\ntraffic:\n  load: much\n").find("s.yaml:3: traffic.load: must be a number") ==
+        0);
+  CHECK(error_of("relays: 0\n").find("s.yaml:1: relays: ") == 0);
+  CHECK(error_of("traffic: {shape: round}\n") ==
         "s.yaml:1: traffic.shape: must be steady, wave, bursty or ramp");
-  CHECK(fault("troubles:\n  - earthquake: {at: 1s, for: 1s}\n")
+  CHECK(error_of("troubles:\n  - earthquake: {at: 1s, for: 1s}\n")
             .find("s.yaml:2: troubles.earthquake: must be one of ") == 0);
-  CHECK(fault("troubles:\n  - list_behind: {for: 1s}\n") == "s.yaml:2: troubles.list_behind.at: is missing");
-  CHECK(fault("troubles:\n  - list_behind: {at: 1s, for: 1s, share: 1}\n") ==
+  CHECK(error_of("troubles:\n  - list_behind: {for: 1s}\n") ==
+        "s.yaml:2: troubles.list_behind.at: is missing");
+  CHECK(error_of("troubles:\n  - list_behind: {at: 1s, for: 1s, share: 1}\n") ==
         "s.yaml:2: troubles.list_behind.share: is not a known key");
-  CHECK(fault("relay: {aim: 5s, deadline: 2s}\n").find("s.yaml:1: relay.deadline: ") == 0);
-  CHECK(fault("a: [\n").find("s.yaml:2: YAML: ") == 0);
+  CHECK(error_of("relay: {aim: 5s, deadline: 2s}\n").find("s.yaml:1: relay.deadline: ") == 0);
+  CHECK(error_of("a: [\n").find("s.yaml:2: YAML: ") == 0);
 }
 
 TEST_CASE("day: adding a fault does not change the other random draws", "[model]") {
@@ -276,18 +284,18 @@
   const model::Day even = draw("traffic: {load: 1}\n");
   const model::Day uneven = draw("traffic: {load: 1, beside: 0.5, times: 5}\n");
   REQUIRE(even.arrivals.size() == uneven.arrivals.size());
-  std::map<int, double> messages_of;
+  std::map<int, double> message_counts;
   for (std::size_t i = 0; i < even.arrivals.size(); ++i) {
     CHECK(even.arrivals[i].local_relay == -1);
     CHECK(even.arrivals[i].due == uneven.arrivals[i].due);
-    messages_of[uneven.arrivals[i].local_relay] += 1;
+    message_counts[uneven.arrivals[i].local_relay] += 1;
   }
   const double balanced_share =
-      messages_of[-1] / 20;  // share of each relay in the messages that the load balancer distributes
-  messages_of.erase(-1);
-  CHECK(messages_of.size() >= 5);
-  CHECK(messages_of.size() <= 15);
-  for (const auto& [relay, messages] : messages_of)
+      message_counts[-1] / 20;  // share of each relay in the messages that the load balancer distributes
+  message_counts.erase(-1);
+  CHECK(message_counts.size() >= 5);
+  CHECK(message_counts.size() <= 15);
+  for (const auto& [relay, messages] : message_counts)
     CHECK(messages / balanced_share == Approx(4).epsilon(0.4));
 }
 
@@ -296,10 +304,10 @@
 TEST_CASE("day: only hosts that exist from the start drain on days with random faults", "[model]") {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const model::Day day = model::DrawDay(model::DrawSoak(seed), seed);
-    for (const model::ScheduledEvent& turn : day.scheduled_events) {
-      if (turn.kind != model::ScheduledEvent::Kind::kDrainHost) continue;
-      INFO("seed " << seed << ", host " << turn.index);
-      CHECK(day.hosts[static_cast<std::size_t>(turn.index)].present_at_start);
+    for (const model::ScheduledEvent& event : day.scheduled_events) {
+      if (event.kind != model::ScheduledEvent::Kind::kDrainHost) continue;
+      INFO("seed " << seed << ", host " << event.index);
+      CHECK(day.hosts[static_cast<std::size_t>(event.index)].present_at_start);
     }
   }
 }
@@ -325,10 +333,11 @@
   const std::string yaml =
       "length: 12s\ntroubles:\n  - relays_killed: {at: 4s, for: 3s, share: 0.4}\n"
       "  - partners_fail: {at: 3s, for: 5s, share: 0.3}\n";
-  const SimulatedDay once = SimulateDay(yaml, 3), twice = SimulateDay(yaml, 3), other = SimulateDay(yaml, 4);
+  const SimulatedDay once = SimulateDay(yaml, 3), twice = SimulateDay(yaml, 3),
+                     other_seed = SimulateDay(yaml, 4);
   CHECK(once.Trace().size() > 10'000);
   CHECK(once.Trace() == twice.Trace());
-  CHECK(once.Trace() != other.Trace());
+  CHECK(once.Trace() != other_seed.Trace());
 }
 
 TEST_CASE("simulation: the relays break no rule under any kind of fault", "[model]") {
@@ -372,24 +381,24 @@
   };
   for (const Case& test_case : cases) {
     for (const std::uint64_t seed : {1, 2}) {
-      const SimulatedDay played = SimulateDay(test_case.yaml, seed);
-      INFO(test_case.yaml << "seed " << seed << "\n" << Describe(played.outcome));
-      CHECK(played.outcome.breaches.empty());
-      CHECK(played.outcome.crash.empty());
-      CHECK_FALSE(played.outcome.cut_short);
-      CHECK(CountEvents(played, test_case.expected_event) >= test_case.min_count);
-      CHECK(played.outcome.figures.worth_share > 0.5);
+      const SimulatedDay simulated_day = SimulateDay(test_case.yaml, seed);
+      INFO(test_case.yaml << "seed " << seed << "\n" << Describe(simulated_day.outcome));
+      CHECK(simulated_day.outcome.breaches.empty());
+      CHECK(simulated_day.outcome.crash.empty());
+      CHECK_FALSE(simulated_day.outcome.cut_short);
+      CHECK(CountEvents(simulated_day, test_case.expected_event) >= test_case.min_count);
+      CHECK(simulated_day.outcome.figures.worth_share > 0.5);
     }
   }
 }
 
 TEST_CASE("simulation: messages accepted by a relay that is killed still end", "[model]") {
-  const SimulatedDay played = SimulateDay(
+  const SimulatedDay simulated_day = SimulateDay(
       "length: 12s\ntraffic: {load: 1}\ntroubles:\n  - relays_killed: {at: 6s, for: 3s, share: 1}\n", 1);
-  INFO(Describe(played.outcome));
-  CHECK(played.outcome.breaches.empty());
+  INFO(Describe(simulated_day.outcome));
+  CHECK(simulated_day.outcome.breaches.empty());
   std::set<std::string> accepted, ended, open_at_exit;
-  for (const trace::Event& event : played.events) {
+  for (const trace::Event& event : simulated_day.events) {
     if (event.kind == trace::Event::Kind::kAccepted) accepted.insert(event.id);
     if (event.kind == trace::Event::Kind::kNoticeReceived) ended.insert(event.id);
     if (event.kind == trace::Event::Kind::kAnswered && event.status == 200) ended.insert(event.id);
--- a/tests/lab/pool_test.cpp
+++ b/tests/lab/pool_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the endpoint transport with a real event loop and relay, in which the test chooses the order of
+// Tests of the endpoint transport with a real event loop and a real relay. The test controls the order of
 // events.
 #include "endpoint/pool.hpp"
 
