--- a/tests/relay/client_crossing_test.cpp
+++ b/tests/relay/client_race_test.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 #include <fstream>
 
-#include "crossing.hpp"
+#include "race_fixture.hpp"
 
 namespace oxbowspread::testing {
 namespace {
--- a/tests/relay/endpoint_crossing_test.cpp
+++ b/tests/relay/endpoint_race_test.cpp
@@ -3,7 +3,7 @@
 // relay's last wait for events.
 #include <catch2/catch.hpp>
 
-#include "crossing.hpp"
+#include "race_fixture.hpp"
 #include "tracer.hpp"
 
 namespace oxbowspread::testing {
--- a/tests/relay/fleet.hpp
+++ b/tests/relay/fleet.hpp
@@ -7,7 +7,7 @@
 #include <deque>
 #include <string>
 
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -14,7 +14,7 @@
 #include "handover/handover_receiver.hpp"
 #include "handover/handover_sender.hpp"
 #include "journal/folder_lock.hpp"
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 namespace {
--- a/tests/relay/list_deadline_test.cpp
+++ b/tests/relay/list_deadline_test.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 
 #include "fleet.hpp"
-#include "rig.hpp"
+#include "relay_harness.hpp"
 #include "tracer.hpp"
 
 namespace oxbowspread::testing {
--- a/tests/relay/list_lease_test.cpp
+++ b/tests/relay/list_lease_test.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 
 #include "fleet.hpp"
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 namespace {
--- a/tests/relay/list_crossing_test.cpp
+++ b/tests/relay/list_race_test.cpp
@@ -2,7 +2,7 @@
 // refuses repeatedly, sends a list older than the known one, or moves while a change is in transit.
 #include <catch2/catch.hpp>
 
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 namespace {
--- a/tests/relay/management_test.cpp
+++ b/tests/relay/management_test.cpp
@@ -13,7 +13,7 @@
 #include "journal/journal.hpp"
 #include "management/command_reader.hpp"
 #include "relay/table.hpp"
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 namespace {
--- a/tests/relay/crossing.hpp
+++ b/tests/relay/race_fixture.hpp
@@ -4,7 +4,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 
--- a/tests/relay/crossing_test.cpp
+++ b/tests/relay/race_test.cpp
@@ -1,11 +1,11 @@
 // Events that coincide: the relay is suspended (SIGSTOP) while bytes, connections and signals arrive, and
 // finds all of them at once when it resumes.
-#include "crossing.hpp"
-
 #include <sys/wait.h>
 
 #include <catch2/catch.hpp>
 
+#include "race_fixture.hpp"
+
 namespace oxbowspread::testing {
 namespace {
 
--- a/tests/relay/record_crossing_test.cpp
+++ b/tests/relay/record_race_test.cpp
@@ -6,7 +6,7 @@
 #include <catch2/catch.hpp>
 #include <csignal>
 
-#include "crossing.hpp"
+#include "race_fixture.hpp"
 #include "tracer.hpp"
 
 namespace oxbowspread::testing {
--- a/tests/relay/rig.cpp
+++ b/tests/relay/relay_harness.cpp
@@ -1,4 +1,4 @@
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 namespace {
--- a/tests/relay/restart_crossing_test.cpp
+++ b/tests/relay/restart_race_test.cpp
@@ -7,7 +7,7 @@
 #include <csignal>
 #include <filesystem>
 
-#include "crossing.hpp"
+#include "race_fixture.hpp"
 
 namespace oxbowspread::testing {
 namespace {
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -5,7 +5,7 @@
 #include <catch2/catch.hpp>
 
 #include "relay/classes.hpp"
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 namespace {
--- a/tests/relay/tracer.hpp
+++ b/tests/relay/tracer.hpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-#include "rig.hpp"
+#include "relay_harness.hpp"
 
 namespace oxbowspread::testing {
 
