--- a/src/handover/channel.hpp
+++ b/src/handover/channel.hpp
@@ -1,5 +1,5 @@
 // Transport for handover packets and descriptors: a Unix-domain socket in the state folder. The packets
-// themselves are defined in record.hpp.
+// are defined in packets.hpp.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "handover/record.hpp"
+#include "handover/packets.hpp"
 #include "net/loop.hpp"
 
 namespace oxbowspread::handover {
--- a/src/handover/handover_sender.hpp
+++ b/src/handover/handover_sender.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "handover/record.hpp"
+#include "handover/packets.hpp"
 
 namespace oxbowspread::handover {
 
--- a/src/handover/record.cpp
+++ b/src/handover/packets.cpp
@@ -1,4 +1,4 @@
-#include "handover/record.hpp"
+#include "handover/packets.hpp"
 
 #include <nlohmann/json.hpp>
 #include <stdexcept>
