--- a/src/management/command_reader.cpp
+++ b/src/management/command_reader.cpp
@@ -22,13 +22,13 @@
 void CommandReader::OnLine() {
   if (!line_.empty() && line_.back() == '\r') line_.pop_back();
   for (const char c : line_) {
-    if (c < ' ' || c > '~') return Fail("the line holds more than plain characters");
+    if (c < ' ' || c > '~') return Fail("the line contains a character that is not printable ASCII");
   }
   std::istringstream words(line_);
-  std::string more;
+  std::string second_argument;
   words >> command_.name >> command_.argument;
   if (command_.name.empty()) return Fail("the line is empty");
-  if (words >> more) return Fail("a call is a word and one argument at most");
+  if (words >> second_argument) return Fail("a command is a name and at most one argument");
   state_ = State::kComplete;
 }
 
--- a/src/management/command_reader.hpp
+++ b/src/management/command_reader.hpp
@@ -7,19 +7,20 @@
 
 namespace oxbowspread::management {
 
+// A command as the operator sent it; whether the name exists is not checked here.
 struct Command {
   std::string name, argument;
 };
 
-// Is fed bytes until the line is complete or invalid; after that it consumes nothing. Throws nothing except
-// std::bad_alloc.
+// Parses the bytes of one connection until the line is complete or invalid, and consumes nothing after that.
+// Throws nothing except std::bad_alloc.
 class CommandReader {
  public:
   enum class State { kIncomplete, kComplete, kInvalid };
 
-  static constexpr std::size_t kMaxLineBytes = 256;  // without the line end
+  static constexpr std::size_t kMaxLineBytes = 256;  // excluding the newline
 
-  // Consumes bytes up to the end of the line at most; returns the number consumed.
+  // Consumes bytes up to the end of the line at most. Returns the number of bytes consumed.
   std::size_t Feed(std::string_view bytes);
   State state() const { return state_; }
   // Why the line is invalid, as text for the operator.
--- a/src/management/management_server.cpp
+++ b/src/management/management_server.cpp
@@ -4,13 +4,14 @@
 
 namespace oxbowspread::management {
 
+// An operator's connection, which is closed after its answer.
 struct ManagementServer::Client final : net::Connection::Handler {
   Client(ManagementServer& owner, int fd, std::uint64_t client_number)
       : server(owner),
         number(client_number),
         connection(owner.loop_, fd, *this, kBufferBytes),
         timeout(owner.loop_, [this] {
-          SendLine("error no whole line within 3 s");
+          SendLine("error no complete line within 3 s");
           server.Remove(*this);
         }) {
     connection.Prioritize();
@@ -19,7 +20,8 @@
   void OnBytes(proto::RingBuffer& in) override {
     while (!in.empty() && reader.state() == CommandReader::State::kIncomplete)
       in.Consume(reader.Feed(in.Front()));
-    in.Consume(in.size());  // discards what follows the line; unread bytes would turn the close into a reset
+    // Discards what follows the line: closing a socket with unread bytes would reset the connection.
+    in.Consume(in.size());
     if (reader.state() == CommandReader::State::kIncomplete) return;
     std::optional<std::string> error;
     if (reader.state() == CommandReader::State::kInvalid) {
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -10,16 +10,16 @@
 
 using namespace std::chrono_literals;
 
-// A list with an older version than the known one comes from a lagging discovery; applying it would bring
-// draining hosts back. If only older versions arrive for this long, discovery has restarted its version
-// count. Until then only the drains and removals of such lists are applied: see relay::Relay.
+// A list with an older version than the known list comes from a discovery that lags. Applying it would make
+// draining hosts usable again, so only its drains and removals are applied: see relay::Relay. If only older
+// versions arrive for this long, discovery has restarted its version count, and the full list is requested.
 constexpr net::Time kMaxStaleTime = 10s;
 constexpr std::size_t kMaxObjectBytes = 4u << 20;
-// Discovery closes its old connections 1.5 s after its address has changed; what it has written to them by
-// then counts as known to the relay.
+// Discovery closes the connections to its previous address 1.5 s after the address has changed. Everything
+// that it has written to them by then counts as known to the relay.
 constexpr net::Time kDetachedCallTimeout = 2s;
-// A connection that is not established within this time counts as failed: on loopback and within a data
-// centre it takes far less.
+// A connection that is not established within this time counts as failed. On loopback and within a data
+// centre it takes far less time.
 constexpr net::Time kConnectTimeout = 1s;
 
 }  // namespace
@@ -60,8 +60,9 @@
   StepSubscription(Subscription::Moved{});
 }
 
-// A list may still be in transit, and a drain in it counts from when it was written. So calls to the old
-// address stay open until discovery closes them, and the drains that they bring are applied.
+// A list may still be in transit, and a drain in it is in effect from the time at which discovery wrote it.
+// Calls to the previous address therefore stay open until discovery closes them, and the drains that arrive
+// on them are applied.
 void DiscoveryClient::DetachCalls() {
   for (std::unique_ptr<Call>& call : std::exchange(calls_, {})) {
     LogEnd(*call, CallEnd::kServerChanged);
@@ -100,15 +101,14 @@
 
 void DiscoveryClient::StepSubscription(const Subscription::Event& event) {
   if (subscription_ == nullptr) return;
-  for (const Subscription::Call& call : subscription_->Step(net::Loop::Now(), event)) Open(call);
+  for (const Subscription::Call& call : subscription_->Step(net::Loop::Now(), event)) OpenCall(call);
   const net::Time next_step_at = subscription_->alarm();
   if (next_step_at == net::Time::max()) return subscription_timer_.Stop();
   subscription_timer_.At(next_step_at);
 }
 
-// The earliest time at which the data of this call may have arrived. After a stall of the process it may have
-// been unread for a while; if it counted as received now, a heartbeat would confirm the list for changes that
-// discovery made after it.
+// After a stall of the process the bytes may have been unread for a while. If they counted as received now, a
+// heartbeat would confirm the list even for changes that discovery made after it sent the heartbeat.
 net::Time DiscoveryClient::EarliestArrivalOn(const Call& call) const {
   return std::max(loop_.earliest_arrival(), call.started());
 }
@@ -135,13 +135,14 @@
   }
   const Lease::Event refused = Lease::Refused(call.started(), EarliestArrivalOn(call));
   const bool refused_late = std::holds_alternative<Lease::RefusedLate>(refused);
-  // A connection that is closed immediately may have failed on the network, so it is no refusal.
+  // A connection that is closed immediately may have failed on the network, so it does not count as a
+  // refusal.
   if (end == CallEnd::kRefused || (end == CallEnd::kClosed && refused_late)) StepLease(refused);
 }
 
 void DiscoveryClient::OnLeaseExpired() {
   counters_.list_leases_expired += 1;
-  std::cout << "list: not confirmed for too long, no call begins" << std::endl;
+  std::cout << "list: not confirmed for too long, no new calls to hosts are made" << std::endl;
 }
 
 const DiscoveryClient::Call* DiscoveryClient::FindUnconnectedCall() const {
@@ -151,8 +152,8 @@
   return it == calls_.end() ? nullptr : it->get();
 }
 
-void DiscoveryClient::Open(const Subscription::Call& call) {
-  // A new call while a subscription exists means that the subscription is silent.
+void DiscoveryClient::OpenCall(const Subscription::Call& call) {
+  // A new call is requested during a subscription only if the subscription is silent.
   if (subscription_->subscription() != 0) StepLease(wheathub::ListLease::SubscriptionBroken{});
   if (const Call* const unconnected = FindUnconnectedCall()) {
     StepLease(wheathub::ListLease::Unreachable{}, EarliestArrivalOn(*unconnected));
@@ -165,8 +166,8 @@
   std::cout << "list: call " << call.number << " to " << server_.host << " from version " << revision_
             << std::endl;
   calls_.push_back(std::make_unique<Call>(*this, call.number));
-  // Without a socket the call has failed already.
-  if (!calls_.back()->Open(server_, revision_)) OnFailed(call.number, CallEnd::kNoSocket);
+  // Without a socket the call has already failed.
+  if (!calls_.back()->Open(server_, revision_)) OnCallFailed(call.number, CallEnd::kNoSocket);
 }
 
 const char* DiscoveryClient::NameOf(CallEnd end) {
@@ -177,11 +178,11 @@
 }
 
 void DiscoveryClient::LogEnd(const Call& call, CallEnd end) {
-  std::cout << "list: call " << call.number() << " over after " << call.age() / 1ms << " ms: " << NameOf(end)
+  std::cout << "list: call " << call.number() << " ended after " << call.age() / 1ms << " ms: " << NameOf(end)
             << std::endl;
 }
 
-DiscoveryClient::Call* DiscoveryClient::Find(CallNumber number) const {
+DiscoveryClient::Call* DiscoveryClient::FindCall(CallNumber number) const {
   const auto it = std::find_if(calls_.begin(), calls_.end(),
                                [number](const auto& call) { return call->number() == number; });
   return it == calls_.end() ? nullptr : it->get();
@@ -206,11 +207,12 @@
   }
 }
 
-// This call is the subscription now; the others are closed, after what has arrived on them was processed.
-void DiscoveryClient::OnReceived(CallNumber number) {
+// Makes this call the subscription. The other calls are closed after the bytes that have arrived on them are
+// processed.
+void DiscoveryClient::OnMessageReceived(CallNumber number) {
   last_received_at_ = net::Loop::Now();
   if (subscription_ == nullptr) return;
-  const Call* const received_on = Find(number);
+  const Call* const received_on = FindCall(number);
   StepLease(wheathub::ListLease::Confirmed{},
             received_on == nullptr ? net::Loop::Now() : EarliestArrivalOn(*received_on));
   const CallNumber previous_subscription = subscription_->subscription();
@@ -228,9 +230,9 @@
   }
 }
 
-void DiscoveryClient::OnFailed(CallNumber number, CallEnd end) {
+void DiscoveryClient::OnCallFailed(CallNumber number, CallEnd end) {
   counters_.list_failures += 1;
-  if (const Call* call = Find(number)) ReportCallEndToLease(*call, end);
+  if (const Call* call = FindCall(number)) ReportCallEndToLease(*call, end);
   CloseCall(number, end);
   StepSubscription(Subscription::Failed{number});
 }
@@ -254,7 +256,7 @@
   return true;
 }
 
-// The drains of this list hold until a list from the new address arrives, or for kMaxStaleTime.
+// The drains of this list apply until a list from the new address arrives, or for kMaxStaleTime.
 bool DiscoveryClient::ApplyStaleList(std::string_view text) {
   const auto list = ParseHostList(text, names_);
   if (!list) return false;
@@ -263,7 +265,7 @@
   return true;
 }
 
-// Logs the same entries only once, however often they are received.
+// Logs the same entries only once, no matter how often they are received.
 void DiscoveryClient::ReportInvalidEntries(const std::vector<std::string>& entries) {
   counters_.list_entries_unreadable += entries.size();
   if (entries.empty() || entries.front() == last_reported_invalid_) return;
@@ -294,7 +296,8 @@
   Close();
 }
 
-// Prioritized, so that a received change is applied before anything that depends on the list.
+// The connection is prioritized, so that a received change is applied before the loop handles anything that
+// depends on the list.
 void DiscoveryClient::Call::OnConnected() {
   connected_ = true;
   connection_->Prioritize();
@@ -313,7 +316,7 @@
   if (head.status != 200) Finish(CallEnd::kRefused);
 }
 
-// Only complete messages show that discovery is alive: a list, a change, or an empty line after the first
+// Only a complete message shows that discovery is alive: a list, a change, or an empty line after the first
 // list.
 void DiscoveryClient::Call::OnBody(std::string_view bytes) {
   if (finished_) return;
@@ -326,11 +329,11 @@
   }
   if (detached_) return;
   received_list_ = received_list_ || !batch.objects.empty();
-  const bool has_complete_part = !batch.objects.empty() || batch.empty_lines > 0;
-  if (received_list_ && has_complete_part && !finished_) discovery_.OnReceived(number_);
+  const bool has_complete_message = !batch.objects.empty() || batch.empty_lines > 0;
+  if (received_list_ && has_complete_message && !finished_) discovery_.OnMessageReceived(number_);
 }
 
-// A subscription lasts as long as its response: a complete response means that it has ended.
+// A subscription lasts as long as its response, so a complete response means that the subscription has ended.
 void DiscoveryClient::Call::OnComplete(bool) { Finish(received_list_ ? CallEnd::kEnded : CallEnd::kClosed); }
 
 void DiscoveryClient::Call::OnClosed() {
@@ -341,7 +344,7 @@
 void DiscoveryClient::Call::Finish(CallEnd end) {
   if (std::exchange(finished_, true)) return;
   if (detached_) return discovery_.OnDetachedClosed(*this);
-  discovery_.OnFailed(number_, end);
+  discovery_.OnCallFailed(number_, end);
 }
 
 }  // namespace oxbowspread::routing
--- a/src/routing/discovery.hpp
+++ b/src/routing/discovery.hpp
@@ -22,27 +22,31 @@
 // Keeps the relay's routing table up to date. The loop, the counters and the attached relay must outlive it.
 class DiscoveryClient final {
  public:
+  // Where the discovery service listens.
   struct Server {
     net::Address address;
     std::string host;  // for the Host header
   };
 
   DiscoveryClient(net::Loop& loop, Server server, ZoneAndKindNames names, relay::Counters& counters);
+  // Sets the relay that receives the lists. Must be called before Start.
   void Attach(relay::Relay& relay) { relay_ = &relay; }
   // Sets the version of the list that is already known, before Start.
   void SetKnownRevision(std::int64_t revision) { revision_ = revision; }
   // Changes the names of zones and kinds for lists received from now on.
   void SetNames(ZoneAndKindNames names) { names_ = std::move(names); }
 
-  // Starts to keep the list up to date. `inherited` is set if another process did so until now.
+  // Starts to keep the list up to date. `inherited` is the lease of the process that did so until now, if
+  // this process takes over from one.
   void Start(const wheathub::ListSubscription::Options& options, std::uint64_t seed,
              const std::optional<wheathub::ListLease::Inherited>& inherited);
   // The time until which the list may be used.
   net::Time list_valid_until() const { return lease_.valid_until(); }
+  // Changes the timing of the subscription. Does nothing before Start.
   void SetOptions(const wheathub::ListSubscription::Options& options);
   // Changes the address of discovery.
   void SetServer(Server server);
-  // Closes all calls and makes no new ones.
+  // Closes all calls and opens no new ones.
   void Stop();
   // Time since the last complete message from discovery; up to 2 s in normal operation.
   net::Time time_since_received() const { return net::Loop::Now() - last_received_at_; }
@@ -58,23 +62,24 @@
     kRefused,        // with a status other than 200
     kClosed,         // by discovery, before it sent a list
     kUnreadable,     // invalid data was received
-    kEnded,          // the subscription was ended by discovery
+    kEnded,          // discovery has ended the subscription
     kGivenUp,        // no answer for too long
-    kSuperseded,     // another call was answered
+    kSuperseded,     // another call has become the subscription, or the client stops
     kServerChanged,  // discovery's address has changed
   };
   static const char* NameOf(CallEnd end);
 
-  // One call from connecting to closing. Becomes the subscription when it has received its first list.
+  // One HTTP call for the list, from connecting to closing. Becomes the subscription when it has received its
+  // first list.
   class Call final : public net::Connection::Handler, private proto::HttpResponseParser::Handler {
    public:
     Call(DiscoveryClient& discovery, CallNumber number);
     bool Open(const Server& server, std::int64_t from_revision);
     void Close();
-    // Processes what has arrived, then closes.
+    // Processes the bytes that have arrived, then closes the connection.
     void ReadAndClose();
-    // Discovery's address has changed: drains that still arrive on this call are applied, but it no longer
-    // counts as a sign that discovery is alive.
+    // Called when discovery's address has changed. Drains that still arrive on this call are applied, but its
+    // messages no longer show that discovery is alive.
     void Detach() { detached_ = true; }
     CallNumber number() const { return number_; }
     net::Time age() const { return net::Loop::Now() - started_; }
@@ -96,40 +101,43 @@
     DiscoveryClient& discovery_;
     CallNumber number_;
     net::Time started_ = net::Loop::Now();
-    bool connected_ = false;  // the connection was established, even if it is closed now
+    bool connected_ = false;  // the connection has been established, even if it is closed by now
     bool finished_ = false;
     bool detached_ = false;
     proto::HttpResponseParser parser_;
     std::unique_ptr<net::Connection> connection_;
     std::string request_;
     JsonStreamSplitter stream_;
-    bool received_list_ = false;  // until then nothing counts as an answer
+    bool received_list_ = false;  // no received byte counts as an answer before the first list
   };
 
   void StepSubscription(const Subscription::Event& event);
-  // Reports to the lease what the end of that call says about discovery.
+  // Passes the event that follows from the end of that call, if any, to the lease.
   void ReportCallEndToLease(const Call& call, CallEnd end);
   void StepLease(const wheathub::ListLease::Event& event) { StepLease(event, net::Loop::Now()); }
   void StepLease(const wheathub::ListLease::Event& event, net::Time event_time);
-  // Earliest time at which the data received on that call may have arrived.
+  // Returns the earliest time at which bytes that are now read from that call may have arrived.
   net::Time EarliestArrivalOn(const Call& call) const;
   void OnLeaseExpired();
-  // A call that has been connecting for so long that discovery counts as unreachable; null without one.
+  // Returns a call that has been connecting for so long that discovery counts as unreachable; null if there
+  // is none.
   const Call* FindUnconnectedCall() const;
-  void Open(const Subscription::Call& call);
-  Call* Find(CallNumber number) const;
-  // Keeps the open calls to the previous address apart until discovery closes them.
+  void OpenCall(const Subscription::Call& call);
+  Call* FindCall(CallNumber number) const;
+  // Moves the open calls to detached_calls_, where they stay until discovery closes them or a time-out.
   void DetachCalls();
   void CloseDetached();
   void OnDetachedClosed(const Call& call);
-  // Applies only the drains and removals of a list. False if it can't be parsed.
+  // Applies only the drains and removals of a list. Returns false if it can't be parsed.
   bool ApplyStaleList(std::string_view text);
   void CloseCall(CallNumber number, CallEnd end);
   void CloseAll(CallEnd end);
-  void OnReceived(CallNumber number);
-  void OnFailed(CallNumber number, CallEnd end);
+  // A complete message has arrived on that call.
+  void OnMessageReceived(CallNumber number);
+  // That call has failed, or discovery has ended it.
+  void OnCallFailed(CallNumber number, CallEnd end);
   static void LogEnd(const Call& call, CallEnd end);
-  // Passes a list on to the relay. False if it can't be parsed.
+  // Passes a list on to the relay. Returns false if it can't be parsed.
   bool ApplyList(std::string_view text);
   void ReportInvalidEntries(const std::vector<std::string>& entries);
 
@@ -145,11 +153,11 @@
   std::int64_t revision_ = 0;
   net::Time started_ = net::Loop::Now();
   net::Time last_received_at_ = started_;
-  std::string last_reported_invalid_;  // the id logged last
+  std::string last_reported_invalid_;  // id of the invalid entry that was logged last
   net::Timer subscription_timer_;
   net::Timer lease_timer_;
   net::Timer detach_timer_;
-  net::Timer stale_timer_;  // runs while all received lists are older than the known one
+  net::Timer stale_timer_;  // runs while all received lists are older than the known list
 };
 
 }  // namespace oxbowspread::routing
--- a/src/routing/list.cpp
+++ b/src/routing/list.cpp
@@ -10,6 +10,8 @@
 
 using Json = nlohmann::json;
 
+// Returns the entry's zone or kind as an index. A number is used as it is, a name is looked up in `names`.
+// The default is 0.
 int IndexOf(const Json& entry, const char* key, const std::vector<std::string>& names) {
   const auto it = entry.find(key);
   if (it == entry.end()) return 0;
@@ -18,15 +20,15 @@
   const auto text = it->get<std::string>();
   const auto name = std::find(names.begin(), names.end(), text);
   if (name != names.end()) return static_cast<int>(name - names.begin());
-  // A name that is not in the settings gets an index of its own: two unknown zones must not count as the
-  // same.
+  // A name that is not in the settings gets an index of its own, because two unknown zones must not be
+  // treated as the same zone.
   return static_cast<int>(names.size() + std::hash<std::string>()(text) % 1'000'000);
 }
 
-wheathub::Lifecycle ParseLifecycle(const std::string& word) {
-  if (word == "Ready") return wheathub::Lifecycle::kUp;
+wheathub::Lifecycle ParseLifecycle(const std::string& state) {
+  if (state == "Ready") return wheathub::Lifecycle::kUp;
   // A host in an unknown state counts as draining, so that nothing is sent to it.
-  return word == "Gone" ? wheathub::Lifecycle::kRemoved : wheathub::Lifecycle::kDraining;
+  return state == "Gone" ? wheathub::Lifecycle::kRemoved : wheathub::Lifecycle::kDraining;
 }
 
 // Throws Json::exception if a field has the wrong type.
@@ -42,13 +44,15 @@
   return host;
 }
 
+// Returns the entry's id; empty if it has none.
 std::string IdOf(const Json& entry) {
   if (!entry.is_object() || !entry.contains("id") || !entry["id"].is_string()) return {};
   return entry["id"].get<std::string>();
 }
 
-// An invalid entry must not hide the other entries or the drain of one of them. Its own host counts as
-// draining, so that it gets no new calls.
+// Adds the entry to the list. An invalid entry must not prevent the other entries from being applied, because
+// one of them may be a drain. The invalid entry's own host is added as draining, so that it gets no new
+// calls.
 void ParseEntry(const Json& entry, const ZoneAndKindNames& names, HostList* list) {
   const std::string id = IdOf(entry);
   if (id.empty()) return list->invalid_entries.push_back("one without an id");
