--- a/src/handover/channel.cpp
+++ b/src/handover/channel.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr int kSendBufferBytes = 512 * 1024;  // must hold the largest packet
-// The largest packet is that of a client: its buffers and an incomplete command.
+// The largest packet is a ClientTransfer, which contains the client's buffers and an incomplete command.
 constexpr std::size_t kMaxPacketBytes = 256 * 1024;
 constexpr timeval kSendTimeout{0, 150'000};
 
@@ -109,7 +109,7 @@
   } catch (const std::invalid_argument&) {
     if (fd >= 0) close(fd);
   }
-  ended_ = true;  // the peer has closed, or sent an invalid packet
+  ended_ = true;  // the peer has closed the connection or sent an invalid packet
   return std::nullopt;
 }
 
--- a/src/handover/channel.hpp
+++ b/src/handover/channel.hpp
@@ -1,5 +1,5 @@
-// Transport for handover packets and descriptors: a Unix-domain socket in the state folder. The packets
-// are defined in packets.hpp.
+// Transport for handover packets and descriptors: a Unix-domain socket in the state folder. The packets are
+// defined in packets.hpp.
 #pragma once
 
 #include <chrono>
@@ -14,6 +14,7 @@
 
 using Timeout = std::chrono::milliseconds;
 
+// A received packet with the descriptor that was sent with it.
 struct Received {
   Packet packet;
   int fd = -1;  // owned by the receiver; -1 if none
@@ -23,17 +24,17 @@
 class Channel {
  public:
   explicit Channel(int fd);
-  // Connects to the process that serves from that folder; returns nothing if none listens there.
+  // Connects to the process that serves from that state folder. Returns nothing if no process listens there.
   static std::optional<Channel> Connect(const std::string& folder);
   ~Channel() { Close(); }
   Channel(Channel&& other) noexcept;
   Channel& operator=(Channel&&) = delete;
 
-  // Sends a packet, with a descriptor unless `fd` is -1; the descriptor stays owned by the caller. Blocks for
-  // up to 150 ms. Returns false if the peer has gone or does not read.
+  // Sends a packet, with a descriptor unless `fd` is -1. The caller keeps ownership of the descriptor. Blocks
+  // for up to 150 ms. Returns false if the peer has closed the connection or does not read.
   bool Send(const Packet& packet, int fd = -1);
-  // Receives the next packet within the timeout. Returns nothing if none arrived; ended() then tells whether
-  // more can follow.
+  // Receives the next packet within the timeout. Returns nothing if none arrived; if ended() is true then, no
+  // more packets can follow.
   std::optional<Received> Receive(Timeout timeout);
   bool ended() const { return ended_; }
   int fd() const { return fd_; }
@@ -44,12 +45,12 @@
   bool ended_ = false;
 };
 
-// Accepts connections from a process that wants to take over. A socket file left by a dead process is
+// Accepts connections from processes that want to take over. A socket file left by a dead process is
 // replaced.
 class ChannelListener {
  public:
   using ConnectHandler = std::function<void(Channel channel)>;
-  // Throws std::system_error.
+  // Listens in that state folder. Throws std::system_error if that is not possible.
   ChannelListener(net::Loop& loop, const std::string& folder, ConnectHandler on_connect);
   ~ChannelListener() { Close(); }
   ChannelListener(const ChannelListener&) = delete;
--- a/src/handover/handover_receiver.hpp
+++ b/src/handover/handover_receiver.hpp
@@ -1,5 +1,5 @@
-// Receiving side of a handover, up to the transfer of ownership, as a state machine without I/O: it is fed
-// packets and returns what to answer.
+// Receiving side of a handover, up to the transfer of ownership, as a state machine without I/O: it processes
+// received packets and returns the answers to send.
 #pragma once
 
 #include <optional>
@@ -17,8 +17,8 @@
     kRequested,  // request sent, nothing received
     kReceiving,  // receiving state chunks and clients
     kReady,      // everything has been received and parsed, but nothing is owned yet
-    kOwner,
-    kRefused  // the sender goes on serving; see refusal_reason()
+    kOwner,      // the sender has transferred the ownership
+    kRefused     // the sender continues to serve; see refusal_reason()
   };
 
   // Processes a packet with its descriptor, or -1; returns the answer to send, if any. An unexpected packet
@@ -27,8 +27,8 @@
 
   Phase phase() const { return phase_; }
   const std::string& refusal_reason() const { return refusal_reason_; }
-  // The state is complete in phase kOwner. Descriptors are owned by the caller from the first Feed on,
-  // whatever the final phase.
+  // The received state, which may be used only in phase kOwner. The caller owns the descriptors of the
+  // clients and of the lock in any phase.
   const relay::HandoverState& state() const { return state_; }
   const std::vector<client::ClientState>& clients() const { return clients_; }
   int lock_fd() const { return lock_fd_; }
--- a/src/handover/handover_sender.cpp
+++ b/src/handover/handover_sender.cpp
@@ -17,7 +17,8 @@
   }
   if (std::holds_alternative<OfferAccepted>(packet) && phase_ == Phase::kOffered) {
     phase_ = Phase::kCompleted;
-    // Ownership ends here before the packet is sent, so that two processes never own the state together.
+    // The ownership of this process ends before the packet is sent, so that two processes never own the state
+    // at the same time.
     owner_.CompleteHandover();
     return {{OwnershipTransferred(), -1}};
   }
--- a/src/handover/handover_sender.hpp
+++ b/src/handover/handover_sender.hpp
@@ -1,5 +1,5 @@
-// Sending side of a handover as a state machine without I/O: it is fed packets, returns the packets to send,
-// and tells its owner when to give up ownership.
+// Sending side of a handover as a state machine without I/O: it processes received packets, returns the
+// packets to send, and calls its owner when the ownership of the state ends.
 #pragma once
 
 #include <optional>
@@ -10,6 +10,7 @@
 
 namespace oxbowspread::handover {
 
+// A packet to send, with the descriptor to send with it.
 struct Outgoing {
   Packet packet;
   int fd = -1;  // sent with the packet; stays owned by the sender; -1 if none
@@ -18,30 +19,31 @@
 // State machine of the process that hands over.
 class HandoverSender {
  public:
-  // The process that hands over.
+  // Access to the state of the process that hands over.
   class Owner {
    public:
     virtual ~Owner() = default;
     // Returns why no handover is possible now; nothing if one is.
     virtual std::optional<std::string> RefusalReason() const = 0;
-    // Answers all waiting clients and returns the state. Until CompleteHandover the process must go on as if
-    // nothing had happened.
+    // Answers all waiting clients and returns the state. Until CompleteHandover is called, the process must
+    // be able to continue to serve.
     virtual relay::HandoverState PrepareHandover() = 0;
+    // Returns the connected clients. Their descriptors stay owned by the process.
     virtual std::vector<client::ClientState> Clients() const = 0;
-    // Descriptor of the lock of the state folder; stays owned by the process.
+    // Returns the descriptor of the lock of the state folder. It stays owned by the process.
     virtual int LockFd() const = 0;
-    // The receiver owns everything except the attempts in flight.
+    // Called when the receiver has accepted the offer: it now owns everything except the attempts in flight.
     virtual void CompleteHandover() = 0;
     // Cancels an attempt in flight without reporting its result.
     virtual void CancelAttempt(const std::string& id) = 0;
-    // The process that took over has gone.
+    // Called when the connection to the process that took over has ended.
     virtual void OnReceiverLost() = 0;
   };
 
   enum class Phase {
-    kIdle,     // no request received
-    kOffered,  // everything is sent, but this process remains the owner whatever happens
-    kCompleted
+    kIdle,      // no request received
+    kOffered,   // everything is sent, but this process remains the owner until the receiver accepts
+    kCompleted  // the receiver is the owner
   };
 
   // `owner` must outlast this object.
@@ -49,7 +51,7 @@
 
   // Processes a packet and returns the packets to send, in order. Unexpected packets are ignored.
   std::vector<Outgoing> Feed(const Packet& packet);
-  // The channel has ended or timed out.
+  // Must be called when the channel has ended or timed out. Withdraws an offer that was not accepted.
   void OnChannelClosed();
   Phase phase() const { return phase_; }
 
--- a/src/handover/handover_server.cpp
+++ b/src/handover/handover_server.cpp
@@ -13,7 +13,7 @@
 }
 
 void HandoverServer::OnConnect(Channel channel) {
-  if (channel_) return;  // one handover at a time; another process is disconnected and tries again
+  if (channel_) return;  // one handover at a time: another process is disconnected and has to try again
   channel_.emplace(std::move(channel));
   io_.start(channel_->fd(), ev::READ);
   timeout_timer_.After(kRequestTimeout);
@@ -32,13 +32,13 @@
   if (const auto* result = std::get_if<CommandResult>(&packet)) command_result_ = *result;
   const std::vector<Outgoing> outgoing = sender_.Feed(packet);
   if (completed()) {
-    // Must stop listening before the packet is sent, because the receiver listens there itself as soon as it
-    // gets it.
+    // This process must stop listening before the packet is sent, because the receiver listens at the same
+    // path as soon as it has received the packet.
     timeout_timer_.Stop();
     listener_.reset();
   }
-  for (const Outgoing& item : outgoing) {
-    if (!channel_->Send(item.packet, item.fd)) return CloseChannel();
+  for (const Outgoing& next : outgoing) {
+    if (!channel_->Send(next.packet, next.fd)) return CloseChannel();
   }
   if (sender_.phase() == HandoverSender::Phase::kOffered) {
     // Nothing else may be processed here until the receiver has accepted the offer or failed to.
@@ -61,7 +61,7 @@
 
 std::optional<std::string> HandoverServer::ForwardCommand(const std::string& command,
                                                           const std::string& argument) {
-  const std::string no_answer = "another process has taken over, and doesn't answer";
+  const std::string no_answer = "another process has taken over and does not answer";
   command_result_.reset();
   if (!channel_ || !channel_->Send(handover::OperatorCommand{command, argument})) return no_answer;
   const net::Time until = net::Loop::Now() + kCommandTimeout;
--- a/src/handover/handover_server.hpp
+++ b/src/handover/handover_server.hpp
@@ -1,5 +1,5 @@
-// The process that serves: listens for a process that wants to take over, hands over to it, and exchanges
-// packets with it afterwards.
+// Handover server of the process that serves: listens for a process that wants to take over, hands over to
+// it, and exchanges packets with it afterwards.
 #pragma once
 
 #include <optional>
@@ -14,10 +14,11 @@
 // Runs HandoverSender over a Channel.
 class HandoverServer {
  public:
-  // Listens in the folder. `owner` must outlast this object. Throws std::system_error; no other function of
-  // this class throws.
+  // Listens in the state folder. `owner` must outlast this object. Throws std::system_error if it can't
+  // listen; no other function of this class throws.
   HandoverServer(net::Loop& loop, const std::string& folder, HandoverSender::Owner& owner);
 
+  // Whether the state has been handed over.
   bool completed() const { return sender_.phase() == HandoverSender::Phase::kCompleted; }
   // Reports the result of an attempt that ended here. Only valid after the handover.
   void SendAttemptEnded(const std::string& id, const relay::AttemptResult& result);
@@ -26,8 +27,8 @@
   std::optional<std::string> ForwardCommand(const std::string& command, const std::string& argument);
 
  private:
-  // Limit for the receiver to accept the offer. Nothing is served here meanwhile, and clients wait 400 ms for
-  // an answer.
+  // Maximum time until the receiver accepts the offer. This process serves nothing during that time, and
+  // clients wait 400 ms for an answer.
   static constexpr Timeout kOfferTimeout{350};
   static constexpr Timeout kCommandTimeout{500};
   static constexpr net::Time kRequestTimeout = std::chrono::seconds(2);
--- a/src/handover/new_process.cpp
+++ b/src/handover/new_process.cpp
@@ -12,19 +12,20 @@
 
 using namespace std::chrono_literals;
 
-constexpr Timeout kPacketTimeout = 1s;  // for the next packet of the old process
+constexpr Timeout kPacketTimeout = 1s;  // maximum time until the next packet of the old process
 constexpr auto kPollInterval = 20ms;    // interval between attempts to lock the folder
-// After the deadline of a message, the result from the old process is awaited for this long, because it is
-// more precise than a timeout.
+// Time after the deadline of a message during which the result from the old process is still awaited, because
+// that result is more precise than a timeout.
 constexpr net::Time kOldProcessGrace = 30ms;
 
+// Closes all descriptors that were received.
 void CloseAll(const HandoverReceiver& receiver) {
   for (const client::ClientState& client : receiver.clients()) close(client.fd);
   if (receiver.lock_fd() >= 0) close(receiver.lock_fd());
 }
 
-// Requests the state of the old process. Returns nothing if that process has died, or has ended the exchange
-// or was too slow, and then still owns everything.
+// Requests the state of the old process. Returns nothing if that process has exited, has ended the exchange
+// or was too slow; it has not transferred its ownership then. Throws HandoverRefused.
 std::optional<StartupState> RequestHandover(Channel& channel) {
   HandoverReceiver receiver;
   if (!channel.Send(HandoverRequest{kProtocolVersion, getpid()})) return std::nullopt;
@@ -54,21 +55,22 @@
 
 StartupState AcquireState(const std::string& folder, Timeout timeout) {
   const net::Time until = net::Loop::Now() + timeout;
-  std::optional<HandoverRefused> refused;  // the old process may end or serve again before the timeout
+  // A refusal is kept until the timeout, because the old process may exit or be able to hand over before.
+  std::optional<HandoverRefused> refused;
   while (true) {
     try {
-      StartupState start;
-      start.lock = std::make_unique<journal::FolderLock>(folder);
-      return start;
+      StartupState state;
+      state.lock = std::make_unique<journal::FolderLock>(folder);
+      return state;
     } catch (const journal::FolderLocked&) {
       if (net::Loop::Now() >= until && refused) throw *refused;
       if (net::Loop::Now() >= until) throw;
     }
     if (auto channel = Channel::Connect(folder)) {
       try {
-        if (auto start = RequestHandover(*channel)) return std::move(*start);
-      } catch (const HandoverRefused& e) {
-        refused = e;
+        if (auto state = RequestHandover(*channel)) return std::move(*state);
+      } catch (const HandoverRefused& error) {
+        refused = error;
       }
     }
     std::this_thread::sleep_for(kPollInterval);
@@ -81,7 +83,7 @@
       on_retry_after_(std::move(on_retry_after)),
       on_command_(std::move(on_command)),
       io_(loop.ref()),
-      overdue_timer_(loop, [this] { EndOverdue(); }) {
+      overdue_timer_(loop, [this] { EndOverdueAttempts(); }) {
   io_.set<TakeoverTransport, &TakeoverTransport::OnIo>(this);
 }
 
@@ -103,16 +105,17 @@
 }
 
 void TakeoverTransport::Feed(const Packet& packet) {
-  if (const auto* ended = std::get_if<AttemptEnded>(&packet)) return End(ended->id, ended->result);
+  if (const auto* ended = std::get_if<AttemptEnded>(&packet))
+    return EndRemoteAttempt(ended->id, ended->result);
   if (const auto* cancelled = std::get_if<CancelConfirmed>(&packet)) {
-    return End(cancelled->id, {wheathub::Outcome::kCancelled, false, relay::Time(0)});
+    return EndRemoteAttempt(cancelled->id, {wheathub::Outcome::kCancelled, false, relay::Time(0)});
   }
   if (const auto* request = std::get_if<OperatorCommand>(&packet)) {
     if (channel_) channel_->Send(handover::CommandResult{on_command_(request->command, request->argument)});
   }
 }
 
-void TakeoverTransport::End(const std::string& id, const relay::AttemptResult& result) {
+void TakeoverTransport::EndRemoteAttempt(const std::string& id, const relay::AttemptResult& result) {
   const auto it = remote_attempts_.find(id);
   if (it == remote_attempts_.end()) return;
   const std::string host = it->second.host;
@@ -121,16 +124,17 @@
   relay_->AttemptEnded(relay_->FindAttempt(id), result);
 }
 
-// The old process ends its attempts at the deadlines of their messages. If it is stopped and does not, the
-// attempts are ended here: the message is over then and is not tried again.
-void TakeoverTransport::EndOverdue() {
+// The old process ends its attempts at the deadlines of their messages. If it can't because it is suspended,
+// this process ends them as timed out. The messages have ended by then and are not attempted again.
+void TakeoverTransport::EndOverdueAttempts() {
   const net::Time now = net::Loop::Now();
   std::vector<std::string> overdue;
   for (const auto& [id, attempt] : remote_attempts_) {
     if (attempt.message_deadline > net::Time(0) && attempt.message_deadline + kOldProcessGrace <= now)
       overdue.push_back(id);
   }
-  for (const std::string& id : overdue) End(id, {wheathub::Outcome::kTimedOut, false, relay::Time(0)});
+  for (const std::string& id : overdue)
+    EndRemoteAttempt(id, {wheathub::Outcome::kTimedOut, false, relay::Time(0)});
   ScheduleOverdueCheck();
 }
 
@@ -142,18 +146,19 @@
   if (next < net::Time::max()) overdue_timer_.At(next + kOldProcessGrace);
 }
 
-// The old process has gone without reporting these attempts: they may have run.
+// The old process has exited without reporting the results of these attempts, so they may have run.
 void TakeoverTransport::OnChannelClosed() {
   io_.stop();
   channel_.reset();
   while (!remote_attempts_.empty()) {
-    End(std::string(remote_attempts_.begin()->first), {wheathub::Outcome::kReset, false, relay::Time(0)});
+    EndRemoteAttempt(std::string(remote_attempts_.begin()->first),
+                     {wheathub::Outcome::kReset, false, relay::Time(0)});
   }
 }
 
-// Only a confirmation from the old process, or its end, shows that the connection is closed. Until then the
-// attempt stays in flight however long that takes, since a stopped process keeps its connections open: the
-// next attempt of the message must not start, and no other attempt may use its slot.
+// Only a confirmation from the old process, or its exit, shows that the attempt's connection is closed. Until
+// then the attempt stays in flight, no matter how long that takes, because a suspended process keeps its
+// connections open. The next attempt of the message must not start, and no other attempt may use the slot.
 bool TakeoverTransport::CancelAttempt(const relay::AttemptId& attempt) {
   if (remote_attempts_.count(attempt.id) == 0) return local_.CancelAttempt(attempt);
   if (channel_) channel_->Send(handover::CancelRequest{attempt.id});
--- a/src/handover/packets.cpp
+++ b/src/handover/packets.cpp
@@ -13,22 +13,22 @@
 constexpr std::size_t kChunkBytes = 48 * 1024;
 
 Json BinaryJson(const std::string& text) { return Json::binary({text.begin(), text.end()}); }
-std::string TextFromJson(const Json& j) {
-  const auto& bytes = j.get_binary();
+std::string TextFromJson(const Json& binary) {
+  const auto& bytes = binary.get_binary();
   return std::string(bytes.begin(), bytes.end());
 }
-Time TimeFromJson(const Json& j) { return Time(j.get<Time::rep>()); }
+Time TimeFromJson(const Json& number) { return Time(number.get<Time::rep>()); }
 
 Json ToJson(const relay::Host& host) {
   const wheathub::EndpointInfo& info = host.info;
   return {info.id,     info.destination, info.kind, info.zone, info.weight, static_cast<int>(info.lifecycle),
           host.address};
 }
-relay::Host HostFromJson(const Json& j) {
+relay::Host HostFromJson(const Json& fields) {
   relay::Host host;
-  host.info = {j.at(0), j.at(1), j.at(2),
-               j.at(3), j.at(4), static_cast<wheathub::Lifecycle>(j.at(5).get<int>())};
-  host.address = j.at(6);
+  host.info = {fields.at(0), fields.at(1), fields.at(2),
+               fields.at(3), fields.at(4), static_cast<wheathub::Lifecycle>(fields.at(5).get<int>())};
+  host.address = fields.at(6);
   return host;
 }
 
@@ -62,12 +62,13 @@
           health.failed_at.count(),
           health.warm_at.count()};
 }
-wheathub::Belief BeliefFromJson(const Json& j) {
+// Parses the fields in the order in which ToJson writes them.
+wheathub::Belief BeliefFromJson(const Json& fields) {
   wheathub::Belief belief;
   auto& route = belief.route;
   auto& health = belief.health;
   std::size_t index = 0;
-  const auto next = [&]() -> const Json& { return j.at(index++); };
+  const auto next = [&]() -> const Json& { return fields.at(index++); };
   belief.endpoint = next();
   route.tokens = next();
   for (Time* time : {&route.gap, &route.next_send_at, &route.wait_until, &route.announced_interval,
@@ -86,8 +87,8 @@
   health.failure_may_have_run = next();
   health.single_connect_failure = next();
   for (Time* time : {&health.cold_since, &health.failed_at}) *time = TimeFromJson(next());
-  if (index < j.size())
-    health.warm_at = TimeFromJson(next());  // missing if the sender is of an older version
+  if (index < fields.size())
+    health.warm_at = TimeFromJson(next());  // an older version of the program does not send it
   return belief;
 }
 
@@ -116,8 +117,9 @@
   Json operator()(const CommandResult& packet) const { return Json::array({packet.error}); }
 };
 
-Packet PacketFromArray(int kind, const Json& fields) {
-  switch (kind) {
+// Parses the packet with that index in Packet.
+Packet PacketFromArray(int packet_index, const Json& fields) {
+  switch (packet_index) {
     case 0:
       return HandoverRequest{fields.at(0), fields.at(1)};
     case 1:
@@ -153,8 +155,8 @@
   throw std::invalid_argument("not a valid handover packet of this version");
 }
 
-std::string ToCbor(const Json& j) {
-  const std::vector<std::uint8_t> bytes = Json::to_cbor(j);
+std::string ToCbor(const Json& json) {
+  const std::vector<std::uint8_t> bytes = Json::to_cbor(json);
   return std::string(bytes.begin(), bytes.end());
 }
 
@@ -166,10 +168,10 @@
 
 Packet FromBytes(std::string_view bytes) {
   try {
-    const Json j = Json::from_cbor(bytes.begin(), bytes.end());
-    return PacketFromArray(j.at(0), j.at(1));
-  } catch (const Json::exception& e) {
-    throw std::invalid_argument(e.what());
+    const Json packet = Json::from_cbor(bytes.begin(), bytes.end());
+    return PacketFromArray(packet.at(0), packet.at(1));
+  } catch (const Json::exception& error) {
+    throw std::invalid_argument(error.what());
   }
 }
 
@@ -200,27 +202,27 @@
 
 relay::HandoverState FromChunks(const std::string& bytes) {
   try {
-    const Json j = Json::from_cbor(bytes);
+    const Json root = Json::from_cbor(bytes);
     relay::HandoverState state;
     state.routing_table.scope = wheathub::ListScope::kRemembered;
-    state.routing_table.revision = j.at("revision");
-    state.list_valid_until =
-        Time(j.value("list_valid_until", Time::rep{0}));  // missing if the sender is of an older version
-    for (const Json& host : j.at("hosts")) state.routing_table.hosts.push_back(HostFromJson(host));
-    for (const Json& belief : j.at("beliefs")) state.beliefs.push_back(BeliefFromJson(belief));
-    for (const Json& attempt : j.at("out")) {
+    state.routing_table.revision = root.at("revision");
+    // An older version of the program does not send it.
+    state.list_valid_until = Time(root.value("list_valid_until", Time::rep{0}));
+    for (const Json& host : root.at("hosts")) state.routing_table.hosts.push_back(HostFromJson(host));
+    for (const Json& belief : root.at("beliefs")) state.beliefs.push_back(BeliefFromJson(belief));
+    for (const Json& attempt : root.at("out")) {
       const Time message_deadline = attempt.size() > 3 ? TimeFromJson(attempt.at(3)) : Time(0);
       state.in_flight.push_back(
           {attempt.at(0), attempt.at(1), TimeFromJson(attempt.at(2)), message_deadline});
     }
-    for (const Json& wait : j.at("waits"))
+    for (const Json& wait : root.at("waits"))
       state.host_waits.push_back({wait.at(0), TimeFromJson(wait.at(1)), TimeFromJson(wait.at(2))});
-    for (const Json& wait : j.value("address_waits", Json::array())) {
+    for (const Json& wait : root.value("address_waits", Json::array())) {
       state.address_waits.push_back({wait.at(0), TimeFromJson(wait.at(1))});
     }
     return state;
-  } catch (const Json::exception& e) {
-    throw std::invalid_argument(e.what());
+  } catch (const Json::exception& error) {
+    throw std::invalid_argument(error.what());
   }
 }
 
--- a/src/handover/packets.hpp
+++ b/src/handover/packets.hpp
@@ -1,18 +1,18 @@
-// Packets of the handover protocol between the sender (the process that hands over) and the receiver (the one
-// that takes over). Independent of sockets. A packet may carry one descriptor.
+// Packets of the handover protocol between the sender (the process that hands over) and the receiver (the
+// process that takes over). Independent of sockets. One descriptor may be sent with a packet.
 //
 //   receiver  HandoverRequest       protocol version, pid
-//   sender    Refusal               the reason; the sender goes on serving
+//   sender    Refusal               the reason; the sender continues to serve
 //   sender    StateChunk            a part of the serialized HandoverState
 //   sender    ClientTransfer        one client, with its descriptor
 //   sender    OfferComplete         everything is sent; number of clients, descriptor of the folder lock
-//   receiver  OfferAccepted         everything has been read
-//   sender    OwnershipTransferred  the receiver owns everything from here on, and nothing before
+//   receiver  OfferAccepted         everything has been read and parsed
+//   sender    OwnershipTransferred  the receiver is the owner from this packet on, and not before it
 //   sender    AttemptEnded          an attempt that continued in the sender has ended
 //   receiver  CancelRequest         cancel that attempt; answered by CancelConfirmed
 //   sender    OperatorCommand       a command that arrived at the sender; answered by CommandResult
 //
-// Both processes run on one machine: numbers are in its byte order.
+// Both processes run on the same machine, so times of its monotonic clock are sent unchanged.
 #pragma once
 
 #include <string>
@@ -69,7 +69,7 @@
                             OfferAccepted, OwnershipTransferred, AttemptEnded, CancelRequest, CancelConfirmed,
                             OperatorCommand, CommandResult>;
 
-// Serializes a packet.
+// Serializes a packet as CBOR.
 std::string ToBytes(const Packet& packet);
 // Parses a packet. Throws std::invalid_argument if the bytes are not a valid packet.
 Packet FromBytes(std::string_view bytes);
