--- a/tests/relay/endpoint_race_test.cpp
+++ b/tests/relay/endpoint_race_test.cpp
@@ -32,7 +32,7 @@
   const HttpRequest call = fixture.HandIn(client, "id-1");
   const std::string host = fixture.stubs.HostOf(call);
   fixture.WaitFor(1200ms);
-  call.from->Reset();
+  call.connection->Reset();
   const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "id-1");
   CHECK(fixture.stubs.HostOf(repeat) == host);
@@ -68,23 +68,24 @@
 TEST_CASE(
     "a late connection carries its call once and one that is never established is replaced by another") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
   fixture.relay.config["settings"]["limits"]["connect-timeout-s"] = 2.5;
   fixture.relay.Start();
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
-  narrow.FillBacklog();
+  full_host.FillBacklog();
   Client client(fixture.relay);
   client.Put("late", "hello", 8000, ",k=key1,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
   fixture.WaitForCounter(client, "legs", 1);
-  const Socket late = narrow.AcceptRelayConnection();  // the kernel repeats the connection request after 1 s
+  const Socket late =
+      full_host.AcceptRelayConnection();  // the kernel repeats the connection request after 1 s
   REQUIRE(late.fd() >= 0);
   CHECK(late.Receive(5s).find("late") != std::string::npos);
   late.Send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["legs"] == 1);
-  // From here on no connection to the narrow host is accepted.
-  narrow.FillBacklog();
+  // From here on the full host accepts no connection.
+  full_host.FillBacklog();
   fixture.stubs.AddHost("open", 8, "east-room");
   fixture.stubs.SetState("open", "Ready");
   fixture.WaitForCounter(client, "list_changes", 3);
@@ -112,7 +113,7 @@
   REQUIRE(waits_ms < 7000);
   fixture.relay.Suspend();
   fixture.stubs.Answer(call, "429 Full", "Retry-After: 0.2\r\n");
-  call.from->WaitUntilAcknowledged();
+  call.connection->WaitUntilAcknowledged();
   fixture.WaitFor(std::chrono::milliseconds(waits_ms + 100));
   fixture.relay.Resume();
   fixture.WaitForCounter(client, "refused", 1);
@@ -131,7 +132,7 @@
     const HttpRequest first = HandIn(client, "id-1");
     end(first);
     const HttpRequest second = stubs.NextCall(8s);
-    CHECK(first.from->IsClosed());
+    CHECK(first.connection->IsClosed());
     CHECK(second.id() == "id-1");
     stubs.Answer(second, "200 OK");
     WaitForCounter(client, "delivered", 1);
@@ -146,13 +147,13 @@
 TEST_CASE("an attempt with a malformed answer has closed its connection before the next one begins") {
   FirstCallEnds fixture;
   fixture.Check(
-      [](const HttpRequest& call) { call.from->Send("HTTP/1.1 500 No\r\nContent-Length: x\r\n\r\n"); });
+      [](const HttpRequest& call) { call.connection->Send("HTTP/1.1 500 No\r\nContent-Length: x\r\n\r\n"); });
 }
 
 TEST_CASE("an attempt with an incomplete answer has closed its connection before the next one begins") {
   FirstCallEnds fixture;
   fixture.Check(
-      [](const HttpRequest& call) { call.from->Send("HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\n"); });
+      [](const HttpRequest& call) { call.connection->Send("HTTP/1.1 500 No\r\nContent-Length: 9\r\n\r\n"); });
 }
 
 TEST_CASE("an answer that arrives together with SIGTERM is recorded and leaves nothing to the next process") {
@@ -164,7 +165,7 @@
     fixture.relay.Suspend();
     fixture.relay.Signal(SIGTERM);
     fixture.stubs.Answer(call, "200 OK");
-    call.from->WaitUntilAcknowledged();
+    call.connection->WaitUntilAcknowledged();
     fixture.relay.Resume();
   }
   CHECK(fixture.relay.WaitForExit() == 0);
@@ -193,7 +194,7 @@
   fixture.relay.WaitUntilSuspended();
   fixture.WaitFor(600ms);
   fixture.stubs.Answer(call, "200 OK");
-  call.from->WaitUntilAcknowledged();
+  call.connection->WaitUntilAcknowledged();
   fixture.relay.Resume();
   CHECK(fixture.relay.WaitForExit() == 0);
   fixture.relay.Start();
@@ -218,14 +219,14 @@
     fixture.WaitForCounter(client, "delivered", delivered + 1);
     fixture.WaitFor(50ms);
     fixture.relay.Suspend();
-    call.from->Send(stray);
-    call.from->WaitUntilAcknowledged();
+    call.connection->Send(stray);
+    call.connection->WaitUntilAcknowledged();
     client.Put("next-" + std::to_string(stray.size()), "hello", 8000, ",k=key,dest=9");
     client.socket().WaitUntilAcknowledged();
     fixture.relay.Resume();
     REQUIRE(client.ReadLine() == "+OK");
     const HttpRequest next = fixture.stubs.NextCall();
-    CHECK(next.from != call.from);
+    CHECK(next.connection != call.connection);
     CHECK(client.Counters()["delivered"] == delivered + 1);
     fixture.stubs.Answer(next, "200 OK");
     fixture.WaitForCounter(client, "delivered", delivered + 2);
@@ -238,14 +239,14 @@
   Client client(fixture.relay);
   const HttpRequest call = fixture.HandIn(client, "id-1", "hello", 9);
   const auto started_at = Clock::now();
-  call.from->Send("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n");
+  call.connection->Send("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n");
   fixture.stubs.WaitUntil([&] {
-    call.from->Send("1\r\nx\r\n");
+    call.connection->Send("1\r\nx\r\n");
     return client.Counters()["errors"] == 1;
   });
   CHECK(Clock::now() - started_at < 7s);  // earlier than the message's deadline of 8 s
   const HttpRequest repeat = fixture.stubs.NextCall();
-  CHECK(repeat.from != call.from);
+  CHECK(repeat.connection != call.connection);
   fixture.stubs.Answer(repeat, "200 OK");
   fixture.WaitForCounter(client, "delivered", 1);
 }
@@ -263,11 +264,11 @@
   fixture.relay.WaitForLog("draining");
   fixture.relay.Signal(SIGKILL);
   CHECK(fixture.relay.WaitForExit() == -SIGKILL);
-  fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });
+  fixture.stubs.WaitUntil([&] { return call.connection->fd() < 0; });
   fixture.relay.Start();
   const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "id-1");
-  CHECK(repeat.from != call.from);
+  CHECK(repeat.connection != call.connection);
 }
 
 }  // namespace
--- a/tests/relay/fleet.hpp
+++ b/tests/relay/fleet.hpp
@@ -1,5 +1,5 @@
 // A few relays that are configured as members of a large fleet and share one discovery service, for tests of
-// how soon they learn of a change of the list.
+// the time until they apply a change of the list.
 #pragma once
 
 #include <algorithm>
@@ -11,8 +11,9 @@
 
 namespace oxbowspread::testing {
 
-inline constexpr int kFleetSize = 300;          // number of relays that each is configured with
-inline constexpr auto kChangeKnownWithin = 6s;  // limit from discovery's change of the list to every relay
+inline constexpr int kFleetSize = 300;  // the fleet size in each relay's settings
+// Maximum time from a change of discovery's list until every relay has applied the change.
+inline constexpr auto kChangeKnownWithin = 6s;
 
 // Host a is the only host of destination 7, host b the only host of destination 8.
 struct Fleet {
@@ -26,7 +27,7 @@
       RelayProcess& relay = relays.emplace_back(stubs);
       relay.config["settings"]["balancers"] = kFleetSize;
       relay.config["settings"]["rank"] = rank;
-      // Without a rate limit from endpoints, of which a relay would first have to learn its share.
+      // Endpoints announce no rate limit; a relay would first have to learn its share of the limit.
       relay.config["settings"]["weights"] = "none";
       relay.config["seed"] = std::to_string(1000 + rank);
     }
@@ -39,10 +40,11 @@
     return std::all_of(relays.begin(), relays.end(),
                        [&](const RelayProcess& relay) { return Client(relay).Counters()[counter] >= count; });
   }
+  // Waits until that counter of each relay is at least `count`.
   void WaitForEachCounter(const char* counter, long count, std::chrono::milliseconds limit = 30s) {
     stubs.WaitUntil([&] { return EachCounterReaches(counter, count); }, limit);
   }
-  // Reloads every relay with discovery's present address.
+  // Reloads every relay with discovery's current address.
   void ReloadAll() {
     for (const RelayProcess& relay : relays) {
       auto config = relay.config;
@@ -50,12 +52,13 @@
       relay.Reload(config.dump());
     }
   }
+  // Serves the stubs for that time.
   void WaitFor(Clock::duration span) {
     const auto until = Clock::now() + span;
     stubs.WaitUntil([&] { return Clock::now() >= until; },
                     std::chrono::ceil<std::chrono::milliseconds>(span) + 5s);
   }
-  // Hands each relay a message for host b's destination. Returns how many relays call host b.
+  // Sends each relay a message for host b's destination. Returns the number of relays that call host b.
   int CountRelaysCallingHostB() {
     int calls = 0;
     for (const RelayProcess& relay : relays) {
@@ -63,7 +66,7 @@
       const long before = client.Counters()["legs"];
       client.Put("id-" + std::to_string(++messages_), "hello", 8000, ",k=key1,dest=8");
       REQUIRE(client.ReadLine() == "+OK");
-      calls += client.Counters()["legs"] > before;  // the step that accepts a message also sends it
+      calls += client.Counters()["legs"] > before;  // the step that accepts a message also starts its attempt
     }
     return calls;
   }
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -535,12 +535,12 @@
         CHECK(fixture.stubs.HostOf(call) == "a");
         if (const auto it = in_flight.find(call.id()); it != in_flight.end())
           CHECK_FALSE(is_open(*it->second));
-        in_flight[call.id()] = call.from;
+        in_flight[call.id()] = call.connection;
         unanswered.push_back(call);
       }
       while (unanswered.size() > most_unanswered) {
         const auto it = unanswered.begin() + static_cast<std::ptrdiff_t>(random() % unanswered.size());
-        if (is_open(*it->from)) delivered.insert(it->id());
+        if (is_open(*it->connection)) delivered.insert(it->id());
         fixture.stubs.Answer(*it, "200 OK");
         in_flight.erase(it->id());
         unanswered.erase(it);
--- a/tests/relay/main.cpp
+++ b/tests/relay/main.cpp
@@ -1,2 +1,3 @@
+// The main function of the Catch2 test programs.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/tests/relay/race_fixture.hpp
+++ b/tests/relay/race_fixture.hpp
@@ -1,4 +1,4 @@
-// Shared by the race tests: a relay that can be suspended while events queue up for it, and a host that
+// Fixtures of the race tests: a relay that can be suspended while events queue up for it, and a host that
 // delays the relay's connections.
 #pragma once
 
@@ -14,15 +14,17 @@
   RelayProcess relay{stubs};
 
   RelayFixture() { stubs.AddHost("a", 7); }
+  // Waits until that counter of the relay is at least `count`.
   void WaitForCounter(Client& client, const char* counter, long count) {
     stubs.WaitUntil([&] { return client.Counters()[counter] >= count; });
   }
-  // A connection may be reset over an unread request only when the relay exits at its time limit, 3550 ms
-  // after SIGTERM. The client then repeats the request.
+  // Checks, after the relay's exit, that the connection was not reset before the exit at the time limit,
+  // which is 3550 ms after SIGTERM. At that time a reset is allowed: it tells the client that its request was
+  // not read, and the client repeats the request.
   void CheckResetOnlyAtExit(const Client& client) {
     if (client.was_reset()) CHECK(relay.DrainMs() >= 3550);
   }
-  // Serves the stubs for this time, also while the relay is suspended.
+  // Serves the stubs for that time, also while the relay is suspended.
   void WaitFor(Clock::duration span) {
     const auto until = Clock::now() + span;
     stubs.WaitUntil([&] { return Clock::now() >= until; },
@@ -36,12 +38,13 @@
   Socket listener = Socket::Listen(0);
   Socket backlog_connection;
 
-  FullBacklogHost(StubServices& stubs, const std::string& id, int cell) {
-    stubs.AddHost(id, cell);
+  FullBacklogHost(StubServices& stubs, const std::string& id, int destination) {
+    stubs.AddHost(id, destination);
     stubs.SetPort(id, listener.port());
   }
   void FillBacklog() { backlog_connection = Socket::Connect(listener.port()); }
-  // Accepts the connection in the backlog and then the relay's, which the relay's kernel retries.
+  // Accepts the connection that fills the backlog and then the relay's connection, which the relay's kernel
+  // retries. Returns the latter.
   Socket AcceptRelayConnection() {
     const Socket accepted_first = listener.Accept(5s);
     return listener.Accept(5s);
--- a/tests/relay/race_test.cpp
+++ b/tests/relay/race_test.cpp
@@ -14,9 +14,9 @@
 TEST_CASE(
     "a wait requested by one host of a destination also binds a call still connecting to another host") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
   fixture.stubs.AddHost("open", 8);
-  narrow.FillBacklog();
+  full_host.FillBacklog();
   fixture.relay.config["settings"]["family-info"]["kind-apart"] = {false};
   fixture.relay.Start();
   Client client(fixture.relay);
@@ -26,7 +26,7 @@
   }
   fixture.stubs.Answer(fixture.stubs.NextCall(), "429 Full", "Retry-After: 30\r\n");
   fixture.WaitForCounter(client, "refused", 1);
-  const Socket late = narrow.AcceptRelayConnection();
+  const Socket late = full_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   fixture.WaitForCounter(client, "legs_held_back", 1);
   CHECK(late.Receive(0ms).empty());
@@ -34,21 +34,21 @@
 
 TEST_CASE("a wait that was received but not yet read is applied before a connection is established") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
   fixture.relay.Start();
   Client client(fixture.relay);
   client.Put("id-1", "hello", 8000, ",k=key1,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
-  const Socket first = narrow.listener.Accept(5s);
+  const Socket first = full_host.listener.Accept(5s);
   REQUIRE(first.Receive(5s).find("id-1") != std::string::npos);
-  narrow.FillBacklog();
+  full_host.FillBacklog();
   client.Put("id-2", "hello", 8000, ",k=key2,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
   fixture.WaitForCounter(client, "legs", 2);
   fixture.relay.Suspend();
   first.Send("HTTP/1.1 429 Full\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n");
   first.WaitUntilAcknowledged();
-  const Socket late = narrow.AcceptRelayConnection();
+  const Socket late = full_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   fixture.relay.Resume();
   fixture.WaitForCounter(client, "legs_held_back", 1);
@@ -57,8 +57,8 @@
 
 TEST_CASE("a drain that was received but not yet read is applied before a connection is established") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
-  narrow.FillBacklog();
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
+  full_host.FillBacklog();
   fixture.relay.Start();
   Client client(fixture.relay);
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
@@ -68,7 +68,7 @@
   fixture.relay.Suspend();
   fixture.stubs.SetState("narrow", "Terminating");
   fixture.stubs.WaitUntilPushesDelivered();
-  const Socket late = narrow.AcceptRelayConnection();
+  const Socket late = full_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   fixture.relay.Resume();
   fixture.WaitForCounter(client, "legs_held_back", 1);
@@ -86,7 +86,7 @@
   const HttpRequest call = fixture.stubs.NextCall();
   fixture.relay.Suspend();
   fixture.stubs.Answer(call, "200 OK");
-  call.from->WaitUntilAcknowledged();
+  call.connection->WaitUntilAcknowledged();
   fixture.WaitFor(1100ms);
   fixture.relay.Resume();
   fixture.WaitForCounter(client, "delivered", 1);
@@ -118,7 +118,7 @@
     fixture.relay.Suspend();
     fixture.WaitFor(sent_at + 1200ms - Clock::now());
     fixture.stubs.Answer(late, "200 OK");
-    late.from->WaitUntilAcknowledged();
+    late.connection->WaitUntilAcknowledged();
     fixture.relay.Resume();
     fixture.WaitForCounter(client, "delivered", 2);
     CHECK(client.Counters()["undeliverable"] == 0);
@@ -143,7 +143,7 @@
   client.Put("id-1");
   REQUIRE(client.ReadLine() == "+OK");
   const HttpRequest call = fixture.stubs.NextCall();
-  call.from->Send("HTTP/1.1 102 Processing\r\n\r\n");
+  call.connection->Send("HTTP/1.1 102 Processing\r\n\r\n");
   fixture.WaitFor(700ms);
   fixture.stubs.Answer(call, "200 OK");
   fixture.WaitForCounter(client, "delivered", 1);
@@ -152,7 +152,7 @@
   client.Put("id-2");
   REQUIRE(client.ReadLine() == "+OK");
   const HttpRequest half = fixture.stubs.NextCall();
-  half.from->Send("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 20");
+  half.connection->Send("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 20");
   fixture.WaitForCounter(client, "answers_spoilt", 1);
 }
 
@@ -221,8 +221,8 @@
 TEST_CASE(
     "SIGTERM: a call whose connection is established after sending has stopped is left to the next process") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
-  narrow.FillBacklog();
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
+  full_host.FillBacklog();
   fixture.relay.config["settings"]["limits"]["connect-timeout-s"] = 10;
   fixture.relay.Start();
   Client client(fixture.relay);
@@ -234,12 +234,12 @@
   client.Put("id-1", "hello", 20000, ",k=key1,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
   fixture.relay.WaitForLog("settling");
-  const Socket blocking_connection = narrow.listener.Accept(0ms);
+  const Socket blocking_connection = full_host.listener.Accept(0ms);
   CHECK(fixture.relay.WaitForExit() == 0);
-  const Socket late = narrow.listener.Accept(0ms);
+  const Socket late = full_host.listener.Accept(0ms);
   CHECK((late.fd() < 0 || late.Receive(0ms).empty()));
   fixture.relay.Start();
-  const Socket repeat = narrow.listener.Accept(5s);
+  const Socket repeat = full_host.listener.Accept(5s);
   REQUIRE(repeat.fd() >= 0);
   CHECK(repeat.Receive(5s).find("id-1") != std::string::npos);
 }
--- a/tests/relay/relay_harness.cpp
+++ b/tests/relay/relay_harness.cpp
@@ -78,8 +78,8 @@
   if (fd_ >= 0) close(std::exchange(fd_, -1));
 }
 
-void Socket::SetReceiveBufferSize(int receive_buffer) const {
-  setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
+void Socket::SetReceiveBufferSize(int buffer_bytes) const {
+  setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof buffer_bytes);
 }
 
 void Socket::SetMaxSegmentSize(int max_bytes) const {
@@ -109,10 +109,10 @@
 
 void Socket::WaitUntilAcknowledged() const {
   const auto until = Clock::now() + 5s;
-  int unacknowledged = 1;
-  while (ioctl(fd_, SIOCOUTQ, &unacknowledged) == 0 && unacknowledged > 0 && Clock::now() < until)
+  int unacknowledged_bytes = 1;
+  while (ioctl(fd_, SIOCOUTQ, &unacknowledged_bytes) == 0 && unacknowledged_bytes > 0 && Clock::now() < until)
     poll(nullptr, 0, 1);
-  REQUIRE(unacknowledged == 0);
+  REQUIRE(unacknowledged_bytes == 0);
 }
 
 std::string Socket::Receive(std::chrono::milliseconds limit, bool* ended, int* error) const {
@@ -129,13 +129,18 @@
 
 StubServices::StubServices() : discovery_(Socket::Listen()) {}
 
-void StubServices::AddHost(const std::string& id, int cell, const std::string& zone, int receive_buffer) {
+void StubServices::AddHost(const std::string& id, int destination, const std::string& zone,
+                           int receive_buffer) {
   Socket& listener = listeners_[id] = Socket::Listen();
   if (receive_buffer > 0) listener.SetReceiveBufferSize(receive_buffer);
-  hosts_[id] = {{"id", id},         {"addr", "127.0.0.1:" + std::to_string(listener.port())},
-                {"zone", zone},     {"kind", "partner"},
-                {"cell", cell},     {"state", "Ready"},
-                {"weight", 50},     {"started_ms", 0},
+  hosts_[id] = {{"id", id},
+                {"addr", "127.0.0.1:" + std::to_string(listener.port())},
+                {"zone", zone},
+                {"kind", "partner"},
+                {"cell", destination},
+                {"state", "Ready"},
+                {"weight", 50},
+                {"started_ms", 0},
                 {"unheard_of", {1}}};
 }
 
@@ -260,7 +265,7 @@
   const std::size_t head_end = peer.bytes.find("\r\n\r\n");
   if (head_end == peer.bytes.npos) return false;
   HttpRequest request;
-  request.from = &peer.socket;
+  request.connection = &peer.socket;
   std::istringstream head(peer.bytes.substr(0, head_end));
   std::getline(head, request.line);
   request.line.pop_back();
@@ -347,7 +352,7 @@
 }
 
 void StubServices::Answer(const HttpRequest& call, const std::string& status, const std::string& headers) {
-  call.from->Send("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: 2\r\n\r\nok");
+  call.connection->Send("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: 2\r\n\r\nok");
 }
 
 void StubServices::WaitUntil(const std::function<bool()>& condition, std::chrono::milliseconds limit) {
@@ -373,8 +378,8 @@
   port_reservation_ = Socket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const int enabled = 1;
   setsockopt(port_reservation_.fd(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
-  const sockaddr_in any = Loopback(0);
-  REQUIRE(bind(port_reservation_.fd(), reinterpret_cast<const sockaddr*>(&any), sizeof any) == 0);
+  const sockaddr_in any_port = Loopback(0);
+  REQUIRE(bind(port_reservation_.fd(), reinterpret_cast<const sockaddr*>(&any_port), sizeof any_port) == 0);
   port_ = port_reservation_.port();
   config = {{"name", "n1"},
             {"listen", "127.0.0.1:" + std::to_string(port_)},
@@ -492,15 +497,17 @@
 
 // ---- clients ----
 
-void Client::Put(const std::string& id, const std::string& body, int ms, const std::string& values) const {
-  socket_.Send(PutCommand(id, body, ms, values));
+void Client::Put(const std::string& id, const std::string& body, int deadline_ms,
+                 const std::string& attributes) const {
+  socket_.Send(PutCommand(id, body, deadline_ms, attributes));
 }
 
-std::string Client::PutCommand(const std::string& id, const std::string& body, int ms,
-                               const std::string& values) {
-  const std::string list = "c=outbound,d=" + std::to_string(ms) + values;
+std::string Client::PutCommand(const std::string& id, const std::string& body, int deadline_ms,
+                               const std::string& attributes) {
+  const std::string all_attributes = "c=outbound,d=" + std::to_string(deadline_ms) + attributes;
   std::string command = "*5\r\n";
-  for (const std::string& part : {std::string("MSG.PUT"), std::string("0000000000000000"), id, list, body}) {
+  for (const std::string& part :
+       {std::string("MSG.PUT"), std::string("0000000000000000"), id, all_attributes, body}) {
     command += "$" + std::to_string(part.size()) + "\r\n" + part + "\r\n";
   }
   return command;
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -78,7 +78,7 @@
   CHECK(fixture.stubs.connections_to_hosts() == 1);
   const HttpRequest first = fixture.PutAndAwaitCall(client, "id-4"),
                     second = fixture.PutAndAwaitCall(client, "id-5");
-  CHECK(first.from != second.from);
+  CHECK(first.connection != second.connection);
   CHECK(fixture.stubs.connections_to_hosts() == 2);
 }
 
@@ -108,7 +108,7 @@
   const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
   const auto answered_at = Clock::now();
   fixture.stubs.Answer(call, "200 OK");
-  fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });
+  fixture.stubs.WaitUntil([&] { return call.connection->fd() < 0; });
   CHECK(Clock::now() - answered_at < 3s);
 }
 
@@ -156,7 +156,7 @@
   const HttpRequest again = fixture.stubs.NextCall();
   CHECK(fixture.stubs.HostOf(again) == first);
   CHECK(again.headers.at("idempotency-key") == "key1");
-  again.from->Reset();  // after the last byte of the request: may have run too
+  again.connection->Reset();  // after the last byte of the request: may have run too
   const HttpRequest third = fixture.stubs.NextCall();
   CHECK(fixture.stubs.HostOf(third) == first);
   fixture.stubs.Answer(third, "200 OK");
@@ -199,7 +199,7 @@
   fixture.stubs.Answer(call, "200 OK");
   fixture.WaitForCounter(client, "delivered", 1);
   fixture.relay.Signal(SIGSTOP);
-  call.from->Close();
+  call.connection->Close();
   client.Put("id-2");
   fixture.relay.Signal(SIGCONT);
   REQUIRE(client.ReadLine() == "+OK");
@@ -223,9 +223,9 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand it comes",
         "HTTP/1.1 200\r\n\x01\x02\x03 \r\n\r\n"}) {
     const HttpRequest call = fixture.PutAndAwaitCall(client, "id-" + std::to_string(++delivered));
-    call.from->Send(malformed);
+    call.connection->Send(malformed);
     fixture.WaitForCounter(client, "delivered", delivered);
-    fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });  // the relay closes it
+    fixture.stubs.WaitUntil([&] { return call.connection->fd() < 0; });  // the relay closes it
   }
   CHECK(fixture.stubs.connections_to_hosts() == 4);
   CHECK(client.Counters()["legs"] == 4);
@@ -243,11 +243,11 @@
     const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
     const std::string first = fixture.stubs.HostOf(call);
     const auto answered_at = Clock::now();
-    call.from->Send(malformed);
+    call.connection->Send(malformed);
     const HttpRequest again = fixture.stubs.NextCall(3s);
     CHECK(Clock::now() - answered_at < 3s);
     CHECK(again.id() == "id-1");
-    CHECK(again.from != call.from);
+    CHECK(again.connection != call.connection);
     CHECK(fixture.stubs.HostOf(again) == first);
     fixture.stubs.Answer(again, "200 OK");
     fixture.WaitForCounter(client, "delivered", 1);
@@ -260,18 +260,18 @@
   fixture.relay.Start();
   Client client(fixture.relay);
   const HttpRequest first = fixture.PutAndAwaitCall(client, "id-1");
-  first.from->Send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Wait\r\nX: y\r\n\r\n");
+  first.connection->Send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Wait\r\nX: y\r\n\r\n");
   CHECK(client.Counters()["delivered"] == 0);
   fixture.stubs.Answer(first, "200 OK", "X-Server-Load: =,x0=\xff;;\r\n");
   fixture.WaitForCounter(client, "delivered", 1);
   fixture.stubs.CallArrivesWithin(60ms);  // connections are not reused at once after an answer
   const HttpRequest second = fixture.PutAndAwaitCall(client, "id-2");
-  CHECK(second.from == first.from);
+  CHECK(second.connection == first.connection);
   const std::string good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-  second.from->Send(good + good);
+  second.connection->Send(good + good);
   fixture.WaitForCounter(client, "delivered", 2);
   const HttpRequest third = fixture.PutAndAwaitCall(client, "id-3");
-  CHECK(third.from != second.from);
+  CHECK(third.connection != second.connection);
   CHECK(client.Counters()["delivered"] == 2);
   fixture.stubs.Answer(third, "200 OK");
   fixture.WaitForCounter(client, "delivered", 3);
@@ -316,7 +316,7 @@
   replacement["id"] = "replacement-host";
   replacement["cell"] = 8;
   fixture.stubs.PushChange({{"version", 9}, {"servers", {replacement}}});
-  fixture.stubs.WaitUntil([&] { return call.from->fd() < 0; });
+  fixture.stubs.WaitUntil([&] { return call.connection->fd() < 0; });
   client.Put("id-2", "hello", 600);
   REQUIRE(client.ReadLine() == "+OK");
   client.Put("id-3", "hello", 8000, ",k=key3,dest=8");
--- a/tests/relay/restart_race_test.cpp
+++ b/tests/relay/restart_race_test.cpp
@@ -106,19 +106,20 @@
 
 TEST_CASE("a repeat window that ends while a repeat is still connecting stops the repeat") {
   RestartFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
   fixture.message_class()["repeat-window-s"] = 0.9;
   fixture.settings()["limits"]["connect-timeout-s"] = 5;
   fixture.relay.Start();
   fixture.PutAll(1, 8);
-  Socket first = narrow.listener.Accept(5s);
+  Socket first = full_host.listener.Accept(5s);
   REQUIRE(first.Receive(5s).find("m-8-0") != std::string::npos);
-  narrow.FillBacklog();
+  full_host.FillBacklog();
   first.Reset();  // the call may have run
   // On a machine too slow for the window there is no repeat, which is correct as well.
   fixture.stubs.WaitUntil(
       [&] { return fixture.Count("legs") == 2 || fixture.stubs.notices.count("m-8-0") == 1; });
-  const Socket late = narrow.AcceptRelayConnection();  // the kernel repeats the connection request after 1 s
+  const Socket late =
+      full_host.AcceptRelayConnection();  // the kernel repeats the connection request after 1 s
   CHECK(fixture.stubs.WaitForNotice("m-8-0").at("status") == "undeliverable");
   CHECK((late.fd() < 0 || late.Receive(0ms).empty()));
 }
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -217,7 +217,7 @@
   Client client(fixture.relay);
   for (int i = 0; i < 3; ++i) {
     REQUIRE(fixture.Put(client, "outbound") == "+OK");
-    fixture.stubs.NextCall().from->Reset();
+    fixture.stubs.NextCall().connection->Reset();
   }
   fixture.relay.WaitForLog("down a");
   // The messages whose attempts were reset, and one more, are delivered once the endpoint answers.
--- a/tests/relay/tracer.hpp
+++ b/tests/relay/tracer.hpp
@@ -1,5 +1,5 @@
-// Stops a relay process at a chosen system call (ptrace), so that signals and kills reach it at exactly that
-// point.
+// Stops a relay process at a chosen system call (with ptrace), so that a test can send it a signal at exactly
+// that point.
 #pragma once
 
 #include <functional>
@@ -26,16 +26,16 @@
   Tracer(const Tracer&) = delete;
   Tracer& operator=(const Tracer&) = delete;
 
-  // Lets the process run to the first system call for which `wanted` holds, and stops it there. Fails the
-  // test if the process ends before.
+  // Lets the process run to the first system call for which `wanted` returns true, and stops it there. Fails
+  // the test if the process exits before that.
   void RunUntil(const std::function<bool(const Call&)>& wanted);
-  // Runs until this many more journal records have been written.
+  // Runs until that number of further journal records has been written.
   void RunUntilJournalWrites(int records);
   // Runs until bytes have been received on a connection that the process opened to that port.
   void RunUntilReceivedFrom(int port);
-  // Runs until the process is about to wait in epoll while the condition holds.
+  // Runs until the process is about to wait in epoll while the condition is true.
   void RunUntilWaiting(const std::function<bool()>& condition);
-  // Ends the tracing; the process runs on.
+  // Ends the tracing; the process continues to run.
   void Detach();
   std::string FileOf(int fd) const;  // path of a descriptor's file, or "socket:[inode]"
 
