--- a/tests/relay/client_race_test.cpp
+++ b/tests/relay/client_race_test.cpp
@@ -1,5 +1,6 @@
-// Client connections in rare situations: half a request at SIGTERM, a close at the connection limit, floods
-// beside which other clients are served, and messages that were unread while the relay was suspended.
+// Client connections in rare situations: a half-received request at SIGTERM, connections closed at the
+// connection limit, other clients during a flood of requests, and messages that were unread while the relay
+// was suspended.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <fstream>
@@ -9,14 +10,14 @@
 namespace oxbowspread::testing {
 namespace {
 
-// The MSG.PUT command of a message with that id.
+// Returns the MSG.PUT command of a message with that id.
 std::string Put(const std::string& id) {
   return Client::PutCommand(id, "hello", 8000, ",k=key-" + id + ",dest=7");
 }
 const char* const kPing = "*1\r\n$4\r\nPING\r\n";
 bool IsAnswer(const std::string& line) { return line == "+OK" || line.substr(0, 5) == "-BUSY"; }
 
-// Resident memory of the process, in MB.
+// Returns the resident memory of the process in MB.
 double ResidentMb(pid_t pid) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(status, line);) {
@@ -29,9 +30,9 @@
   RelayFixture fixture;
   fixture.relay.Start();
   const std::string whole = Put("early"), late = Put("late");
-  Client hung(fixture.relay), first(fixture.relay), second(fixture.relay);
-  hung.Put("hung");
-  REQUIRE(hung.ReadLine() == "+OK");
+  Client unanswered(fixture.relay), first(fixture.relay), second(fixture.relay);
+  unanswered.Put("hung");
+  REQUIRE(unanswered.ReadLine() == "+OK");
   fixture.stubs.NextCall();
   first.socket().Send(whole.substr(0, whole.size() / 2));
   first.socket().WaitUntilAcknowledged();
@@ -45,8 +46,8 @@
   second.socket().Send(late.substr(0, 20));
   fixture.relay.WaitForLog("settling");
   second.socket().Send(late.substr(20));
-  // No new call begins by now: a client whose message is not accepted is told so, and its connection is
-  // closed without a reset.
+  // The relay starts no new calls at this point. A client whose message is not accepted gets an answer, and
+  // its connection is closed without a reset.
   const std::string answer = second.ReadLine();
   CHECK((answer.substr(0, 5) == "-BUSY" || second.was_reset()));
   if (!answer.empty()) {
@@ -58,7 +59,7 @@
   CHECK_FALSE(fixture.stubs.CallArrivesWithin(0ms));
 }
 
-// Whenever SIGKILL follows SIGTERM, a message that was answered +OK is delivered by this process or the next.
+// Whenever SIGKILL follows SIGTERM, this process or the next one delivers each message that was answered +OK.
 TEST_CASE("messages accepted between SIGTERM and SIGKILL are delivered or attempted again") {
   for (const auto time_to_kill : {100ms, 900ms, 2500ms}) {
     INFO(time_to_kill.count());
@@ -90,7 +91,7 @@
       }
       answer_calls();
     }
-    // These are in transit, read or unread, when the process is killed.
+    // These messages are in transit, or received and read or unread, when the process is killed.
     for (std::size_t i = 0; i < clients.size(); ++i)
       clients[i].socket().Send(Put("last-" + std::to_string(i)));
     fixture.relay.Signal(SIGKILL);
@@ -107,14 +108,14 @@
     });
     answer_calls();
     for (const std::string& id : accepted) CHECK(delivered.count(id) == 1);
-    // Calls whose answers were lost with the kill may have run and are repeated while the retry budget lasts.
-    // No other message may end undeliverable.
+    // Calls whose answers were lost when the process was killed may have run and are repeated while the retry
+    // budget lasts. No other message may end as undeliverable.
     for (const auto& [id, notice] : fixture.stubs.notices) CHECK(delivered.count(id) == 1);
   }
 }
 
-// At the connection limit the idle client is closed, and its answers have reached it.
-TEST_CASE("a client closed to make room has its answer and a request it sends meanwhile is not processed") {
+// At the connection limit the relay closes the idle client, after the client's answers have been sent.
+TEST_CASE("a client closed to make room has its answer and a request that it sends later is not processed") {
   RelayFixture fixture;
   fixture.relay.config["limits"]["sockets"] = 64;  // 19 clients
   fixture.relay.Start();
@@ -160,7 +161,7 @@
       CHECK(Clock::now() - asked_at < 400ms);
     }
     flood.Reset();
-    // Some of its messages were accepted by then; none of them waits for the client, which has disconnected.
+    // Some of its messages have been accepted by then. None of them waits for the disconnected client.
     fixture.stubs.WaitUntil([&] {
       while (fixture.stubs.CallArrivesWithin(0ms)) fixture.stubs.Answer(fixture.stubs.NextCall(), "200 OK");
       return unaffected.Counters()["held"] == 0;
@@ -222,12 +223,12 @@
   CHECK(retrying.front().ReadLine() == "+OK");
 }
 
-// Guards against notices after the client's deadline, as the soak test found them with seed 7300011 in 2 of
-// 12 runs: a message was unread for 0.369 s while the relay was suspended (SIGSTOP), and its client got +OK
-// within the 0.4 s that it waits. The relay counted the message's 2.5 s from when it read the message, so
-// that it gave up the call to a silent host and sent the notice 0.368 s after the client's deadline; 0.35 s
-// are allowed. X-Timeout tells how long the relay will wait, which must not be long past the client's
-// deadline.
+// Guards against notices after the client's deadline. The soak test found them with seed 7300011 in 2 of 12
+// runs: a message was unread for 0.369 s while the relay was suspended (SIGSTOP), and its client got +OK
+// within the 0.4 s for which it waits. The relay measured the message's deadline of 2.5 s from the time at
+// which it read the message. It therefore gave up the call to a silent host and sent the notice 0.368 s after
+// the client's deadline, but only 0.35 s are allowed. These tests check the call's X-Timeout, which is the
+// time for which the relay will wait: it must not end long after the client's deadline.
 struct UnreadMessage : RelayFixture {
   static constexpr int kDeadlineMs = 1500, kToleranceMs = 100;
   Clock::time_point sent_at{};
@@ -295,9 +296,10 @@
   fixture.CheckCallEndsInTime("id-1");
 }
 
-// Guards against the same fault, as the soak test found it with seed 8200038: 5.5 ms after it resumed, the
-// relay accepted a message that had waited in the listen backlog for 0.368 s, behind more connections than it
-// accepts in three iterations of its event loop, and counted the message as just received.
+// Guards against the same fault for connections in the listen backlog. The soak test found it with seed
+// 8200038: 5.5 ms after it resumed, the relay accepted a connection that had waited in the backlog for 0.368
+// s, behind more connections than the relay accepts in three iterations of its event loop. The relay treated
+// the message on that connection as just received.
 TEST_CASE(
     "a message in the backlog of a suspended relay behind many connections ends by its client's deadline") {
   UnreadMessage fixture;
--- a/tests/relay/endpoint_race_test.cpp
+++ b/tests/relay/endpoint_race_test.cpp
@@ -1,6 +1,6 @@
-// Endpoint connections in rare situations: reset before, at or long after the last byte of a call,
-// established late or never, and answers that arrive together with a time-out, with SIGTERM or after the
-// relay's last wait for events.
+// Endpoint connections in rare situations: connections that are reset before or long after the last byte of a
+// call, or are established late or never, and answers that arrive together with a time-out, together with
+// SIGTERM or after the relay's last wait for events.
 #include <catch2/catch.hpp>
 
 #include "race_fixture.hpp"
@@ -15,9 +15,9 @@
     stubs.AddHost("b", 7, "east-room");
     stubs.AddHost("lone", 9);
   }
-  // Hands in a message and returns the call for it, which is still to be answered.
-  HttpRequest HandIn(Client& client, const std::string& id, const std::string& body = "hello",
-                     int destination = 7) {
+  // Sends a message to the relay and returns the call for it, which the test has to answer.
+  HttpRequest PutAndAwaitCall(Client& client, const std::string& id, const std::string& body = "hello",
+                              int destination = 7) {
     client.Put(id, body, 8000, ",k=key-" + id + ",dest=" + std::to_string(destination));
     REQUIRE(client.ReadLine() == "+OK");
     return stubs.NextCall();
@@ -29,7 +29,7 @@
   TwoZones fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  const HttpRequest call = fixture.HandIn(client, "id-1");
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
   const std::string host = fixture.stubs.HostOf(call);
   fixture.WaitFor(1200ms);
   call.connection->Reset();
@@ -42,7 +42,8 @@
   CHECK(client.Counters()["reset"] == 1);
 }
 
-// The relay has written part of the call, and the kernel's send buffer is full.
+// The connection is reset while the relay has written only a part of the call, because the kernel's send
+// buffer is full.
 TEST_CASE("a call reset before its last byte never ran and may be repeated anywhere") {
   RelayFixture fixture;
   Socket slow = Socket::Listen();
@@ -60,7 +61,8 @@
   first.Reset();
   fixture.WaitForCounter(client, "no_connection", 1);
   CHECK(client.Counters()["reset"] == 0);
-  // It certainly never ran, so the next attempt is bound neither to a zone nor to the repeat window.
+  // The call certainly never ran, so the next attempt is restricted neither to a zone nor to the repeat
+  // window.
   const Socket second = slow.Accept(5s);
   CHECK(second.fd() >= 0);
 }
@@ -107,8 +109,8 @@
   fixture.relay.config["settings"]["services"][0]["semantics"] = "idempotent";
   fixture.relay.Start();
   Client client(fixture.relay);
-  const HttpRequest call = fixture.HandIn(client, "id-1", "hello", 9);
-  // The call tells how long the relay waits for its answer.
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1", "hello", 9);
+  // The call's header contains the time for which the relay waits for the answer.
   const long waits_ms = std::stol(call.headers.at("x-timeout"));
   REQUIRE(waits_ms < 7000);
   fixture.relay.Suspend();
@@ -120,16 +122,17 @@
   CHECK(client.Counters()["timed_out"] == 0);
 }
 
-// Two runs of the lab on a busy machine reported two open calls of one message. In the stand-ins the end of
-// the first call and the second call arrived in one iteration of the event loop, which handled the call first
-// (both at 11.369281 s in the trace). Here the first call's socket is checked when the second call is read.
+// Two runs of the lab on a busy machine reported two open calls of one message. The cause was in the
+// stand-ins: the end of the first call and the second call arrived in the same iteration of the event loop
+// (both at 11.369281 s in the trace), which handled the second call before the end of the first one. These
+// tests therefore check the first call's socket when the second call is read.
 struct FirstCallEnds : TwoZones {
   FirstCallEnds() { relay.config["settings"]["services"][0]["semantics"] = "idempotent"; }
   // `end` makes the first call end.
   void Check(const std::function<void(const HttpRequest&)>& end) {
     relay.Start();
     Client client(relay);
-    const HttpRequest first = HandIn(client, "id-1");
+    const HttpRequest first = PutAndAwaitCall(client, "id-1");
     end(first);
     const HttpRequest second = stubs.NextCall(8s);
     CHECK(first.connection->IsClosed());
@@ -161,7 +164,7 @@
   fixture.relay.Start();
   {
     Client client(fixture.relay);
-    const HttpRequest call = fixture.HandIn(client, "id-1");
+    const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1");
     fixture.relay.Suspend();
     fixture.relay.Signal(SIGTERM);
     fixture.stubs.Answer(call, "200 OK");
@@ -176,14 +179,14 @@
 }
 
 // The relay is suspended in its wait for events until after the time at which it leaves its open calls to the
-// next process. When it resumes, the wait has expired and nothing has been read.
+// next process. When it resumes, that wait has timed out and the answer is still unread.
 TEST_CASE("an answer that arrives after sending has stopped and is read last is recorded") {
   TwoZones fixture;
   fixture.relay.Start();
   HttpRequest call;
   {
     Client client(fixture.relay);
-    call = fixture.HandIn(client, "id-1");
+    call = fixture.PutAndAwaitCall(client, "id-1");
   }
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("draining");
@@ -202,19 +205,20 @@
   CHECK(client.Counters()["recovered"] == 0);
 }
 
-// The answer to one call must not be taken for the answer to another.
+// Guards against using bytes left from one call as the answer to the next call on the connection.
 TEST_CASE("unread bytes on an idle connection close it when it is about to be reused") {
   TwoZones fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  const HttpRequest first = fixture.HandIn(client, "id-1", "hello", 9);
+  const HttpRequest first = fixture.PutAndAwaitCall(client, "id-1", "hello", 9);
   fixture.stubs.Answer(first, "200 OK");
   fixture.WaitForCounter(client, "delivered", 1);
-  fixture.WaitFor(50ms);  // until the connection is idle again
+  fixture.WaitFor(50ms);  // for the connection to become idle again
   for (const std::string& stray :
        {std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), std::string("H")}) {
     const long delivered = client.Counters()["delivered"];
-    const HttpRequest call = fixture.HandIn(client, "call-" + std::to_string(stray.size()), "hello", 9);
+    const HttpRequest call =
+        fixture.PutAndAwaitCall(client, "call-" + std::to_string(stray.size()), "hello", 9);
     fixture.stubs.Answer(call, "200 OK");
     fixture.WaitForCounter(client, "delivered", delivered + 1);
     fixture.WaitFor(50ms);
@@ -233,11 +237,11 @@
   }
 }
 
-TEST_CASE("a call ends in time when the body of its answer comes byte by byte and never ends") {
+TEST_CASE("a call ends in time when the body of its answer arrives byte by byte and never ends") {
   TwoZones fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
-  const HttpRequest call = fixture.HandIn(client, "id-1", "hello", 9);
+  const HttpRequest call = fixture.PutAndAwaitCall(client, "id-1", "hello", 9);
   const auto started_at = Clock::now();
   call.connection->Send("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n");
   fixture.stubs.WaitUntil([&] {
@@ -251,14 +255,14 @@
   fixture.WaitForCounter(client, "delivered", 1);
 }
 
-// A message never has two open calls, not even across SIGTERM, SIGKILL and the next process.
+// Guards against two open calls of one message, also after SIGTERM and SIGKILL and with the next process.
 TEST_CASE("a call in flight when the process is killed is closed by the kernel before the next one begins") {
   TwoZones fixture;
   fixture.relay.Start();
   HttpRequest call;
   {
     Client client(fixture.relay);
-    call = fixture.HandIn(client, "id-1");
+    call = fixture.PutAndAwaitCall(client, "id-1");
   }
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("draining");
--- a/tests/relay/race_test.cpp
+++ b/tests/relay/race_test.cpp
@@ -1,5 +1,5 @@
-// Events that coincide: the relay is suspended (SIGSTOP) while bytes, connections and signals arrive, and
-// finds all of them at once when it resumes.
+// Events that happen at the same moment: the relay is suspended (SIGSTOP) while bytes, connections and
+// signals arrive, and finds all of them at once when it resumes.
 #include <sys/wait.h>
 
 #include <catch2/catch.hpp>
@@ -92,14 +92,16 @@
   fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["timed_out"] == 0);
   CHECK(client.Counters()["undeliverable"] == 0);
-  // The relay can't know whether it was in time by the client's clock, so the platform gets a notice as well.
+  // The relay can't know whether the answer was in time by the client's clock, so it also sends a notice to
+  // the platform.
   CHECK(fixture.stubs.WaitForNotice("id-1").at("status") == "undeliverable");
 }
 
-// Guards against a lost message: the client counts the deadline from when it sent the message, which is
-// earlier than when the relay read it, and an answer after the client's deadline delivers nothing.
+// Guards against a lost message: the client measures the deadline from the time at which it sent the message,
+// which is earlier than the time at which the relay read it, and an answer after the client's deadline does
+// not count as a delivery.
 TEST_CASE(
-    "a delivery in the last 400 ms before the deadline also sends a notice and so does the next process") {
+    "a delivery in the last 400 ms before the deadline also sends a notice and the next process repeats it") {
   RelayFixture fixture;
   fixture.relay.Start();
   fixture.stubs.notice_status = 503;
@@ -148,7 +150,7 @@
   fixture.stubs.Answer(call, "200 OK");
   fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["legs"] == 1);
-  // Half of the final response's status line starts the limit.
+  // Half of the final response's status line starts the time limit.
   client.Put("id-2");
   REQUIRE(client.ReadLine() == "+OK");
   const HttpRequest half = fixture.stubs.NextCall();
@@ -156,9 +158,9 @@
   fixture.WaitForCounter(client, "answers_spoilt", 1);
 }
 
-// ---- the end of the process ----
+// ---- the shutdown of the process ----
 
-TEST_CASE("SIGTERM: a request that arrives as the process ends is answered") {
+TEST_CASE("SIGTERM: a request that arrives as the process is about to exit is answered") {
   RelayFixture fixture;
   fixture.relay.Start();
   Client idle(fixture.relay);
@@ -166,7 +168,8 @@
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("draining");
   fixture.relay.Suspend();
-  fixture.WaitFor(700ms);  // no message is held and no client has sent for 0.5 s: the process is due to end
+  fixture.WaitFor(
+      700ms);  // no message is held and no client has sent for 0.5 s, so the process is due to exit
   idle.Put("id-1");
   idle.socket().WaitUntilAcknowledged();
   fixture.relay.Resume();
@@ -228,13 +231,13 @@
   Client client(fixture.relay);
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("draining");
-  // The kernel repeats the connection request after 1 s and 3 s, the latter between the last sends and the
-  // end.
+  // The kernel repeats the connection request after 1 s and after 3 s. The second repeat comes after the
+  // relay has stopped sending and before it exits.
   fixture.WaitFor(200ms);
   client.Put("id-1", "hello", 20000, ",k=key1,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
   fixture.relay.WaitForLog("settling");
-  const Socket blocking_connection = full_host.listener.Accept(0ms);
+  const Socket backlog_connection = full_host.listener.Accept(0ms);
   CHECK(fixture.relay.WaitForExit() == 0);
   const Socket late = full_host.listener.Accept(0ms);
   CHECK((late.fd() < 0 || late.Receive(0ms).empty()));
@@ -251,11 +254,11 @@
   fixture.relay.Signal(SIGHUP);
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("settling");
-  // Signals are sent until the process no longer exists, so that they meet every instruction of its shutdown.
+  // Signals are sent until the process has exited, so that they arrive at all points of its shutdown.
   int status = 0;
   while (waitpid(fixture.relay.pid(), &status, WNOHANG) == 0) {
     for (const int number : {SIGHUP, SIGTERM, SIGUSR1}) fixture.relay.Signal(number);
-    fixture.relay.log();  // reads the log: otherwise the pipe fills up and blocks the relay
+    fixture.relay.log();  // empties the pipe, which would otherwise fill up and block the relay
   }
   CHECK(fixture.relay.MarkExited(status) == 0);
 }
@@ -268,7 +271,7 @@
   Client client(fixture.relay);
   REQUIRE(client.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
   fixture.relay.Suspend();
-  // An invalid command, and after it more than the relay reads at once.
+  // An invalid command, followed by more bytes than the relay reads at once.
   client.socket().Send("nonsense\r\n" + std::string(100'000, 'x'));
   client.socket().WaitUntilAcknowledged();
   fixture.relay.Resume();
@@ -298,7 +301,7 @@
 
 // ---- the host list ----
 
-TEST_CASE("a list change that is indented over several lines and split into chunks anywhere is applied") {
+TEST_CASE("a list change that is indented over several lines and split into chunks at any point is applied") {
   RelayFixture fixture;
   fixture.stubs.AddHost("b", 7);
   fixture.relay.Start();
