--- a/tests/relay/list_deadline_test.cpp
+++ b/tests/relay/list_deadline_test.cpp
@@ -1,6 +1,7 @@
-// How late a relay of a large fleet may learn that an endpoint drains: 6 s after discovery has the change and
-// can be reached, whatever became of earlier calls for the list. Each relay is configured for a fleet of 300.
-// Several relays run side by side, because a random delay that happens to be short hides the fault in one.
+// A relay of a large fleet must apply the drain of an endpoint within 6 s after discovery has the change and
+// can be reached, regardless of the outcome of earlier calls for the list. Each relay is configured for a
+// fleet of 300. Several relays run in parallel, because in a single relay a random delay that happens to be
+// short could hide a fault.
 #include <sys/syscall.h>
 
 #include <catch2/catch.hpp>
@@ -12,10 +13,11 @@
 namespace oxbowspread::testing {
 namespace {
 
-constexpr auto kKnownAfterMoveWithin =
-    4s;  // limit for a change to be known after a SIGHUP that moves discovery
+// Maximum time from a SIGHUP that moves discovery until a change is known.
+constexpr auto kKnownAfterMoveWithin = 4s;
 
-TEST_CASE("a relay that has not learned of a drain calls the host so that the tests of this file can fail") {
+// Shows that the other tests of this file can fail.
+TEST_CASE("a relay that has not received a drain from discovery calls the host") {
   Fleet fleet;
   fleet.stubs.discovery_silent = true;
   fleet.Start();
@@ -23,8 +25,8 @@
   CHECK(fleet.CountRelaysCallingHostB() == fleet.size());
 }
 
-// Discovery has the fault `fault` from the start until `counter` of each relay has reached `count`. A drain
-// that discovery has by then must be known 6 s after discovery has recovered.
+// Runs discovery with the opposite value of the flag `fault` until `counter` of each relay has reached
+// `count`. Then a host drains and discovery recovers. Checks that each relay knows the drain 6 s later.
 void CheckKnownAfter(bool StubServices::*fault, const char* counter, long count) {
   Fleet fleet;
   const bool healthy = fleet.stubs.*fault;
@@ -37,8 +39,8 @@
   CHECK(fleet.CountRelaysCallingHostB() == 0);
 }
 
-// Guards against late retries: with 300 relays the first retry used to wait 1.6 to 9.6 s and any further one
-// up to 19.2 s.
+// Guards against late retries: with 300 relays the first retry used to be delayed by 1.6 to 9.6 s and each
+// further one by up to 19.2 s.
 TEST_CASE("a drain is known 6 s after a discovery that refused calls accepts them again in a fleet of 300") {
   CheckKnownAfter(&StubServices::discovery_refuses, "list_failures", 1);
 }
@@ -52,7 +54,7 @@
   CheckKnownAfter(&StubServices::discovery_accepts, "list_failures", 2);
 }
 
-// Guards against a subscription that never sent a list and used to be kept alive by empty lines.
+// Guards against empty lines that keep a subscription alive although it has never sent a list.
 TEST_CASE(
     "a subscription that gets only empty lines does not count as answered and the list is requested again") {
   CheckKnownAfter(&StubServices::discovery_sends_only_heartbeats, "watches", 2);
@@ -79,9 +81,9 @@
   CHECK(fleet.stubs.watch_requests - before <= fleet.size() * 8);
 }
 
-// Guards against starvation: each call used to be given up after 3.2 s and was then queued again behind all
-// others, so that the last one was never answered.
-TEST_CASE("relays that discovery answers one by one are all answered because none abandons its queued call") {
+// Guards against starvation: each call used to be given up after 3.2 s, and the next call of that relay was
+// queued behind all others, so that the last relay in the queue was never answered.
+TEST_CASE("relays that discovery answers one by one are all answered because none closes its queued call") {
   Fleet fleet(8);
   fleet.stubs.discovery_time_per_request = 600ms;  // 4.8 s for all relays if each calls once
   fleet.stubs.discovery_silent = true;
@@ -143,9 +145,9 @@
   CHECK(fleet.CountRelaysCallingHostB() == 0);
 }
 
-// Guards against a subscription that half a change keeps alive forever: any byte used to count as a
-// heartbeat.
-TEST_CASE("a subscription that trickles bytes and never ends a line counts as silent") {
+// Guards against an incomplete change that keeps its subscription alive forever: any received byte used to
+// count as a heartbeat.
+TEST_CASE("a subscription that sends single bytes and never a complete line counts as silent") {
   Fleet fleet(1);
   fleet.Start();
   fleet.stubs.WaitUntil([&] { return fleet.stubs.open_watches() == 1; });
@@ -167,9 +169,9 @@
 }
 
 // A relay may be delayed by 150 ms between reading the list and calling a host. The grace period of 250 ms,
-// and 50 ms more for sockets, has to cover that.
+// with another 50 ms for sockets, has to cover that delay.
 TEST_CASE(
-    "a call delayed by 150 ms after its record is made within the grace period of a drain and none after") {
+    "a call delayed by 150 ms after its record is made in the grace period of a drain and none after that") {
   Fleet fleet(1);
   fleet.Start();
   fleet.WaitForEachCounter("list_changes", 2);
@@ -194,9 +196,10 @@
   CHECK(fleet.CountRelaysCallingHostB() == 0);
 }
 
-// A relay is suspended while its subscription receives a heartbeat, for so long that the subscription is
-// overdue when it resumes.
-void CheckWatchIsRead(bool signalled) {
+// Suspends a relay while its subscription receives a heartbeat, until the subscription would be silent for
+// too long without that heartbeat. Checks that the resumed relay keeps its subscription. If `signalled` is
+// set, the relay also gets a signal before it resumes.
+void CheckSubscriptionIsKept(bool signalled) {
   Fleet fleet(1);
   fleet.Start();
   fleet.WaitForEachCounter("list_changes", 2);
@@ -212,15 +215,16 @@
   CHECK(client.Counters()["watches"] == 1);
 }
 
-// Guards against a relay that abandons its subscription after a suspension with a heartbeat still unread.
-TEST_CASE("a resumed relay reads its subscription before it takes it for silent") {
-  CheckWatchIsRead(/*signalled=*/false);
+// Guards against a relay that gives up its subscription after a suspension although a heartbeat is unread.
+TEST_CASE("a resumed relay reads its subscription before it treats the subscription as silent") {
+  CheckSubscriptionIsKept(/*signalled=*/false);
 }
 
-// Guards against a call to a draining host, as the soak test found it: a signal ends the wait for events
-// without reporting any, and timers that were due ran before anything was read, so that the drain was unread.
+// Guards against a call to a draining host, which the soak test found: a signal interrupts the wait for
+// events, which then reports no events. The due timers used to run before anything was read, so that the
+// drain was still unread.
 TEST_CASE("a relay that is resumed and signalled reads its subscription before it runs timers") {
-  CheckWatchIsRead(/*signalled=*/true);
+  CheckSubscriptionIsKept(/*signalled=*/true);
 }
 
 }  // namespace
--- a/tests/relay/list_lease_test.cpp
+++ b/tests/relay/list_lease_test.cpp
@@ -1,5 +1,6 @@
 // A relay that can't get the list in time must stop calling hosts that may have begun to drain: 6 s after
-// discovery has a change, the relay counts as knowing it, whatever became of its calls for the list.
+// discovery has a change, the platform assumes that the relay knows it, regardless of the outcome of the
+// relay's calls for the list.
 #include <catch2/catch.hpp>
 #include <deque>
 
@@ -11,7 +12,7 @@
 
 const std::string kPing = "*1\r\n$4\r\nPING\r\n";
 
-// One client of each relay, connected while the relay still accepts connections.
+// Connects a client to each relay, for use after the relay has stopped accepting connections.
 std::deque<Client> ConnectClients(const Fleet& fleet) {
   std::deque<Client> clients;
   for (const RelayProcess& relay : fleet.relays) clients.emplace_back(relay);
@@ -19,7 +20,7 @@
   return clients;
 }
 
-// Each client sends PING repeatedly until that time, so that its relay does not close it as idle.
+// Each client sends PING repeatedly until that time, so that its relay does not close its connection as idle.
 void KeepPinging(Fleet& fleet, std::deque<Client>& clients, Clock::time_point until) {
   while (Clock::now() < until) {
     for (Client& client : clients) REQUIRE(client.Ask(kPing) == "+PONG");
@@ -27,7 +28,7 @@
   }
 }
 
-// Hands in messages for host a until that time; the host answers all of its calls.
+// Sends messages for host a until that time. The host answers all calls.
 void KeepSendingMessages(Fleet& fleet, std::deque<Client>& clients, Clock::time_point until) {
   for (int round = 0; Clock::now() < until; ++round) {
     for (std::size_t i = 0; i < clients.size(); ++i) {
@@ -38,8 +39,8 @@
   }
 }
 
-// Hands one message for host b to each relay and returns how many relays call the host.
-int CallsToDraining(std::deque<Client>& clients) {
+// Sends one message for host b to each relay and returns the number of relays that call the host.
+int CountRelaysCallingHostB(std::deque<Client>& clients) {
   int calls = 0;
   for (Client& client : clients) {
     const long before = client.Counters()["legs"];
@@ -50,8 +51,8 @@
   return calls;
 }
 
-// Ends the subscription in the middle of the change that contains the drain of host b. From then on discovery
-// refuses all calls. Returns the time at which discovery had the change.
+// Closes the subscription in the middle of the change that contains the drain of host b. From then on
+// discovery refuses all calls. Returns the time at which discovery got the change.
 Clock::time_point TruncateChange(Fleet& fleet) {
   fleet.stubs.discovery_refuses = true;
   fleet.stubs.SetStateWithoutPush("b", "Terminating");
@@ -74,18 +75,19 @@
   KeepPinging(fleet, clients, changed_at + kChangeKnownWithin - 2700ms);
   for (const RelayProcess& relay : fleet.relays) relay.Signal(SIGTERM);
   KeepSendingMessages(fleet, clients, changed_at + kChangeKnownWithin);
-  CHECK(CallsToDraining(clients) == 0);
+  CHECK(CountRelaysCallingHostB(clients) == 0);
 }
 
 TEST_CASE(
-    "no call to a draining host while discovery refuses calls and waiting messages go out once it answers") {
+    "no call to a draining host while discovery refuses calls and waiting messages are sent once it "
+    "answers") {
   Fleet fleet(4);
   fleet.Start();
   fleet.WaitForEachCounter("list_changes", 2);
   std::deque<Client> clients = ConnectClients(fleet);
   const auto changed_at = TruncateChange(fleet);
   KeepPinging(fleet, clients, changed_at + kChangeKnownWithin);
-  CHECK(CallsToDraining(clients) == 0);
+  CHECK(CountRelaysCallingHostB(clients) == 0);
   clients.front().Put("id-a", "hello", 8000, ",k=key2,dest=7");
   CHECK(clients.front().ReadLine() == "+OK");
   CHECK_FALSE(fleet.stubs.CallArrivesWithin(500ms));
@@ -93,8 +95,8 @@
   CHECK(fleet.stubs.NextCall().id() == "id-a");
 }
 
-// Guards against a lost drain, as the soak test found it: SIGHUP closed the connection to discovery together
-// with a change that was in transit.
+// Guards against a lost drain, which the soak test found: at SIGHUP the relay closed the connection to
+// discovery while a change was in transit on it.
 TEST_CASE("a drain that discovery sends from its old address after SIGHUP is applied") {
   Fleet fleet(1);
   fleet.Start();
@@ -109,17 +111,17 @@
       {{"version", 2}, {"full", false}, {"servers", {fleet.stubs.ListEntry("b")}}});
   const auto sent_at = Clock::now();
   KeepPinging(fleet, clients, sent_at + 250ms);  // the grace period
-  CHECK(CallsToDraining(clients) == 0);
+  CHECK(CountRelaysCallingHostB(clients) == 0);
   clients.front().Put("id-a", "hello", 8000, ",k=key2,dest=7");
   CHECK(clients.front().ReadLine() == "+OK");
   CHECK(fleet.stubs.NextCall().id() == "id-a");
 }
 
-// Guards against a call during a requested wait, as the soak test found it with seed 1 in 1 of 12 runs: a
-// host told the relay to wait, and the relay called it again 0.3 s later. A list lags by up to a second, so
-// the host that answered had already taken over the address of the host that the call was meant for. The wait
-// was stored under the id of the old host, and it was lost with the first list that named the new one.
-TEST_CASE("a wait requested at an address binds the host that has taken over the address") {
+// Guards against a call during a requested wait. The soak test found it with seed 1 in 1 of 12 runs: a host
+// requested a wait with Retry-After, and the relay called it again 0.3 s later. Lists lag by up to a second,
+// so the host that answered already had the address of the host for which the call was meant. The wait was
+// stored under the id of the old host and was lost with the first list that contained the new one.
+TEST_CASE("a wait requested at an address applies to the host that has taken over the address") {
   StubServices stubs;
   stubs.AddHost("old", 7);
   RelayProcess relay(stubs);
@@ -142,9 +144,9 @@
 }
 
 // Guards against a lease that is renewed from the time at which a heartbeat is read. A heartbeat that was
-// unread while the relay was suspended says nothing about the time since. With a change made right after the
-// heartbeat, which counts as known 6 s later, and a suspension of 2.5 s, calls used to go on for 1 s too
-// long.
+// unread while the relay was suspended does not confirm the list for the time after its arrival. Here a
+// change is made right after the heartbeat, and it counts as known 6 s later. With a suspension of 2.5 s, the
+// relay used to make calls for 1 s too long.
 TEST_CASE("a heartbeat that was unread while its relay was suspended does not renew the list lease") {
   Fleet fleet(1);
   fleet.Start();
@@ -160,7 +162,7 @@
   fleet.WaitFor(2500ms);
   relay.Resume();
   KeepPinging(fleet, clients, changed_at + kChangeKnownWithin);
-  CHECK(CallsToDraining(clients) == 0);
+  CHECK(CountRelaysCallingHostB(clients) == 0);
 }
 
 TEST_CASE("a new process whose discovery calls are refused calls no host 6 s after its start") {
@@ -170,13 +172,13 @@
   std::deque<Client> clients = ConnectClients(fleet);
   fleet.stubs.SetStateWithoutPush("b", "Terminating");
   KeepPinging(fleet, clients, Clock::now() + kChangeKnownWithin);
-  CHECK(CallsToDraining(clients) == 0);
+  CHECK(CountRelaysCallingHostB(clients) == 0);
 }
 
 // Discovery ends the subscription and refuses each call after 2 s, which counts as an outage. If the
 // subscription ended in the middle of a change (`in_change`), or if a call is refused at once, discovery may
-// also be overloaded, and then hosts must not be called any more.
-void CheckCallsInOutage(bool in_change, bool still_called) {
+// merely be overloaded, and then hosts must not be called any more. Checks whether hosts are called.
+void CheckCallsInOutage(bool in_change, bool expect_call) {
   Fleet fleet(1);
   fleet.Start();
   fleet.WaitForEachCounter("list_changes", 2);
@@ -188,19 +190,19 @@
   KeepPinging(fleet, clients, Clock::now() + kChangeKnownWithin + 3s);
   clients.front().Put("id-a", "hello", 8000, ",k=key1,dest=7");
   CHECK(clients.front().ReadLine() == "+OK");
-  CHECK(fleet.stubs.CallArrivesWithin(500ms) == still_called);
+  CHECK(fleet.stubs.CallArrivesWithin(500ms) == expect_call);
 }
 
 TEST_CASE("hosts are still called during an outage of discovery that is recognized as one") {
-  CheckCallsInOutage(/*in_change=*/false, /*still_called=*/true);
+  CheckCallsInOutage(/*in_change=*/false, /*expect_call=*/true);
 }
 
 TEST_CASE("no host is called when a subscription ended in a change and calls for the list are refused late") {
-  CheckCallsInOutage(/*in_change=*/true, /*still_called=*/false);
+  CheckCallsInOutage(/*in_change=*/true, /*expect_call=*/false);
 }
 
-// A change made while nobody can reach discovery does not count as known, so a relay must keep calling hosts
-// during an outage of discovery.
+// A change that is made while no relay can reach discovery does not count as known, so a relay must keep
+// calling hosts during an outage of discovery.
 TEST_CASE("hosts are still called while connections to discovery are refused") {
   Fleet fleet(1);
   fleet.Start();
--- a/tests/relay/list_race_test.cpp
+++ b/tests/relay/list_race_test.cpp
@@ -1,5 +1,6 @@
-// The host list in rare situations: discovery is silent from the start, breaks off in the middle of a change,
-// refuses repeatedly, sends a list older than the known one, or moves while a change is in transit.
+// The host list in rare situations: discovery is silent from the start, closes the connection in the middle
+// of a change, refuses repeatedly, sends a list older than the known one, or moves while a change is in
+// transit.
 #include <catch2/catch.hpp>
 
 #include "relay_harness.hpp"
@@ -19,7 +20,7 @@
   void WaitForCounter(Client& client, const char* counter, long count) {
     stubs.WaitUntil([&] { return client.Counters()[counter] >= count; });
   }
-  // The list entry of that host with that state.
+  // Returns the list entry of that host, changed to that state.
   nlohmann::json EntryWithState(const std::string& id, const std::string& state) const {
     nlohmann::json entry = stubs.ListEntry(id);
     entry["state"] = state;
@@ -46,7 +47,8 @@
 
 const std::set<std::string> kOnlyA = {"a"};
 
-// Guards against draining hosts that are used again because a discovery server lags behind the previous one.
+// Guards against calls to draining hosts after a change to a discovery server that lags behind the previous
+// one.
 TEST_CASE("a list older than the known one is ignored and a newer one is applied again") {
   ListFixture fixture;
   fixture.relay.Start();
@@ -56,7 +58,7 @@
   fixture.stubs.PushChange(
       {{"version", 50}, {"full", false}, {"servers", {fixture.EntryWithState("b", "Terminating")}}});
   fixture.WaitForCounter(client, "list_changes", changes + 1);
-  // An old full list and then an old change, both from a discovery server that lags.
+  // An old full list and then an old change, as a lagging discovery server sends them.
   fixture.stubs.PushChange(
       {{"version", 48},
        {"full", true},
@@ -71,7 +73,7 @@
   const long attempts = client.Counters()["legs"];
   client.Put("kept");
   REQUIRE(client.ReadLine() == "+OK");
-  CHECK(client.Counters()["legs"] == attempts);  // the step that accepted it would have begun the attempt
+  CHECK(client.Counters()["legs"] == attempts);  // the step that accepts a message also starts its attempt
   // A change with the same version is not older.
   fixture.stubs.PushChange(
       {{"version", 51}, {"full", false}, {"servers", {fixture.EntryWithState("b", "Ready")}}});
@@ -107,7 +109,8 @@
     fixture.relay.Start();
     {
       Client client(fixture.relay);
-      CHECK(fixture.DeliverAndListHosts(client, 1).size() == 1);  // served with the list from the start
+      // The relay uses the list that it was started with.
+      CHECK(fixture.DeliverAndListHosts(client, 1).size() == 1);
     }
     fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
     const auto asked = Clock::now();
@@ -123,7 +126,7 @@
   }
 }
 
-TEST_CASE("a change that breaks off in the middle is not applied and the next subscription delivers it") {
+TEST_CASE("a change that is cut off in the middle is not applied and the next subscription delivers it") {
   ListFixture fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
@@ -137,7 +140,7 @@
           .dump();
   fixture.stubs.PushChunk(half.substr(0, half.size() - 3));
   fixture.stubs.WaitUntilPushesDelivered();
-  // This follows on the same subscription and is part of the unreadable text.
+  // This change follows on the same subscription, so it becomes part of the unreadable text.
   fixture.stubs.SetState("b", "Ready");
   fixture.stubs.CloseWatches();
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; });
@@ -156,11 +159,11 @@
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const auto first = Clock::now();
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 2; }, 15s);
-  // The last list is used as long as its lease holds; list_lease_test.cpp covers what follows.
+  // The last list is used until its lease expires; list_lease_test.cpp covers the time after that.
   Client client(fixture.relay);
   CHECK(fixture.DeliverAndListHosts(client, 1).size() == 1);
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 4; }, 15s);
-  // The first retry is delayed by 0.2 to 1.2 s, each further one by twice that.
+  // The first retry is delayed by 0.2 to 1.2 s, each further retry by twice that.
   CHECK(Clock::now() - first > 1s);
   fixture.stubs.discovery_refuses = false;
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 5; });
@@ -168,7 +171,7 @@
   CHECK(client.Counters()["list_failures"] == 4);
 }
 
-// Guards against a change that has arrived and is dropped together with its subscription.
+// Guards against a lost change: it has arrived, but is dropped together with its subscription.
 TEST_CASE("a change that is unread when SIGHUP moves discovery is still applied") {
   ListFixture fixture;
   fixture.relay.Start();
@@ -177,7 +180,7 @@
   fixture.relay.Suspend();
   fixture.stubs.SetState("b", "Terminating");
   fixture.stubs.WaitUntilPushesDelivered();
-  fixture.stubs.discovery_silent = true;  // discovery sends nothing yet at its new address
+  fixture.stubs.discovery_silent = true;  // discovery does not answer at its new address
   fixture.stubs.MoveDiscovery();
   auto config = fixture.relay.config;
   config["discovery"] = "127.0.0.1:" + std::to_string(fixture.stubs.discovery_port());
@@ -189,17 +192,17 @@
 
 // ---- old and unreadable lists ----
 
-// Sends a message for a destination with one host. Returns whether that host was called at once; if it may
-// not be used, the message waits.
+// Sends a message for a destination with one host. Returns whether the relay called that host at once. If the
+// host may not be used, the message waits.
 bool CalledAtOnce(Client& client, int destination, const std::string& id) {
   const long before = client.Counters()["legs"];
   client.Put(id, "hello", 8000, ",k=key1,dest=" + std::to_string(destination));
   REQUIRE(client.ReadLine() == "+OK");
-  return client.Counters()["legs"] > before;  // the step that accepts a message also begins its attempt
+  return client.Counters()["legs"] > before;  // the step that accepts a message also starts its attempt
 }
 
-// Guards against calls to draining hosts: older lists used to be ignored for 10 s together with the drains in
-// them, although discovery had sent those.
+// Guards against calls to draining hosts: a list older than the known one used to be ignored for 10 s,
+// together with the drains in it.
 TEST_CASE("a drain in a list older than the known one applies at once until discovery has caught up") {
   ListFixture fixture;
   fixture.stubs.AddHost("c", 8);
@@ -214,13 +217,13 @@
       {{"version", 48}, {"full", false}, {"servers", {fixture.EntryWithState("c", "Terminating")}}});
   fixture.WaitForCounter(client, "lists_behind", 1);
   CHECK_FALSE(CalledAtOnce(client, 8, "id-1"));
-  // The lagging discovery lists it as ready again, which was the state before version 50 as well.
+  // The lagging discovery lists the host as ready again, which was also its state before version 50.
   fixture.stubs.PushChange(
       {{"version", 49}, {"full", false}, {"servers", {fixture.EntryWithState("c", "Ready")}}});
   const HttpRequest call = fixture.stubs.NextCall();
   CHECK(call.id() == "id-1");
   fixture.stubs.Answer(call, "200 OK");
-  // An old full list without the host, and then the known version, which has it.
+  // An old full list without the host, and then the known version, which contains it.
   fixture.stubs.PushChange(
       {{"version", 49}, {"full", true}, {"servers", {fixture.EntryWithState("a", "Ready")}}});
   fixture.WaitForCounter(client, "lists_behind", 3);
@@ -229,7 +232,7 @@
   CHECK(fixture.stubs.NextCall().id() == "id-2");
 }
 
-// Guards against a lost drain: an entry with one invalid field used to be dropped whole.
+// Guards against a lost drain: an entry with one invalid field used to be ignored completely.
 TEST_CASE("an unreadable entry stops calls to its host only and is named in the log once") {
   ListFixture fixture;
   fixture.stubs.AddHost("c", 8);
@@ -265,7 +268,7 @@
   CHECK(fixture.stubs.NextCall().id() == "id-1");
 }
 
-TEST_CASE("a full list with an unreadable entry keeps the known data of that host but does not call it") {
+TEST_CASE("a full list with an unreadable entry keeps the known host but the relay does not call it") {
   ListFixture fixture;
   fixture.stubs.AddHost("c", 8);
   fixture.relay.config["settings"]["weights"] = "none";
