--- a/tests/relay/control_test.cpp
+++ b/tests/relay/control_test.cpp
@@ -26,6 +26,7 @@
   return connection;
 }
 
+// A relay with a control socket.
 struct ControlFixture {
   StubServices stubs;
   RelayProcess relay{stubs};
@@ -35,7 +36,9 @@
     stubs.AddHost("a", 7);
     relay.arguments = {"--control", path, "--stamp", "v1@first"};
   }
+  // Sends the request on a new connection and returns the answer.
   Json Ask(const Json& request) { return SendLine(request.dump() + "\n"); }
+  // The same for any bytes. The result is discarded (Json::is_discarded) if no valid answer arrived.
   Json SendLine(const std::string& line) {
     const Socket connection = ConnectTo(path);
     REQUIRE(connection.fd() >= 0);
@@ -50,7 +53,7 @@
   }
 };
 
-TEST_CASE("status holds pid and phase and stamp and counters and the control socket has mode 0600") {
+TEST_CASE("status contains pid and phase and stamp and counters and the control socket has mode 0600") {
   ControlFixture fixture;
   fixture.relay.Start();
   const Json status = fixture.Ask({{"op", "status"}, {"id", 5}});
@@ -109,9 +112,9 @@
   ControlFixture fixture;
   fixture.relay.Start();
   const std::string file = fixture.relay.folder() + "/config.json";
-  Json bad = fixture.relay.config;
-  bad["limits"]["sockets"] = 3;
-  std::ofstream(file) << bad.dump();
+  Json invalid = fixture.relay.config;
+  invalid["limits"]["sockets"] = 3;
+  std::ofstream(file) << invalid.dump();
   const Json refused = fixture.Ask({{"op", "reload"}, {"stamp", "v2@c1"}});
   CHECK(refused.at("ok") == false);
   CHECK(refused.at("error").get<std::string>().find("limits.sockets") == 0);
@@ -141,7 +144,7 @@
   CHECK(code == 3);
   CHECK(text.find("is held by process " + std::to_string(fixture.relay.pid()) + " (oxbowspread)") !=
         text.npos);
-  // The lock is released when its process ends, also by SIGKILL.
+  // The lock is released when its process exits, also by SIGKILL.
   fixture.relay.Signal(SIGKILL);
   fixture.relay.WaitForExit();
   fixture.relay.Start();
--- a/tests/relay/management_test.cpp
+++ b/tests/relay/management_test.cpp
@@ -20,17 +20,19 @@
 
 using management::CommandReader;
 
+// A relay with a management port, and some hosts of destination 7.
 struct ManagementFixture {
   StubServices stubs;
   RelayProcess relay{stubs};
-  Socket reserved = Socket::Listen();  // finds a free port for the relay's management listener
-  int port = reserved.port();
+  Socket port_finder = Socket::Listen();  // gets a free port for the relay's management listener
+  int port = port_finder.port();
 
   explicit ManagementFixture(int hosts = 1) {
     for (int i = 0; i < hosts; ++i) stubs.AddHost(std::string(1, static_cast<char>('a' + i)), 7);
-    reserved.Close();
+    port_finder.Close();
     relay.config["mgmt"] = "127.0.0.1:" + std::to_string(port);
   }
+  // Sends a command on a new connection and returns the first line of the answer.
   std::string Ask(const std::string& line) const {
     const Socket connection = Socket::Connect(port);
     connection.Send(line + "\n");
@@ -45,7 +47,7 @@
   }
 };
 
-TEST_CASE("an operator command split at any byte is parsed as a word and an optional argument") {
+TEST_CASE("an operator command split at any byte is parsed as a name and an optional argument") {
   const std::string line = "exclude s-1\r\n";
   for (std::size_t cut = 0; cut <= line.size(); ++cut) {
     CommandReader reader;
@@ -65,7 +67,7 @@
   CHECK(reader.state() == CommandReader::State::kInvalid);
 }
 
-TEST_CASE("an excluded host stays draining whatever discovery lists for it") {
+TEST_CASE("an excluded host stays draining regardless of what discovery lists for it") {
   using wheathub::Lifecycle;
   using wheathub::ListScope;
   relay::RoutingTable table;
@@ -122,7 +124,8 @@
     CHECK(journal::Journal(folder, 1'000'000).excluded_hosts() ==
           expected.at(static_cast<std::size_t>(whole_records)));
     CHECK(journal::Journal(folder, 1'000'000).excluded_hosts() ==
-          expected.at(static_cast<std::size_t>(whole_records)));  // the file that the first one rewrote
+          expected.at(
+              static_cast<std::size_t>(whole_records)));  // reads the file that the first Journal rewrote
   }
   journal::Journal full_journal(folder, 1'000'000);
   for (std::size_t i = full_journal.excluded_hosts().size(); i < journal::Journal::kMaxExcludedHosts; ++i) {
@@ -140,7 +143,7 @@
   CHECK(fixture.Ask("exclude").substr(0, 6) == "error ");
   CHECK(fixture.Ask("exclude nobody").substr(0, 6) == "error ");
   CHECK(fixture.Ask("include nobody").substr(0, 6) == "error ");
-  // The relay is not ready while it drains; a message without an answer keeps it running.
+  // The relay is not ready while it drains. An unanswered call keeps it running.
   Client client(fixture.relay);
   client.Put("held");
   REQUIRE(client.ReadLine() == "+OK");
@@ -149,11 +152,11 @@
   fixture.stubs.WaitUntil([&] { return fixture.Ask("readyz") == "error draining"; });
 }
 
-TEST_CASE("the management port answers beside silent callers and endless lines and 1000 clients") {
+TEST_CASE("the management port answers despite silent operators and endless lines and 1000 clients") {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
-  limit.rlim_cur =
-      std::min<rlim_t>(limit.rlim_max, 4096);  // of the test's process, which has all the clients
+  // The limit of the test's process, which contains all clients.
+  limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, 4096);
   setrlimit(RLIMIT_NOFILE, &limit);
   ManagementFixture fixture;
   fixture.relay.Start();
@@ -172,7 +175,7 @@
   CHECK(client.ReadLine() == "+OK");
 }
 
-TEST_CASE("an excluded host gets no new calls whatever the list says until it is included again") {
+TEST_CASE("an excluded host gets no new calls regardless of the list until it is included again") {
   ManagementFixture fixture(2);
   fixture.relay.Start();
   CHECK(fixture.Ask("exclude a") == "done");
@@ -225,7 +228,7 @@
 
 TEST_CASE("an attempt still connecting when its host is excluded is not sent") {
   ManagementFixture fixture(1);
-  // A listen backlog of one connection, which another connection fills.
+  // A host with a listen backlog of one connection, which another connection fills.
   const Socket full_listener = Socket::Listen(0);
   fixture.stubs.SetPort("a", full_listener.port());
   const Socket backlog_connection = Socket::Connect(full_listener.port());
--- a/tests/relay/record_race_test.cpp
+++ b/tests/relay/record_race_test.cpp
@@ -1,5 +1,6 @@
-// Signals and SIGKILL between two system calls of the relay: between a journal record and the action that
-// follows it, between an answer and its record, and between opening the journal and the first client.
+// SIGKILL and other signals between two system calls of the relay: between a journal record and the action
+// that follows it, between an answer and its record, and between opening the journal and serving the first
+// client.
 #include <sys/syscall.h>
 #include <sys/wait.h>
 
@@ -24,8 +25,8 @@
     CHECK(relay.WaitForExit() == -SIGKILL);
     relay.Start();
   }
-  // Checks that the running process recovers one message, attempts it once and delivers it, in `zone` if
-  // given.
+  // Checks that the running process has recovered one message, attempts it once and delivers it. If `zone` is
+  // not empty, the attempt must be made in that zone.
   void CheckRecoveredAndDelivered(const std::string& zone = "") {
     const HttpRequest call = stubs.NextCall();
     CHECK(call.id() == "id-1");
@@ -38,8 +39,8 @@
     CHECK(client.Counters()["legs"] == 1);
     CHECK(client.Counters()["held"] == 0);
   }
-  // Starts the next process and checks that it waits for the zone of that host, although the host in the
-  // other zone is ready.
+  // Starts the next process while that host drains. Checks that the message waits for that host's zone
+  // although the host in the other zone is ready.
   void StartAndCheckStaysInZone(const std::string& host) {
     stubs.SetState(host, "Terminating");
     relay.Start();
@@ -49,8 +50,8 @@
   }
 };
 
-// The client gets no answer and hands the message in to another relay. The recorded message is attempted
-// nevertheless.
+// The client gets no answer and sends the message to another relay. The recorded message is attempted as
+// well.
 TEST_CASE("SIGKILL between a message's record and its +OK leaves the message recorded") {
   TracedRelay fixture;
   fixture.relay.Start();
@@ -84,7 +85,8 @@
   CHECK(fixture.relay.log().find("delivered=1\n") != std::string::npos);
 }
 
-// No byte of the attempt was sent, but the next process can't know that and takes it as possibly executed.
+// No byte of the attempt was sent, but the next process can't know that and has to assume that it may have
+// run.
 TEST_CASE("SIGKILL between an attempt's record and its bytes: the next attempt stays in its zone") {
   TracedRelay fixture;
   fixture.relay.Start();
@@ -160,7 +162,7 @@
   CHECK(client.Counters()["recovered"] == 0);
 }
 
-// The end of a message is recorded before its notice is sent, and an accepted notice is not sent again.
+// The end of a message is recorded before its notice is sent. An accepted notice is not sent again.
 TEST_CASE("SIGKILL between an end's record and its notice: only the next process sends the notice") {
   TracedRelay fixture;
   fixture.relay.config["settings"]["limits"]["send-cap"] = 1;
@@ -172,7 +174,7 @@
     const HttpRequest call = fixture.stubs.NextCall();
     Tracer tracer(fixture.stubs, fixture.relay.pid());
     fixture.stubs.Answer(call, "500 No");
-    tracer.RunUntilJournalWrites(2);  // the attempt's end, then the message's
+    tracer.RunUntilJournalWrites(2);  // the end of the attempt and the end of the message
     fixture.relay.Signal(SIGKILL);
     tracer.Detach();
   }
--- a/tests/relay/restart_race_test.cpp
+++ b/tests/relay/restart_race_test.cpp
@@ -1,5 +1,5 @@
-// What a restarted relay finds: hundreds of messages without an attempt, messages that may have run, notices
-// still to be sent, a full message table, a full disk.
+// Restarts of a relay with hundreds of messages without an attempt, with messages that may have run, with
+// unsent notices, with a full message table, or with a full disk.
 #include <sys/resource.h>
 #include <sys/stat.h>
 
@@ -18,7 +18,7 @@
 
   nlohmann::json& settings() { return relay.config["settings"]; }
   nlohmann::json& message_class() { return settings()["services"][0]; }
-  // Hands in that number of messages to one destination at once and waits until all are accepted.
+  // Sends that number of messages for one destination at once and waits until all are accepted.
   void PutAll(int messages, int destination, int deadline_ms = 16000) {
     std::string commands;
     for (int i = 0; i < messages; ++i) {
@@ -62,7 +62,7 @@
   fixture.relay.Start();
   CHECK(Clock::now() - started_at < 1s);
   std::map<std::string, int> tried;  // number of calls by message id
-  std::vector<HttpRequest> open;     // calls that are open at once, before any of them is answered
+  std::vector<HttpRequest> open;     // the calls that are open and not yet answered
   int most_open = 0;
   const auto receive_calls = [&] {
     while (fixture.stubs.CallArrivesWithin(0ms)) {
@@ -89,8 +89,8 @@
   for (const auto& [id, times] : tried) CHECK(times == 1);
 }
 
-// The repeat window starts with the first attempt that may have run, whichever process began it.
-TEST_CASE("a message whose repeat window is over after the restart is ended and not sent again") {
+// The repeat window starts with the first attempt that may have run, also if an earlier process made it.
+TEST_CASE("a message whose repeat window has ended before the restart is ended and not sent again") {
   RestartFixture fixture;
   fixture.message_class()["repeat-window-s"] = 0.5;
   fixture.relay.Start();
@@ -115,7 +115,7 @@
   REQUIRE(first.Receive(5s).find("m-8-0") != std::string::npos);
   full_host.FillBacklog();
   first.Reset();  // the call may have run
-  // On a machine too slow for the window there is no repeat, which is correct as well.
+  // On a machine that is too slow for the window there is no repeat, which is also correct.
   fixture.stubs.WaitUntil(
       [&] { return fixture.Count("legs") == 2 || fixture.stubs.notices.count("m-8-0") == 1; });
   const Socket late =
@@ -157,13 +157,14 @@
   }
 }
 
-// Guards against a relay that gives up recovered messages to make room that no new message needs.
+// Guards against a relay that gives up recovered messages to make room although no new message needs the
+// room.
 TEST_CASE("all messages are kept and attempted if the message table is full or too small at the restart") {
   for (const int new_max_open : {39, 10}) {
     INFO(new_max_open);
     RestartFixture fixture;
-    fixture.settings()["limits"]["max-open"] =
-        43;  // 39 messages fit: close to the limit new ones are refused
+    // 39 messages are accepted: new ones are refused when the table is nearly full.
+    fixture.settings()["limits"]["max-open"] = 43;
     fixture.settings()["family-info"]["calls-out"] = 4;
     fixture.stubs.AddHost("b", 8);
     fixture.relay.Start();
--- a/tests/relay/settings_test.cpp
+++ b/tests/relay/settings_test.cpp
@@ -12,6 +12,7 @@
 
 using nlohmann::json;
 
+// A running relay that tests reload.
 struct ReloadFixture {
   StubServices stubs;
   RelayProcess relay{stubs};
@@ -20,15 +21,17 @@
     stubs.AddHost("a", 7);
     relay.Start();
   }
+  // Returns the MSG.PUT command of a message of that class.
   static std::string Put(const std::string& id, const std::string& class_name) {
-    const std::string list = "c=" + class_name + ",d=8000,k=key-" + id + ",dest=7";
+    const std::string attributes = "c=" + class_name + ",d=8000,k=key-" + id + ",dest=7";
     std::string command = "*5\r\n";
     for (const std::string& part :
-         {std::string("MSG.PUT"), std::string("0"), id, list, std::string("hello")}) {
+         {std::string("MSG.PUT"), std::string("0"), id, attributes, std::string("hello")}) {
       command += "$" + std::to_string(part.size()) + "\r\n" + part + "\r\n";
     }
     return command;
   }
+  // Reloads the relay with a valid configuration and waits until it has applied it.
   void Reload(const json& config) {
     const std::size_t before = relay.log().size();
     relay.Reload(config.dump());
@@ -47,7 +50,7 @@
   CHECK(classes.IndexOf("a") == 0);
   classes.SetCurrent({changed}, {0});
   CHECK(classes.at(0) == a);
-  CHECK(classes.IndexOf("a") == 1);  // the index of b, which no message used
+  CHECK(classes.IndexOf("a") == 1);  // the previous index of b, which no message uses
   CHECK(classes.IndexOf("b") == -1);
   classes.SetCurrent({changed, b}, {0, 1});
   CHECK(classes.IndexOf("b") == 2);
@@ -86,7 +89,7 @@
   fixture.stubs.Answer(old, "500 No");
   const HttpRequest again = fixture.stubs.NextCall(8s);
   CHECK(again.id() == "old");
-  // The same after a restart, with settings that no longer hold the old class.
+  // The same holds after a restart with settings that no longer contain the old class.
   fixture.relay.config = config;
   fixture.relay.Signal(SIGKILL);
   fixture.relay.WaitForExit();
@@ -173,7 +176,7 @@
 
 // ---- unusual but valid settings ----
 
-// A relay that the test starts with settings of its own, with one host.
+// A relay with one host, which the test starts with its own settings.
 struct CustomSettingsFixture {
   StubServices stubs;
   RelayProcess relay{stubs};
@@ -188,7 +191,7 @@
   int messages_ = 0;
 };
 
-// Guards against rejecting a class that the settings name.
+// Guards against rejecting messages of a class that the settings contain.
 TEST_CASE("a class may have any name that a client can write") {
   CustomSettingsFixture fixture;
   const std::vector<std::string> names = {"order status", "r\u00e9servation",   "a=b", "x/y.1", "-",
@@ -208,8 +211,8 @@
   CHECK(fixture.Put(client, "order statu").substr(0, 4) == "-ERR");
 }
 
-// Guards against an endpoint that stays down for good: where the settings allow probes, the decision module
-// would wait for one, and a relay can't send probes.
+// Guards against an endpoint that stays down forever: if the settings allow probes, the decision module would
+// wait for a probe, but a relay can't send probes.
 TEST_CASE("an endpoint that was down is tried again even if the settings allow probes") {
   CustomSettingsFixture fixture;
   fixture.settings()["limits"]["probing"] = true;
@@ -232,7 +235,7 @@
 TEST_CASE("each message is a call of its own even if the settings allow bundles") {
   CustomSettingsFixture fixture;
   fixture.settings()["family-info"]["bundle-max"] = {8};
-  fixture.settings()["family-info"]["calls-out"] = 4;  // of which one destination gets two
+  fixture.settings()["family-info"]["calls-out"] = 4;  // one destination gets two of them
   fixture.relay.Start();
   fixture.relay.Suspend();
   std::vector<Client> clients;
