--- a/src/handover/new_process.cpp
+++ b/src/handover/new_process.cpp
@@ -55,7 +55,7 @@
 
 StartupState AcquireState(const std::string& folder, Timeout timeout) {
   const net::Time until = net::Loop::Now() + timeout;
-  // A refusal is kept until the timeout, because the old process may exit or be able to hand over before.
+  // A refusal is kept until the timeout, because the old process may exit or be able to hand over before it.
   std::optional<HandoverRefused> refused;
   while (true) {
     try {
--- a/tests/relay/endpoint_race_test.cpp
+++ b/tests/relay/endpoint_race_test.cpp
@@ -68,7 +68,7 @@
 }
 
 TEST_CASE(
-    "a late connection carries its call once and one that is never established is replaced by another") {
+    "a call is sent once on a late connection and on another one if its connection is never established") {
   RelayFixture fixture;
   FullBacklogHost full_host(fixture.stubs, "narrow", 8);
   fixture.relay.config["settings"]["limits"]["connect-timeout-s"] = 2.5;
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -1,4 +1,4 @@
-// Handover from a serving relay process to a new one, and recovery when either of them dies on the way.
+// Handover from a serving relay process to a new one, and recovery when either process dies during it.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -21,32 +21,32 @@
 
 using namespace handover;
 
-// Two processes that share the clients' listening socket and the state folder.
+// Two processes that share the listening socket for clients and the state folder.
 struct HandoverFixture {
   StubServices stubs;
   Socket client_listener = Socket::Listen(511);
   RelayProcess old_process{stubs}, new_process{stubs};
-  int old_control_port = 0, new_control_port = 0;
+  int old_management_port = 0, new_management_port = 0;
 
   HandoverFixture() {
     stubs.AddHost("a", 7);
     for (RelayProcess* process : {&old_process, &new_process}) process->inherited_listener = &client_listener;
     new_process.UseStateFolder(old_process.state());
-    old_control_port = AssignControlPort(old_process);
-    new_control_port = AssignControlPort(new_process);
+    old_management_port = AssignManagementPort(old_process);
+    new_management_port = AssignManagementPort(new_process);
   }
-  // Gives the process a free control port and returns it.
-  static int AssignControlPort(RelayProcess& process) {
+  // Configures a free management port for the process and returns the port.
+  static int AssignManagementPort(RelayProcess& process) {
     const int port = Socket::Listen().port();
     process.config["mgmt"] = "127.0.0.1:" + std::to_string(port);
     return port;
   }
-  // Starts the new process and waits until the old one has handed its work over.
+  // Starts the new process and waits until the old one has handed over.
   void HandOver() {
     new_process.Start();
     old_process.WaitForLog("given over");
   }
-  // Sends an operator's command to that control port and returns the first line of the answer.
+  // Sends an operator command to that management port and returns the first line of the answer.
   std::string SendCommand(int port, const std::string& line) {
     const Socket connection = Socket::Connect(port);
     connection.Send(line + "\n");
@@ -58,7 +58,8 @@
   }
 };
 
-// Plays the new process: receives packets until that phase is reached and answers them as a new process does.
+// Acts as the new process: requests a handover, and receives packets until that phase is reached. Answers
+// them only if the phase is kOwner.
 HandoverReceiver ReceiveUntil(Channel& channel, HandoverReceiver::Phase phase) {
   REQUIRE(channel.Send(HandoverRequest()));
   HandoverReceiver receiver;
@@ -71,16 +72,16 @@
   return receiver;
 }
 void CloseDescriptors(const HandoverReceiver& receiver) {
-  for (const auto& passed : receiver.clients()) close(passed.fd);
+  for (const auto& client : receiver.clients()) close(client.fd);
   close(receiver.lock_fd());
 }
 
 TEST_CASE("handover packets decode to what was encoded and truncated ones are rejected") {
-  relay::HandoverState estate;
+  relay::HandoverState state;
   relay::Host host;
   host.info = {"a", 7, 1, 2, 3.5, wheathub::Lifecycle::kDraining};
   host.address = "127.0.0.1:1";
-  estate.routing_table = {wheathub::ListScope::kRemembered, 41, {host}};
+  state.routing_table = {wheathub::ListScope::kRemembered, 41, {host}};
   wheathub::Belief belief;
   belief.endpoint = "a";
   belief.route.tokens = 2.5;
@@ -88,13 +89,13 @@
   belief.health.warm_at = 54321s;
   belief.health.state = wheathub::State::kDown;
   belief.health.failure_rate = 0.25;
-  estate.beliefs = {belief};
-  estate.in_flight = {{"m1", "a", 77s, 88s}};
-  estate.host_waits = {{"a", 1s, 2s}};
-  estate.address_waits = {{"127.0.0.1:7", 3s}};
-  estate.list_valid_until = 99s;
+  state.beliefs = {belief};
+  state.in_flight = {{"m1", "a", 77s, 88s}};
+  state.host_waits = {{"a", 1s, 2s}};
+  state.address_waits = {{"127.0.0.1:7", 3s}};
+  state.list_valid_until = 99s;
   std::string encoded;
-  for (const StateChunk& piece : ToChunks(estate)) encoded += piece.bytes;
+  for (const StateChunk& chunk : ToChunks(state)) encoded += chunk.bytes;
   const relay::HandoverState decoded = FromChunks(encoded);
   CHECK(decoded.routing_table.hosts.at(0).info.weight == 3.5);
   CHECK(decoded.routing_table.hosts.at(0).address == "127.0.0.1:1");
@@ -156,7 +157,7 @@
   CHECK(fixture.old_process.WaitForExit() == 0);
 }
 
-TEST_CASE("attempts in flight end in the old process and the new process does what follows") {
+TEST_CASE("attempts in flight end in the old process and the new process handles their results") {
   HandoverFixture fixture;
   fixture.old_process.Start();
   Client client(fixture.old_process);
@@ -167,12 +168,13 @@
     calls[id] = fixture.stubs.NextCall();
   }
   fixture.HandOver();
-  CHECK(fixture.SendCommand(fixture.new_control_port, "readyz") == "done");
-  CHECK(fixture.SendCommand(fixture.old_control_port, "readyz") == "error given over");
+  CHECK(fixture.SendCommand(fixture.new_management_port, "readyz") == "done");
+  CHECK(fixture.SendCommand(fixture.old_management_port, "readyz") == "error given over");
   fixture.stubs.Answer(calls["served"], "200 OK");
   fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
   CHECK(fixture.Counter(fixture.new_process, "recovered") == 3);
-  // A Retry-After that the old process receives also binds the new one, which repeats the message after it.
+  // A Retry-After that the old process receives also applies to the new process, which repeats the message
+  // after that time.
   const auto refused_at = Clock::now();
   fixture.stubs.Answer(calls["waits"], "503 Full", "Retry-After: 0.6\r\n");
   fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "refused") == 1; });
@@ -202,7 +204,7 @@
   HandoverFixture fixture;
   fixture.old_process.Start();
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
-  CHECK(fixture.SendCommand(fixture.old_control_port, "exclude a") == "done");
+  CHECK(fixture.SendCommand(fixture.old_management_port, "exclude a") == "done");
   fixture.stubs.AddHost("b", 8);
   fixture.stubs.PushChange({{"version", 9}, {"full", false}, {"servers", {fixture.stubs.ListEntry("b")}}});
   Client client(fixture.old_process);
@@ -221,14 +223,14 @@
   const HttpRequest call = fixture.stubs.NextCall();
   CHECK(fixture.stubs.HostOf(call) == "b");
   CHECK(Clock::now() - refused_at > 1s);
-  CHECK(fixture.SendCommand(fixture.new_control_port, "include a") == "done");
+  CHECK(fixture.SendCommand(fixture.new_management_port, "include a") == "done");
   HttpRequest after = fixture.stubs.NextCall();
   while (fixture.stubs.HostOf(after) != "a") after = fixture.stubs.NextCall();
   CHECK(after.id() == "held-a");
 }
 
-// Guards against a new process that delays its first discovery call at random, as the relays of a starting
-// fleet do: until that call no process watches the list.
+// Guards against a new process that delays its first discovery call by a random time, as the relays of a
+// starting fleet do. Until that call no process would watch the list.
 TEST_CASE("a process that takes over asks for the list at once in a fleet of 300") {
   HandoverFixture fixture;
   for (RelayProcess* process : {&fixture.old_process, &fixture.new_process})
@@ -247,19 +249,19 @@
   REQUIRE(client.ReadLine() == "+OK");
   const HttpRequest call = fixture.stubs.NextCall();
   fixture.HandOver();
-  // The old process waits here for the answer of the new one.
-  CHECK(fixture.SendCommand(fixture.old_control_port, "exclude a") == "done");
-  CHECK(fixture.SendCommand(fixture.old_control_port, "exclude nobody").substr(0, 6) == "error ");
+  // The old process waits for the answer of the new one before it answers.
+  CHECK(fixture.SendCommand(fixture.old_management_port, "exclude a") == "done");
+  CHECK(fixture.SendCommand(fixture.old_management_port, "exclude nobody").substr(0, 6) == "error ");
   CHECK(fixture.Counter(fixture.new_process, "hosts_out") == 1);
   fixture.stubs.Answer(call, "200 OK");
   CHECK(fixture.old_process.WaitForExit() == 0);
 }
 
 // Guards against two open attempts of one message. The new process needs the slot of an overdue attempt and
-// tells the old process to cancel it, but the old one is suspended (SIGSTOP). The new process used to wait
-// 150 ms for the answer and then took the old one for dead: 3 s after the handover it repeated the message
-// while the first attempt was still open on its connection. The tests that existed before allow a pause of
-// 0.15 s.
+// requests the old process to cancel that attempt, but the old process is suspended (SIGSTOP). The new
+// process used to wait 150 ms for the answer and then assumed that the old process was dead: 3 s after the
+// handover it repeated the message while the first attempt was still open on its connection. Earlier tests
+// cover only pauses of 0.15 s.
 TEST_CASE("an attempt that a suspended old process can't cancel is not repeated before it is cancelled") {
   HandoverFixture fixture;
   fixture.stubs.AddHost("b", 8);
@@ -286,8 +288,9 @@
   CHECK(fixture.old_process.WaitForExit() == 0);
 }
 
-// Guards against a late notice: only the old process used to watch the deadline of an attempt in flight
-// there. When it was suspended past the message's deadline, no notice was sent until it resumed or died.
+// Guards against a late notice: only the old process used to check the deadline of an attempt that was in
+// flight there. When it was suspended past the message's deadline, no notice was sent until it resumed or
+// died.
 TEST_CASE("a message whose attempt is in flight in a suspended old process ends by its deadline") {
   HandoverFixture fixture;
   fixture.old_process.Start();
@@ -323,7 +326,7 @@
   fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
 }
 
-// The test plays a new process that dies or hangs at each step of the handover.
+// The test acts as a new process that dies or hangs at each step of the handover.
 TEST_CASE("the old process keeps serving when the new one fails before the handover is complete") {
   HandoverFixture fixture;
   fixture.old_process.Start();
@@ -336,11 +339,11 @@
     Client other(fixture.old_process);
     REQUIRE(other.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
   };
-  SECTION("it disconnects before it asks") {
+  SECTION("it disconnects before it requests a handover") {
     { auto channel = Channel::Connect(fixture.old_process.state()); }
     check_serves();
   }
-  SECTION("it disconnects after it has asked or in the middle of the transfer") {
+  SECTION("it disconnects after its request or in the middle of the transfer") {
     for (int packets = 0; packets < 3; ++packets) {
       auto channel = Channel::Connect(fixture.old_process.state());
       REQUIRE(channel->Send(HandoverRequest()));
@@ -361,7 +364,7 @@
     CHECK_FALSE(channel->Receive(500ms));
     CloseDescriptors(receiver);
   }
-  SECTION("it asks and reads nothing") {
+  SECTION("it requests a handover and reads nothing") {
     std::vector<Client> clients;
     for (int i = 0; i < 300; ++i) clients.emplace_back(fixture.old_process);
     auto channel = Channel::Connect(fixture.old_process.state());
@@ -395,7 +398,7 @@
   fixture.HandOver();
 }
 
-TEST_CASE("the old process restarts from the journal when the new one dies after it became the owner") {
+TEST_CASE("the old process restarts from the journal when the new one dies after becoming the owner") {
   HandoverFixture fixture;
   fixture.old_process.Start();
   {
@@ -415,8 +418,8 @@
   fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.old_process, "delivered") == 1; });
 }
 
-// The test holds the lock of the state folder and plays an old process that dies at each step.
-TEST_CASE("the new process serves from the journal at whichever step the old one dies") {
+// The test holds the lock of the state folder and acts as an old process that dies at each step.
+TEST_CASE("the new process serves from the journal if the old one dies at any step of the handover") {
   HandoverFixture fixture;
   fixture.old_process.Start();
   {
@@ -440,10 +443,10 @@
     return channel.has_value();
   });
   REQUIRE(channel->Receive(2s));
-  // The old process dies 0: after the request; 1: in the middle of the transfer; 2: before its last packet;
-  // 3: after it has refused.
+  // The step at which the old process dies: 0, after the request; 1, in the middle of the transfer; 2, before
+  // its last packet; 3, after it has refused.
   if (step == 1 || step == 2) {
-    for (const StateChunk& piece : ToChunks(relay::HandoverState())) CHECK(channel->Send(piece));
+    for (const StateChunk& chunk : ToChunks(relay::HandoverState())) CHECK(channel->Send(chunk));
   }
   if (step == 2) {
     CHECK(channel->Send(OfferComplete{0}, lock->fd()));
@@ -454,7 +457,7 @@
   if (step == 3) CHECK(channel->Send(Refusal{"draining"}));
   lock.reset();
   channel.reset();
-  if (step != 1) listener.reset();  // otherwise its socket file stays, as a killed process leaves it
+  if (step != 1) listener.reset();  // at step 1 the socket file stays, as after the kill of a process
   fixture.new_process.WaitForLog(": serving");
   const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "kept");
@@ -462,7 +465,7 @@
   fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
 }
 
-TEST_CASE("SIGHUP and SIGTERM to either process around a handover") {
+TEST_CASE("SIGHUP and SIGTERM to either process right after a handover lose nothing") {
   HandoverFixture fixture;
   fixture.old_process.Start();
   Client client(fixture.old_process);
@@ -476,7 +479,7 @@
   fixture.new_process.WaitForLog(": reloaded");
   fixture.old_process.WaitForLog("given over");
   fixture.old_process.Signal(SIGTERM);
-  // The old process stays until its attempt ends, well within its drain limit.
+  // The old process runs until its attempt ends, which is long before its drain limit.
   fixture.stubs.Answer(call, "200 OK");
   CHECK(fixture.old_process.WaitForExit() == 0);
   fixture.stubs.WaitUntil([&] { return fixture.Counter(fixture.new_process, "delivered") == 1; });
@@ -504,8 +507,9 @@
   check_start_fails("5", [] { dup2(socket(AF_INET, SOCK_STREAM, 0), 5); });
 }
 
-// Kills either process of a handover, under load and with one host excluded. The moment is given by a log
-// line of the program, so that each step is covered; which attempts are in flight then is random.
+// Kills either process of a handover, under load and with one host excluded. A log line of the program
+// determines the time of the kill, so that each step is covered. Which attempts are in flight at that time is
+// random.
 TEST_CASE("every accepted message ends once and has one attempt at a time when either process is killed") {
   struct Kill {
     bool kills_old;
@@ -520,7 +524,7 @@
     HandoverFixture fixture;
     fixture.stubs.AddHost("b", 7);
     fixture.old_process.Start();
-    REQUIRE(fixture.SendCommand(fixture.old_control_port, "exclude b") == "done");
+    REQUIRE(fixture.SendCommand(fixture.old_management_port, "exclude b") == "done");
     std::set<std::string> accepted, delivered;
     std::map<std::string, const Socket*> in_flight;  // connection of each attempt, by message id
     std::vector<HttpRequest> unanswered;
@@ -556,7 +560,9 @@
       }
     };
     send_messages(8 + static_cast<int>(random() % 6), "before-");
-    fixture.stubs.WaitUntil([&] {  // until it has read all answers, so that `in_flight` is what it counts
+    // Waits until the old process has read all answers, so that its attempts in flight are those of
+    // `in_flight`.
+    fixture.stubs.WaitUntil([&] {
       serve_calls(5);
       return fixture.Counter(fixture.old_process, "out") == static_cast<long>(in_flight.size());
     });
@@ -569,15 +575,15 @@
     RelayProcess& serving = kill.kills_old ? fixture.new_process : fixture.old_process;
     victim.Signal(SIGKILL);
     victim.WaitForExit();
-    // These attempts may have run: each is repeated if the retry budget has a token left, or else its message
-    // ends undeliverable.
+    // These attempts may have run. Each is repeated if the retry budget has a token left; otherwise its
+    // message ends as undeliverable.
     std::set<std::string> may_have_run;
     for (const auto& [id, from] : in_flight) may_have_run.insert(id);
     fixture.stubs.WaitUntil([&] {
       serve_calls(5);
-      Client probe(serving);
-      probe.socket().Send("*1\r\n$4\r\nPING\r\n");
-      return probe.socket().Receive(100ms) == "+PONG\r\n";
+      Client client(serving);
+      client.socket().Send("*1\r\n$4\r\nPING\r\n");
+      return client.socket().Receive(100ms) == "+PONG\r\n";
     });
     send_messages(6, "after-");
     fixture.stubs.WaitUntil(
--- a/tests/relay/list_lease_test.cpp
+++ b/tests/relay/list_lease_test.cpp
@@ -132,11 +132,11 @@
   stubs.Answer(stubs.NextCall(), "429 Full", "Retry-After: 3\r\n");
   REQUIRE(client.ReadLine() == "+OK");
   stubs.WaitUntil([&] { return client.Counters()["refused"] == 1; });
-  auto next = stubs.ListEntry("old");
-  next["id"] = "new";
-  auto gone = stubs.ListEntry("old");
-  gone["state"] = "Gone";
-  stubs.PushChange({{"version", 2}, {"full", false}, {"servers", {gone, next}}});
+  auto new_entry = stubs.ListEntry("old");
+  new_entry["id"] = "new";
+  auto removed_entry = stubs.ListEntry("old");
+  removed_entry["state"] = "Gone";
+  stubs.PushChange({{"version", 2}, {"full", false}, {"servers", {removed_entry, new_entry}}});
   stubs.WaitUntil([&] { return client.Counters()["list_changes"] == 3; });
   client.Put("id-2", "hello", 8000, ",k=key2,dest=7");
   REQUIRE(client.ReadLine() == "+OK");
--- a/tests/relay/race_fixture.hpp
+++ b/tests/relay/race_fixture.hpp
@@ -19,7 +19,7 @@
     stubs.WaitUntil([&] { return client.Counters()[counter] >= count; });
   }
   // Checks, after the relay's exit, that the connection was not reset before the exit at the time limit,
-  // which is 3550 ms after SIGTERM. At that time a reset is allowed: it tells the client that its request was
+  // which is 3550 ms after SIGTERM. At that time a reset is allowed: it shows the client that its request was
   // not read, and the client repeats the request.
   void CheckResetOnlyAtExit(const Client& client) {
     if (client.was_reset()) CHECK(relay.DrainMs() >= 3550);
--- a/tests/relay/race_test.cpp
+++ b/tests/relay/race_test.cpp
@@ -168,8 +168,8 @@
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("draining");
   fixture.relay.Suspend();
-  fixture.WaitFor(
-      700ms);  // no message is held and no client has sent for 0.5 s, so the process is due to exit
+  // No message is held and no client has sent for 0.5 s after this, so the process is due to exit.
+  fixture.WaitFor(700ms);
   idle.Put("id-1");
   idle.socket().WaitUntilAcknowledged();
   fixture.relay.Resume();
@@ -308,10 +308,10 @@
   Client client(fixture.relay);
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
-  auto gone = fixture.stubs.ListEntry("b");
-  gone["state"] = "Gone";
-  gone["note"] = "a brace } and a \\\" in a text {";
-  const nlohmann::json change = {{"version", 7}, {"full", false}, {"servers", {gone}}};
+  auto removed_entry = fixture.stubs.ListEntry("b");
+  removed_entry["state"] = "Gone";
+  removed_entry["note"] = "a brace } and a \\\" in a text {";
+  const nlohmann::json change = {{"version", 7}, {"full", false}, {"servers", {removed_entry}}};
   const std::string text = "\n" + change.dump(2) + "\n\n";
   for (std::size_t offset = 0; offset < text.size(); offset += 7)
     fixture.stubs.PushChunk(text.substr(offset, 7));
--- a/tests/relay/relay_test.cpp
+++ b/tests/relay/relay_test.cpp
@@ -1,5 +1,5 @@
-// The relay as a process: delivery, endpoints' answers, connections, rejections, discovery, notices,
-// restarts, signals and configuration.
+// Tests of the relay as a process: delivery, answers of endpoints, connections, rejected messages, discovery,
+// notices, restarts, signals and configuration.
 #include <signal.h>
 #include <sys/resource.h>
 
@@ -21,10 +21,10 @@
     stubs.AddHost("a", 7, "north-room");
     if (hosts > 1) stubs.AddHost("b", 7, "east-room");
   }
-  // Hands in a message and returns the call that follows.
+  // Sends a message to the relay and returns the call for it.
   HttpRequest PutAndAwaitCall(Client& client, const std::string& id, const std::string& body = "hello",
-                              int ms = 8000) {
-    client.Put(id, body, ms);
+                              int deadline_ms = 8000) {
+    client.Put(id, body, deadline_ms);
     REQUIRE(client.ReadLine() == "+OK");
     return stubs.NextCall();
   }
@@ -98,8 +98,8 @@
   fixture.WaitForCounter(client, "delivered", 1);
 }
 
-// Guards against attempts that are reset and may have run: a host closes idle connections at its keepalive,
-// so the relay must close them earlier.
+// Guards against attempts that are reset and may have run: a host closes idle connections when its keepalive
+// time ends, so the relay must close them earlier.
 TEST_CASE("the relay closes an idle connection before the host's keepalive ends") {
   RelayFixture fixture;
   fixture.relay.config["settings"]["limits"]["keepalive-s"] = 3;
@@ -210,8 +210,8 @@
 
 // ---- malformed answers ----
 
-// Guards against a delivered message that is sent again or reported as failed because of the rest of its
-// answer.
+// Guards against a delivered message that is sent again or reported as failed because the rest of its answer
+// is malformed.
 TEST_CASE(
     "a status line with 200 is a delivery even if the rest is malformed and its connection is not reused") {
   RelayFixture fixture;
@@ -232,7 +232,7 @@
 }
 
 // Guards against an attempt that waits for its deadline, and against treating a malformed 503 as a call that
-// never ran: the repeat would go to the other zone, where it is not recognised as a duplicate.
+// never ran: the repeat could be sent to the other zone, where it is not recognised as a duplicate.
 TEST_CASE("any other malformed answer ends its attempt early as one that may have run") {
   for (const std::string malformed :
        {"\x01\x02 noise\r\n\r\n", "HTTP/1.1 503 Full\r\nX-Head: that does not en",
@@ -302,8 +302,8 @@
   CHECK(client.Counters()["lines_opened"] == 25);
 }
 
-// Guards against a call for one destination at a host of another: hosts are replaced, and a new one may get
-// the address of an old one.
+// Guards against a call for one destination at a host of another destination: hosts are replaced, and a new
+// host may get the address of an old one.
 TEST_CASE("a host whose address was reassigned to another host gets no more calls") {
   RelayFixture fixture;
   fixture.relay.Start();
@@ -337,7 +337,8 @@
   client.Put("late", "hello", 0);
   CHECK(client.ReadLine().substr(0, 5) == "-BUSY");
   fixture.PutAndAwaitCall(client, "id-1");
-  // The only host of the destination drains, so the message would only use up room: the same step rejects it.
+  // The only host of the destination drains, so the message would only use up room. The step that would
+  // accept it rejects it.
   client.Put("nowhere", "hello", 8000, ",k=key1,dest=99");
   CHECK(client.ReadLine().substr(0, 6) == "-BUSY ");
   CHECK(client.Counters()["busy_by_module"] == 2);
@@ -372,7 +373,7 @@
 }
 
 // Guards against a partial record in the journal, and against a crash of the program by a failed write.
-TEST_CASE("a full disk rejects messages without a loss or a crash") {
+TEST_CASE("on a full disk messages are rejected and no message is lost and the relay does not crash") {
   RelayFixture fixture;
   fixture.relay.in_child = [] {
     signal(SIGXFSZ, SIG_IGN);
@@ -400,10 +401,10 @@
   RelayFixture fixture;
   fixture.relay.Start();
   const std::string huge = std::to_string(65 * 1024);
-  for (const std::string bad :
+  for (const std::string invalid_input :
        {"GET / HTTP/1.1\r\n\r\n", "*1\r\n:5\r\n", "*99\r\n", "*1\r\n$-1\r\n", "*1\r\n$4\r\nPINGxx\r\n"}) {
     Client client(fixture.relay);
-    CHECK(client.Ask(bad).substr(0, 4) == "-ERR");
+    CHECK(client.Ask(invalid_input).substr(0, 4) == "-ERR");
     CHECK(client.ReadLine().empty());
   }
   Client large(fixture.relay);
@@ -442,8 +443,8 @@
   CHECK(watcher.Counters()["malformed"] == 9);
 }
 
-// A list that lags may hold no host of a destination whose hosts are being replaced.
-TEST_CASE("a message for a destination whose only host has gone is still accepted") {
+// A list that lags may contain no host of a destination while the hosts of that destination are replaced.
+TEST_CASE("a message for a destination whose only host was removed is still accepted") {
   RelayFixture fixture;
   fixture.relay.Start();
   Client client(fixture.relay);
@@ -472,8 +473,8 @@
   fixture.WaitForCounter(good, "delivered", 1);
 }
 
-// Guards against silent connections that keep out clients with messages.
-TEST_CASE("hundreds of silent connections give way to clients that send commands") {
+// Guards against silent connections that prevent clients with messages from connecting.
+TEST_CASE("hundreds of silent connections are closed in favour of clients that send commands") {
   RelayFixture fixture;
   fixture.relay.config["limits"]["sockets"] = 256;  // 96 clients
   fixture.relay.Start();
@@ -489,8 +490,8 @@
   CHECK(late.Counters()["clients_evicted"] >= 200);
 }
 
-// Guards against evicting a slow client as one of the many that never complete their command.
-TEST_CASE("a client that takes 2 s to write its message is served beside many that stop half way") {
+// Guards against evicting a slow client together with the many clients that never complete their command.
+TEST_CASE("a client that takes 2 s to send its message is served among many that stop halfway") {
   RelayFixture fixture;
   fixture.relay.config["limits"]["sockets"] = 128;
   fixture.relay.Start();
@@ -515,8 +516,8 @@
   CHECK(fixture.stubs.NextCall().id() == "slow");
 }
 
-// Guards against clients that can't connect: the platform opens connections for no more than a third of the
-// descriptors, and idle ones count towards that.
+// Guards against clients that can't connect: the platform opens at most as many connections as a third of the
+// descriptors, and idle connections count towards that limit.
 TEST_CASE("idle clients are closed before the client limit is reached") {
   RelayFixture fixture;
   fixture.relay.config["limits"]["sockets"] = 256;  // 96 clients
@@ -544,7 +545,7 @@
   CHECK(client.ReadLine() == "+PONG");
 }
 
-// Guards against sending a message whose client got no +OK: that client hands it in to another relay.
+// Guards against sending a message whose client got no +OK, because that client sends it to another relay.
 TEST_CASE("a message whose client disconnects before its answer is withdrawn") {
   RelayFixture fixture;
   fixture.relay.Start();
@@ -609,14 +610,16 @@
     stubs.SetPort("small-backlog", listener.port());
   }
   void FillBacklog() { backlog_connection = Socket::Connect(listener.port()); }
-  // Accepts the connection in the backlog and then the attempt's, which the relay's kernel retries.
+  // Accepts the connection that fills the backlog and then the attempt's connection, which the relay's kernel
+  // retries. Returns the latter.
   Socket AcceptRelayConnection() {
     const Socket accepted_first = listener.Accept(5s);
     return listener.Accept(5s);
   }
 };
 
-// Drain violations are judged by a call's first byte, which a slow connection writes long after the decision.
+// A drain is violated if the first byte of a call is sent too late. On a slow connection that byte is written
+// long after the decision to call.
 TEST_CASE("an attempt still connecting when its host starts to drain is not sent") {
   RelayFixture fixture;
   FullBacklogHost full_host(fixture.stubs);
@@ -637,8 +640,8 @@
   CHECK(client.Counters()["legs_held_back"] == 1);
 }
 
-// A requested wait applies to all messages, also to an attempt that was decided before it and connects after
-// it.
+// A requested wait applies to all messages, also to an attempt that was decided before the request and whose
+// connection is established after it.
 TEST_CASE("an attempt still connecting when its host requests a wait is not sent") {
   RelayFixture fixture;
   FullBacklogHost full_host(fixture.stubs);
@@ -661,7 +664,7 @@
   CHECK(client.Counters()["legs_held_back"] == 1);
 }
 
-// Guards against one unreadable entry that hides the drain of another host.
+// Guards against an unreadable entry that prevents the drain of another host from being applied.
 TEST_CASE("invalid entries of the list are skipped") {
   RelayFixture fixture(2);
   fixture.relay.Start();
@@ -821,7 +824,7 @@
   CHECK(fixture.relay.log().find("delivered=2") != std::string::npos);
 }
 
-// Guards against shifting a draining relay's load to the others while it can still serve.
+// Guards against moving a draining relay's load to other relays while it can still serve.
 TEST_CASE("SIGTERM: a connected client is served until shortly before the exit") {
   RelayFixture fixture;
   fixture.relay.Start();
@@ -849,15 +852,15 @@
   const std::string log = fixture.relay.log();
   const std::size_t drain_time = log.find("drain_ms=");
   REQUIRE(drain_time != std::string::npos);
-  CHECK(std::stol(log.substr(drain_time + 9)) < 3700);  // milliseconds from SIGTERM to SIGKILL
+  CHECK(std::stol(log.substr(drain_time + 9)) < 3700);  // SIGKILL follows SIGTERM after 3700 ms
   fixture.relay.Start();
   CHECK(fixture.stubs.NextCall().id() == "id-1");
 }
 
 // ---- reloads ----
 
-// Guards against an exit by SIGHUP, and against using the old discovery address that the environment still
-// holds.
+// Guards against an exit at SIGHUP, and against using the old discovery address, which is still in the
+// environment.
 TEST_CASE("SIGHUP moves the watch and unsent notices to the new discovery within 2 s") {
   RelayFixture fixture;
   const std::string old = "127.0.0.1:" + std::to_string(fixture.stubs.discovery_port());
