--- a/src/handover/new_process.hpp
+++ b/src/handover/new_process.hpp
@@ -39,8 +39,8 @@
 };
 
 // Locks the folder if it is free, or takes over from the process that holds its lock, within the timeout.
-// Throws HandoverRefused if that process refused until the timeout, journal::FolderLocked if it did not
-// answer, or std::system_error.
+// If neither was possible, throws HandoverRefused if that process has refused, and journal::FolderLocked
+// otherwise. Also throws std::system_error.
 StartupState AcquireState(const std::string& folder, Timeout timeout);
 
 // Endpoint transport of the process that took over. Runs new attempts through the local transport and
--- a/tests/relay/client_race_test.cpp
+++ b/tests/relay/client_race_test.cpp
@@ -297,9 +297,9 @@
 }
 
 // Guards against the same fault for connections in the listen backlog. The soak test found it with seed
-// 8200038: 5.5 ms after it resumed, the relay accepted a connection that had waited in the backlog for 0.368
-// s, behind more connections than the relay accepts in three iterations of its event loop. The relay treated
-// the message on that connection as just received.
+// 8200038: 5.5 ms after it resumed, the relay accepted a connection that had waited for 0.368 s in the
+// backlog, behind more connections than the relay accepts in three iterations of its event loop. The relay
+// treated the message on that connection as just received.
 TEST_CASE(
     "a message in the backlog of a suspended relay behind many connections ends by its client's deadline") {
   UnreadMessage fixture;
--- a/tests/relay/race_test.cpp
+++ b/tests/relay/race_test.cpp
@@ -168,7 +168,7 @@
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("draining");
   fixture.relay.Suspend();
-  // No message is held and no client has sent for 0.5 s after this, so the process is due to exit.
+  // After this time no message is held and no client has sent for 0.5 s, so the process is due to exit.
   fixture.WaitFor(700ms);
   idle.Put("id-1");
   idle.socket().WaitUntilAcknowledged();
