--- a/tests/relay/crossing_test.cpp
+++ b/tests/relay/race_test.cpp
@@ -1,11 +1,11 @@
-// Events that coincide: the relay is suspended (SIGSTOP) while bytes, connections and signals arrive, and
-// finds all of them at once when it resumes.
-#include "crossing.hpp"
-
+// Events that happen at the same moment: the relay is suspended (SIGSTOP) while bytes, connections and
+// signals arrive, and finds all of them at once when it resumes.
 #include <sys/wait.h>
 
 #include <catch2/catch.hpp>
 
+#include "race_fixture.hpp"
+
 namespace oxbowspread::testing {
 namespace {
 
@@ -14,9 +14,9 @@
 TEST_CASE(
     "a wait requested by one host of a destination also binds a call still connecting to another host") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
   fixture.stubs.AddHost("open", 8);
-  narrow.FillBacklog();
+  full_host.FillBacklog();
   fixture.relay.config["settings"]["family-info"]["kind-apart"] = {false};
   fixture.relay.Start();
   Client client(fixture.relay);
@@ -26,7 +26,7 @@
   }
   fixture.stubs.Answer(fixture.stubs.NextCall(), "429 Full", "Retry-After: 30\r\n");
   fixture.WaitForCounter(client, "refused", 1);
-  const Socket late = narrow.AcceptRelayConnection();
+  const Socket late = full_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   fixture.WaitForCounter(client, "legs_held_back", 1);
   CHECK(late.Receive(0ms).empty());
@@ -34,21 +34,21 @@
 
 TEST_CASE("a wait that was received but not yet read is applied before a connection is established") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
   fixture.relay.Start();
   Client client(fixture.relay);
   client.Put("id-1", "hello", 8000, ",k=key1,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
-  const Socket first = narrow.listener.Accept(5s);
+  const Socket first = full_host.listener.Accept(5s);
   REQUIRE(first.Receive(5s).find("id-1") != std::string::npos);
-  narrow.FillBacklog();
+  full_host.FillBacklog();
   client.Put("id-2", "hello", 8000, ",k=key2,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
   fixture.WaitForCounter(client, "legs", 2);
   fixture.relay.Suspend();
   first.Send("HTTP/1.1 429 Full\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n");
   first.WaitUntilAcknowledged();
-  const Socket late = narrow.AcceptRelayConnection();
+  const Socket late = full_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   fixture.relay.Resume();
   fixture.WaitForCounter(client, "legs_held_back", 1);
@@ -57,8 +57,8 @@
 
 TEST_CASE("a drain that was received but not yet read is applied before a connection is established") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
-  narrow.FillBacklog();
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
+  full_host.FillBacklog();
   fixture.relay.Start();
   Client client(fixture.relay);
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
@@ -68,7 +68,7 @@
   fixture.relay.Suspend();
   fixture.stubs.SetState("narrow", "Terminating");
   fixture.stubs.WaitUntilPushesDelivered();
-  const Socket late = narrow.AcceptRelayConnection();
+  const Socket late = full_host.AcceptRelayConnection();
   REQUIRE(late.fd() >= 0);
   fixture.relay.Resume();
   fixture.WaitForCounter(client, "legs_held_back", 1);
@@ -86,20 +86,22 @@
   const HttpRequest call = fixture.stubs.NextCall();
   fixture.relay.Suspend();
   fixture.stubs.Answer(call, "200 OK");
-  call.from->WaitUntilAcknowledged();
+  call.connection->WaitUntilAcknowledged();
   fixture.WaitFor(1100ms);
   fixture.relay.Resume();
   fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["timed_out"] == 0);
   CHECK(client.Counters()["undeliverable"] == 0);
-  // The relay can't know whether it was in time by the client's clock, so the platform gets a notice as well.
+  // The relay can't know whether the answer was in time by the client's clock, so it also sends a notice to
+  // the platform.
   CHECK(fixture.stubs.WaitForNotice("id-1").at("status") == "undeliverable");
 }
 
-// Guards against a lost message: the client counts the deadline from when it sent the message, which is
-// earlier than when the relay read it, and an answer after the client's deadline delivers nothing.
+// Guards against a lost message: the client measures the deadline from the time at which it sent the message,
+// which is earlier than the time at which the relay read it, and an answer after the client's deadline does
+// not count as a delivery.
 TEST_CASE(
-    "a delivery in the last 400 ms before the deadline also sends a notice and so does the next process") {
+    "a delivery in the last 400 ms before the deadline also sends a notice and the next process repeats it") {
   RelayFixture fixture;
   fixture.relay.Start();
   fixture.stubs.notice_status = 503;
@@ -118,7 +120,7 @@
     fixture.relay.Suspend();
     fixture.WaitFor(sent_at + 1200ms - Clock::now());
     fixture.stubs.Answer(late, "200 OK");
-    late.from->WaitUntilAcknowledged();
+    late.connection->WaitUntilAcknowledged();
     fixture.relay.Resume();
     fixture.WaitForCounter(client, "delivered", 2);
     CHECK(client.Counters()["undeliverable"] == 0);
@@ -143,22 +145,22 @@
   client.Put("id-1");
   REQUIRE(client.ReadLine() == "+OK");
   const HttpRequest call = fixture.stubs.NextCall();
-  call.from->Send("HTTP/1.1 102 Processing\r\n\r\n");
+  call.connection->Send("HTTP/1.1 102 Processing\r\n\r\n");
   fixture.WaitFor(700ms);
   fixture.stubs.Answer(call, "200 OK");
   fixture.WaitForCounter(client, "delivered", 1);
   CHECK(client.Counters()["legs"] == 1);
-  // Half of the final response's status line starts the limit.
+  // Half of the final response's status line starts the time limit.
   client.Put("id-2");
   REQUIRE(client.ReadLine() == "+OK");
   const HttpRequest half = fixture.stubs.NextCall();
-  half.from->Send("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 20");
+  half.connection->Send("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 20");
   fixture.WaitForCounter(client, "answers_spoilt", 1);
 }
 
-// ---- the end of the process ----
+// ---- the shutdown of the process ----
 
-TEST_CASE("SIGTERM: a request that arrives as the process ends is answered") {
+TEST_CASE("SIGTERM: a request that arrives as the process is about to exit is answered") {
   RelayFixture fixture;
   fixture.relay.Start();
   Client idle(fixture.relay);
@@ -166,7 +168,8 @@
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("draining");
   fixture.relay.Suspend();
-  fixture.WaitFor(700ms);  // no message is held and no client has sent for 0.5 s: the process is due to end
+  // After this time no message is held and no client has sent for 0.5 s, so the process is due to exit.
+  fixture.WaitFor(700ms);
   idle.Put("id-1");
   idle.socket().WaitUntilAcknowledged();
   fixture.relay.Resume();
@@ -221,25 +224,25 @@
 TEST_CASE(
     "SIGTERM: a call whose connection is established after sending has stopped is left to the next process") {
   RelayFixture fixture;
-  FullBacklogHost narrow(fixture.stubs, "narrow", 8);
-  narrow.FillBacklog();
+  FullBacklogHost full_host(fixture.stubs, "narrow", 8);
+  full_host.FillBacklog();
   fixture.relay.config["settings"]["limits"]["connect-timeout-s"] = 10;
   fixture.relay.Start();
   Client client(fixture.relay);
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("draining");
-  // The kernel repeats the connection request after 1 s and 3 s, the latter between the last sends and the
-  // end.
+  // The kernel repeats the connection request after 1 s and after 3 s. The second repeat comes after the
+  // relay has stopped sending and before it exits.
   fixture.WaitFor(200ms);
   client.Put("id-1", "hello", 20000, ",k=key1,dest=8");
   REQUIRE(client.ReadLine() == "+OK");
   fixture.relay.WaitForLog("settling");
-  const Socket blocking_connection = narrow.listener.Accept(0ms);
+  const Socket backlog_connection = full_host.listener.Accept(0ms);
   CHECK(fixture.relay.WaitForExit() == 0);
-  const Socket late = narrow.listener.Accept(0ms);
+  const Socket late = full_host.listener.Accept(0ms);
   CHECK((late.fd() < 0 || late.Receive(0ms).empty()));
   fixture.relay.Start();
-  const Socket repeat = narrow.listener.Accept(5s);
+  const Socket repeat = full_host.listener.Accept(5s);
   REQUIRE(repeat.fd() >= 0);
   CHECK(repeat.Receive(5s).find("id-1") != std::string::npos);
 }
@@ -251,11 +254,11 @@
   fixture.relay.Signal(SIGHUP);
   fixture.relay.Signal(SIGTERM);
   fixture.relay.WaitForLog("settling");
-  // Signals are sent until the process no longer exists, so that they meet every instruction of its shutdown.
+  // Signals are sent until the process has exited, so that they arrive at all points of its shutdown.
   int status = 0;
   while (waitpid(fixture.relay.pid(), &status, WNOHANG) == 0) {
     for (const int number : {SIGHUP, SIGTERM, SIGUSR1}) fixture.relay.Signal(number);
-    fixture.relay.log();  // reads the log: otherwise the pipe fills up and blocks the relay
+    fixture.relay.log();  // empties the pipe, which would otherwise fill up and block the relay
   }
   CHECK(fixture.relay.MarkExited(status) == 0);
 }
@@ -268,7 +271,7 @@
   Client client(fixture.relay);
   REQUIRE(client.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG");
   fixture.relay.Suspend();
-  // An invalid command, and after it more than the relay reads at once.
+  // An invalid command, followed by more bytes than the relay reads at once.
   client.socket().Send("nonsense\r\n" + std::string(100'000, 'x'));
   client.socket().WaitUntilAcknowledged();
   fixture.relay.Resume();
@@ -298,17 +301,17 @@
 
 // ---- the host list ----
 
-TEST_CASE("a list change that is indented over several lines and split into chunks anywhere is applied") {
+TEST_CASE("a list change that is indented over several lines and split into chunks at any point is applied") {
   RelayFixture fixture;
   fixture.stubs.AddHost("b", 7);
   fixture.relay.Start();
   Client client(fixture.relay);
   fixture.stubs.WaitUntil([&] { return fixture.stubs.watch_requests == 1; });
   const long changes = client.Counters()["list_changes"];
-  auto gone = fixture.stubs.ListEntry("b");
-  gone["state"] = "Gone";
-  gone["note"] = "a brace } and a \\\" in a text {";
-  const nlohmann::json change = {{"version", 7}, {"full", false}, {"servers", {gone}}};
+  auto removed_entry = fixture.stubs.ListEntry("b");
+  removed_entry["state"] = "Gone";
+  removed_entry["note"] = "a brace } and a \\\" in a text {";
+  const nlohmann::json change = {{"version", 7}, {"full", false}, {"servers", {removed_entry}}};
   const std::string text = "\n" + change.dump(2) + "\n\n";
   for (std::size_t offset = 0; offset < text.size(); offset += 7)
     fixture.stubs.PushChunk(text.substr(offset, 7));
