--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -114,7 +114,7 @@
 
 Config Parse(const std::string& text) {
   const Json root = Json::parse(text, nullptr, false);
-  if (!root.is_object()) throw Error("ROUTER_CONFIG", "holds no JSON object");
+  if (!root.is_object()) throw Error("ROUTER_CONFIG", "does not contain a JSON object");
   Config config;
   config.file_text = text;
   config.name = TextAt(root, "name");
@@ -128,7 +128,7 @@
   ReadLimit(limits, "memory_mb", 16, 1, &config.memory_mb);
   ReadLimit(limits, "sockets", kMinSockets, 1, &config.sockets);
   ReadLimit(limits, "disk_mb", 0.25, 1e6, &config.disk_bytes);
-  // Deployments give a relay at most 1,024 descriptors, whatever the file says.
+  // Deployments allow a relay at most 1,024 descriptors, whatever the file contains.
   config.sockets = std::min<std::size_t>(config.sockets, 1024);
   config.last_known_list = root.value("known", Json::object()).dump();
   const auto settings = root.find("settings");
--- a/src/config/validation.cpp
+++ b/src/config/validation.cpp
@@ -143,7 +143,7 @@
     throw Error(path + ".semantics",
                 "must be idempotent, deduplicated or at_most_once, not " + service["semantics"].dump());
   if (service["semantics"] == "deduplicated" && !(service.value("repeat-window-s", 0.0) > 0))
-    throw Error(path + ".repeat-window-s", "must be above 0 where repeats are dropped by key");
+    throw Error(path + ".repeat-window-s", "must be above 0 for the semantics deduplicated");
 }
 
 }  // namespace
--- a/src/endpoint/pool.cpp
+++ b/src/endpoint/pool.cpp
@@ -165,7 +165,7 @@
   const relay::AttemptRequest& request = connection.request();
   const Host* const host = hosts_.Find(connection.host());
   const net::Time now = net::Loop::Now();
-  // The host's address may have changed while the connection to the old address was being established.
+  // The address of the host may have changed while the connection to the old address was being established.
   if (host == nullptr || !IsAtHostAddress(connection, *host) ||
       !hosts_.MayWrite(connection.host(), request.write_deadline, now) ||
       !relay_->RecordAttemptStart(request.attempt, connection.host(), host->zone)) {
--- a/src/relay/phase.hpp
+++ b/src/relay/phase.hpp
@@ -7,13 +7,13 @@
 
 namespace oxbowspread::relay {
 
-// Times of a shutdown, counted from SIGTERM. SIGKILL follows 3.7 s after SIGTERM at the earliest.
+// Durations from SIGTERM to the steps of a shutdown. SIGKILL follows 3.7 s after SIGTERM at the earliest.
 
 // Listening continues for this long, because clients open new connections for up to 400 ms after SIGTERM.
 inline constexpr std::chrono::milliseconds kKeepAccepting{500};
 // No new attempt is sent after this time.
 inline constexpr std::chrono::milliseconds kStopSendingAfter{3100};
-// Attempts still in flight at this time are left to recovery at the next start.
+// The process exits at this time. Attempts that are still in flight are recovered at the next start.
 inline constexpr std::chrono::milliseconds kExitAfter{3550};
 // Interval between checks whether all work is done.
 inline constexpr std::chrono::milliseconds kPollInterval{20};
@@ -44,8 +44,8 @@
   explicit PhaseMachine(EnterHandler on_enter) : on_enter_(std::move(on_enter)) {}
 
   Phase current() const { return current_; }
-  // Returns from kPaused to kServing. No other transition goes backwards; in any other phase this does
-  // nothing.
+  // Returns from kPaused to kServing, which is the only transition to an earlier phase. Does nothing in any
+  // other phase.
   void Resume() {
     if (current_ != Phase::kPaused) return;
     current_ = Phase::kServing;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -96,9 +96,9 @@
     for (const InFlightAttempt& attempt : handed_over_state->in_flight) {
       started_at[attempt.id] = attempt.started_at;
       const journal::Entry* entry = journal_.Find(attempt.id);
-      const bool listed = std::any_of(routing_table.hosts.begin(), routing_table.hosts.end(),
-                                      [&](const Host& h) { return h.info.id == attempt.host; });
-      if (entry == nullptr || !entry->open_attempt || listed) continue;
+      const bool is_listed = std::any_of(routing_table.hosts.begin(), routing_table.hosts.end(),
+                                         [&](const Host& host) { return host.info.id == attempt.host; });
+      if (entry == nullptr || !entry->open_attempt || is_listed) continue;
       // The decision module needs the host of every attempt in its list, even one that is no longer listed.
       Host removed_host;
       removed_host.info = {attempt.host,
@@ -128,9 +128,10 @@
       if (message.expires_in <= Time(0)) message.history.may_have_run = true;
       in_flight_[{id, entry.attempts - 1}] = {entry.open_attempt->host, it->second, true};
     }
-    const bool unattempted = entry.attempts == 0 && 2 * message.expires_in >= ClassDeadline(entry.message);
-    counters_.recovered_unattempted += unattempted;
-    held_[id] = {ports_.clock.Now() + message.expires_in, entry.attempts, message.message_class, unattempted};
+    const bool is_unattempted = entry.attempts == 0 && 2 * message.expires_in >= ClassDeadline(entry.message);
+    counters_.recovered_unattempted += is_unattempted;
+    held_[id] = {ports_.clock.Now() + message.expires_in, entry.attempts, message.message_class,
+                 is_unattempted};
     Queue(message);
   }
   ProcessEvents();
@@ -356,7 +357,7 @@
   const wheathub::MessageClass& message_class = classes_.at(held.class_index);
   if (entry.first_uncertain && message_class.semantics == wheathub::Semantics::kDeduplicated) {
     // The module observes the repeat window when it decides to send. The write deadline also enforces it when
-    // opening the connection takes long.
+    // opening the connection takes a long time.
     const Time since_first_uncertain = ports_.clock.UnixNow() - entry.first_uncertain->started_at;
     request.write_deadline =
         std::min(request.write_deadline, now - since_first_uncertain + message_class.repeat_window);
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -89,8 +89,9 @@
 
   // Applies a new list or a change from discovery.
   void RoutingChanged(const RoutingChange& change);
-  // Applies a list from discovery that is older than the current one. Only the hosts that it reports as
-  // draining or removed are used; they count as draining until the next RoutingChanged.
+  // Applies a list from discovery that is older than the current one. Hosts that it reports as draining or
+  // removed, or that are missing in it if it is a full list, count as draining until the next RoutingChanged
+  // or until another stale list reports them as ready.
   void StaleRoutingReceived(const RoutingChange& older);
   // Sets the time at which the routing table expires. It also applies to attempts that have already started.
   void SetListValidUntil(Time moment);
--- a/src/relay/routing_table.hpp
+++ b/src/relay/routing_table.hpp
@@ -15,11 +15,13 @@
 class RoutingTable {
  public:
   // Applies a change from discovery. Returns the change with effective host states: an excluded host counts
-  // as draining. Withheld hosts are no longer withheld and are added to the result in their listed state.
+  // as draining. All hosts that were withheld are released; the result also contains those of them that the
+  // change does not, with their effective state.
   RoutingChange Apply(RoutingChange change);
-  // Applies a list that is older than the current one. Only the hosts that it reports as draining or gone are
-  // used: they are withheld, that is, count as draining, until the next Apply or until another stale list
-  // reports them ready again. Returns the hosts whose effective state changed.
+  // Applies a list that is older than the current one. It only withholds hosts: those that it reports as
+  // draining or removed, and those that are missing in it if it is a full list. A withheld host counts as
+  // draining until the next Apply or until another stale list reports it as ready. Returns the hosts whose
+  // effective state changed.
   RoutingChange ApplyStale(const RoutingChange& older);
   // Returns whether the host is in discovery's current list.
   bool IsListed(const std::string& id) const { return hosts_.count(id) > 0; }
