--- a/include/wheathub/decide.hpp
+++ b/include/wheathub/decide.hpp
@@ -10,7 +10,7 @@
 // - Each Message ends exactly once: by an AttemptEnded with `message_ended`, or by a Refuse or Fail action.
 // - Each Send and each Probe is followed by exactly one AttemptEnded or ProbeEnded. The first Send of a
 //   message is attempt 0, the next one attempt 1.
-// - The first event of a new Decider should be a ListUpdate with the remembered list, which may be empty.
+// - The first event of a new Decider should be a ListUpdate of scope kRemembered; its list may be empty.
 // - The same settings, seed and events give the same actions. There is no I/O, no thread and no global state.
 //   A Decider must not be used from two threads at once. It owns copies of all that it keeps.
 // - The constructor throws std::invalid_argument, with a text for the operator, if the settings can't work.
@@ -44,6 +44,7 @@
 // What the weight of a listed endpoint states about its limit in calls a second: nothing, the exact limit, or
 // a value that is up to half too high or too low (kRough).
 enum class WeightMeaning { kNone, kNominal, kRough };
+// Whether the list allows new calls to an endpoint. Only kUp does.
 enum class Lifecycle { kUp, kDraining, kRemoved };
 // What a list update contains: changes only, the whole list, the list that an earlier process had stored, or
 // nothing because the call for the list failed.
@@ -107,6 +108,7 @@
   int slots = 0;         // calls in flight at once
   int max_open = 0;      // messages held at once
   int max_attempts = 0;  // for one message
+  // Actions that are allowed: Cancel, Probe, SendToPeers, and Refuse with a retry-after.
   bool may_cancel = false;
   bool may_probe = false;
   bool may_message_peers = false;
--- a/include/wheathub/learned_state.hpp
+++ b/include/wheathub/learned_state.hpp
@@ -11,12 +11,13 @@
 
 namespace wheathub {
 
-enum class HealthState { kUp, kDown, kCold };  // kCold: back after an outage, with reduced capacity
+// kCold: back after an outage, with reduced capacity.
+enum class HealthState { kUp, kDown, kCold };
 
 // What is known of a route: a destination, or a single endpoint if DestinationKind::separate_routes is set.
 struct RouteState {
   using Time = std::chrono::microseconds;
-  double tokens = 0;           // retry budget: repeats that may be sent
+  double tokens = 0;           // retry budget; a repeat costs one token
   Time gap{0},                 // mean span between calls; refusals widen it, served calls shrink it
       next_send_at{0},         // no call is sent earlier, because of the gap
       wait_until{0};           // end of the wait that an endpoint requested
@@ -25,8 +26,8 @@
       last_call_at{0};
   Time gap_widened_at = Time::min();
   double announced_limit_per_s = 0;  // calls a second for all senders together; 0: not announced
-  Time down_since{0},                // a point in time
-      backoff{0};                    // a span
+  Time down_since{0},                // start of the latest outage
+      backoff{0};                    // shortest mean span between trials of a down endpoint
   Time cold_until{0};                // end of the warm-up time after the last outage that this sender noticed
   Time next_trial_at{0};  // no earlier trial call to a down endpoint, and no earlier call to a cold one
 };
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -141,7 +141,8 @@
 
   Route() { tokens = kMaxTokens; }
 
-  bool SpendToken() {
+  // Returns false if no token is left.
+  bool TrySpendToken() {
     if (tokens < 1) return false;
     tokens -= 1;
     return true;
@@ -251,7 +252,8 @@
   double tokens = 0;
   Time at{0};
 
-  bool Take(Time now) {
+  // Spends a token for one message. Returns false if none is left: the message is beyond the quota.
+  bool TrySpendToken(Time now) {
     if (at != Time::min())
       tokens = std::min(kQuotaBurstMessages + per_s * kQuotaBurstS, tokens + per_s * Seconds(now - at));
     at = now;
@@ -378,7 +380,7 @@
   void RetryOrEnd(PendingMessage& pending, Route& route) {
     const bool no_retry_left =
         (settings_.max_attempts > 0 && pending.sends >= settings_.max_attempts) || now_ >= AnswerBy(pending);
-    if (no_retry_left || (pending.may_have_run && !Repeatable(pending)) || !route.SpendToken())
+    if (no_retry_left || (pending.may_have_run && !Repeatable(pending)) || !route.TrySpendToken())
       return GiveUp(pending);
     StartWaiting(pending);
   }
@@ -840,7 +842,7 @@
               [](const auto* left, const auto* right) { return left->sort_key < right->sort_key; });
     return heads;
   }
-  // Marks a destination as changed, so that this step visits it.
+  // Marks a destination as changed, so that this step visits it, and updates its entry in ready_.
   void Touch(Destination& destination) {
     if (!destination.touched) touched_.push_back(&destination);
     destination.touched = true;
@@ -930,7 +932,7 @@
     const auto tenant = static_cast<std::size_t>(message.tenant);
     if (message.tenant < 0 || tenant >= tenant_quotas_.size() || tenant_quotas_[tenant].per_s <= 0)
       return worth;
-    return tenant_quotas_[tenant].Take(now_) ? worth : worth * settings_.over_quota_worth_factor;
+    return tenant_quotas_[tenant].TrySpendToken(now_) ? worth : worth * settings_.over_quota_worth_factor;
   }
 
   // ---- events ----
