--- a/src/check/tally.hpp
+++ b/src/check/tally.hpp
@@ -25,7 +25,7 @@
   double over_limit_price = 0;
   double new_connection_price = 0;
   double late_failure_price = 0;
-  std::vector<double> zone_fees;  // by zone, for each delivery in it
+  std::vector<double> zone_fees;  // by zone; the event is a delivery in it
   // By host id, in calls per second. Used for worst_limit_excess only; may be empty.
   std::map<std::string, double> host_limits;
 };
--- a/src/lab/socket_run.hpp
+++ b/src/lab/socket_run.hpp
@@ -1,4 +1,4 @@
-// Runs a day of the model on loopback sockets around real relay processes, in real time. The stand-ins share
+// Runs a day of the model on loopback sockets against real relay processes, in real time. The stand-ins share
 // this process and its only thread. Their lateness is measured, and a run that was late because of them is
 // marked invalid.
 #pragma once
--- a/src/model/platform_model.hpp
+++ b/src/model/platform_model.hpp
@@ -136,7 +136,7 @@
 struct StartRelay {
   int relay = 0;
 };
-struct StopRelay {  // SIGSTOP: the relay does nothing, not even exit, until ContinueRelay or KillRelay
+struct StopRelay {  // SIGSTOP: the relay does not run, nor exit on SIGTERM, until ContinueRelay or KillRelay
   int relay = 0;
 };
 struct ContinueRelay {
--- a/src/model/scenario.hpp
+++ b/src/model/scenario.hpp
@@ -58,7 +58,7 @@
 // Times are in seconds, rates per second. A new value is drawn from each range for each day.
 struct Scenario {
   std::string name;     // file name without extension
-  std::string version;  // hash of the file's text, which tells apart scenarios of one name
+  std::string version;  // hash of the file's text: different texts are different scenarios
   std::string description;
   Range length{45, 45};
   int relays = 3;
--- a/src/model/soak.cpp
+++ b/src/model/soak.cpp
@@ -16,7 +16,7 @@
 constexpr int kMinFaults = 4, kMaxFaults = 8;  // in addition to the faults of each day
 constexpr double kIdleClientsChance = 0.3;     // that idle clients are connected
 constexpr double kMissedDrainChance = 0.4;     // that relays receive no drains for a long time
-constexpr double kSameAddressChance = 0.7;     // that replacements take over the old hosts' addresses
+constexpr double kSameAddressChance = 0.7;     // that replacements use the old hosts' addresses
 constexpr double kStaleAddressChance = 0.6;    // that hosts send a Retry-After before the list contains them
 
 // Each fault ends before the day does, so that its after-effects are seen.
--- a/tests/lab/hosts_test.cpp
+++ b/tests/lab/hosts_test.cpp
@@ -125,7 +125,7 @@
   CHECK_FALSE(hosts.Find("old")->owns_address);
   CHECK(hosts.Find("new")->owns_address);
   CHECK_FALSE(MayWrite(hosts, "old", 2s));
-  // A late report that the old host drains does not give it the address back.
+  // A late report that the old host drains does not make it the owner of the address again.
   hosts.Apply(MakeChange({MakeHost("old", "127.0.0.1:1", Lifecycle::kDraining)}), 3s);
   CHECK(hosts.Find("new")->owns_address);
   CHECK_FALSE(hosts.Find("old")->owns_address);
@@ -158,7 +158,7 @@
   // The wait does not apply to a host that is listed after its end, or that moves to another address.
   hosts.Apply(MakeChange({MakeHost("third", "127.0.0.1:1")}), 23s);
   CHECK(MayWrite(hosts, "third", 23s));
-  // The wait also applies in another process, even to a host that it does not know yet.
+  // The wait also applies in another process, even to a host that is listed there only later.
   hosts.RecordRetryAfter("third", first_address, 3s, 30s);
   const auto waits = hosts.AddressWaits(31s);
   REQUIRE(waits.size() == 1);
