--- a/tests/group/chaos_test.cpp
+++ b/tests/group/chaos_test.cpp
@@ -15,10 +15,10 @@
 namespace oxbowspread::testing {
 namespace {
 
-// Faults that were injected by one seed, and what the group ended with.
+// Faults injected in the run of one seed, and the final state of the group.
 struct ChaosResult {
   int relays_killed = 0, agents_killed = 0, agents_suspended = 0;
-  double recovery_ms = 0;  // time from the end of the random faults until the group is consistent
+  double recovery_ms = 0;  // from the end of the random faults until the group is consistent
   std::string state;
   standin::Totals totals;
 };
@@ -76,7 +76,7 @@
         }
         break;
     }
-    // Stands for the host's service manager, which restarts an agent a little after its exit.
+    // Simulates the host's service manager, which restarts an agent some time after its exit.
     for (const std::string& name : harness.site.agents) {
       if (!harness.IsAgentRunning(name) && random() % 2 == 0) harness.StartAgent(name);
     }
@@ -94,7 +94,8 @@
   result.recovery_ms = static_cast<double>((net::Loop::Now() - faults_ended_at).count()) * 1e-3;
   result.state = harness.ChangeState();
   result.totals = harness.StopLoadAndWait();
-  // A change that is done was applied to every instance: the stamp names the order that the instance runs by.
+  // A completed change was applied to every instance, so each instance runs with the stamp of one of its
+  // orders.
   const auto statuses = harness.InstanceStatuses();
   for (const auto& [name, instance_status] : statuses) {
     INFO(name << " " << instance_status.dump());
@@ -123,7 +124,7 @@
 OXBOW_SEED(16) OXBOW_SEED(17) OXBOW_SEED(18) OXBOW_SEED(19) OXBOW_SEED(20)
     // clang-format on
 
-    TEST_CASE("random kills for the seeds of OXBOW_SEEDS run by hand", "[.][long]") {
+    TEST_CASE("random kills with the seeds of OXBOW_SEEDS run by hand", "[.][long]") {
   const char* const seeds = std::getenv("OXBOW_SEEDS");
   REQUIRE(seeds != nullptr);
   unsigned first_seed = 0, last_seed = 0;
--- a/tests/group/files_test.cpp
+++ b/tests/group/files_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the group file, the agent's store, the members' keys, the frames of the control protocol and the
-// client side of oxbowctl.
+// Tests of the group file, the agent's store, the members' keys, the frames of the control protocol and
+// ctl::Client.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -61,7 +61,7 @@
   CHECK(group.limits.freezes.at(0).start_minute == 360);
 }
 
-TEST_CASE("every fault of a group file is reported on one line with file and line number and key") {
+TEST_CASE("each fault of a group file is reported on one line with the file and line number and key") {
   const Folder folder;
   const auto fault_after = [&](const std::string& from, const std::string& to) {
     std::string text = kGroup;
@@ -159,7 +159,7 @@
 
 // ---- keys ----
 
-// Both TLS filters of a connection; the test passes the bytes between them.
+// The TLS filters of both sides of a connection. The test passes the bytes between them.
 struct TlsConnection {
   std::unique_ptr<control::Filter> client, server;
   std::string client_received, server_received;
@@ -191,7 +191,8 @@
   }
 };
 
-TEST_CASE("members of a group identify each other by name and sealed data is decrypted from single bytes") {
+TEST_CASE(
+    "members of a group authenticate each other by name and sealed data is decrypted from single bytes") {
   const Keys keys;
   const tls::Identity west(keys.path, "west"), east(keys.path, "east");
   TlsConnection connection{west.NewClientSession("east"), east.NewServerSession(), {}, {}};
@@ -292,7 +293,7 @@
   CHECK(limited_reader.error() == "a frame is longer than 64 bytes");
 }
 
-// ---- the client side of oxbowctl ----
+// ---- ctl::Client ----
 
 // Agent on its own thread that gives the same answer to every request.
 class FakeAgent {
--- a/tests/group/group_harness.cpp
+++ b/tests/group/group_harness.cpp
@@ -31,7 +31,7 @@
 }
 
 std::string MakeTemporaryFolder() {
-  char name[] = "/tmp/oxgrp-XXXXXX";  // short: control sockets' paths have 107 bytes
+  char name[] = "/tmp/oxgrp-XXXXXX";  // short, because the path of a control socket has at most 107 bytes
   return mkdtemp(name);
 }
 
@@ -51,9 +51,9 @@
   for (const group::Agent& agent : group::Read(site.group_file).agents) {
     callers_[agent.name] = std::make_unique<control::Caller>(
         loop, [this, name = agent.name,
-               address = *net::ParseAddress(agent.address)](control::Peer::Callbacks calls) {
+               address = *net::ParseAddress(agent.address)](control::Peer::Callbacks callbacks) {
           return control::Peer::ConnectTcp(loop, address, identity_->NewClientSession(name),
-                                           std::move(calls));
+                                           std::move(callbacks));
         });
   }
 }
@@ -64,7 +64,7 @@
     kill(pid, SIGKILL);
     waitpid(pid, nullptr, 0);
   }
-  // An agent may have been starting a relay when it was killed, and that relay may appear a little later.
+  // An agent may have been killed while it started a relay, so a relay process may appear a little later.
   for (int empty_scans = 0; empty_scans < 3;) {
     const auto relays = RelayProcesses();
     empty_scans = relays.empty() ? empty_scans + 1 : 0;
@@ -88,9 +88,9 @@
   const std::string log_path = folder + "/" + name + ".log";
   posix_spawn_file_actions_addopen(&file_actions, 1, log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   posix_spawn_file_actions_adddup2(&file_actions, 1, 2);
-  // The agent gets a process group of its own. A process group that becomes orphaned while one of its members
-  // is stopped gets SIGHUP (POSIX, _exit): in a shared group, when the parent shell exited while an agent was
-  // stopped, the test process was ended without a message.
+  // Each agent gets its own process group. A process group that becomes orphaned while one of its members is
+  // stopped gets SIGHUP (POSIX, _exit). In a shared process group this terminated the test process without a
+  // message when the parent shell exited while an agent was stopped.
   posix_spawnattr_t attributes;
   posix_spawnattr_init(&attributes);
   posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETPGROUP);
@@ -160,7 +160,7 @@
   std::string next = site.agents.front();
   for (std::size_t i = 0;; ++i) {
     const auto answer = AskAgent(next, request);
-    // Any agent answers `change` from its own record; only the leader's record is sure to be the latest.
+    // Every agent answers `change` from its own record, but only the leader's record is certainly the latest.
     if (answer && !answer->value("ok", false) && !answer->contains("leader")) return *answer;
     const std::string leader = answer ? control::TextOf(*answer, "leader") : "";
     if (answer && answer->value("ok", false) && (!answer->contains("leader") || leader == next))
@@ -260,17 +260,18 @@
   const auto statuses = InstanceStatuses();
   for (std::size_t i = 0; i < site.instances.size(); ++i) {
     const std::string& name = site.instances[i];
-    const auto it = relays.find(name);
-    if (it == relays.end()) return name + ": no process";
-    if (it->second.size() != 1) return name + ": " + std::to_string(it->second.size()) + " processes";
+    const auto processes = relays.find(name);
+    if (processes == relays.end()) return name + ": no process";
+    if (processes->second.size() != 1)
+      return name + ": " + std::to_string(processes->second.size()) + " processes";
     const auto instance_status = statuses.find(name);
     if (instance_status == statuses.end()) return name + ": its agent reports no status";
-    if (instance_status->second.at("pid") != it->second.front())
+    if (instance_status->second.at("pid") != processes->second.front())
       return name + ": its agent reports another process id";
     if (instance_status->second.at("phase") != "serving")
       return name + ": " + instance_status->second.at("phase").get<std::string>();
     const auto holder = journal::FolderLock::HolderOf(folder + "/" + site.agent_of[i] + "/state/" + name);
-    if (!holder || *holder != it->second.front())
+    if (!holder || *holder != processes->second.front())
       return name + ": its state folder is locked by another process or by none";
   }
   if (relays.size() != site.instances.size()) return "a relay process runs for an unknown instance";
--- a/tests/group/group_harness.hpp
+++ b/tests/group/group_harness.hpp
@@ -1,5 +1,5 @@
-// Test harness that runs a whole group: the real agent and relay programs as child processes, with stand-ins
-// for every other service inside the test process.
+// Test harness that runs a whole group: the real agents and relays as separate processes, with stand-ins for
+// all other services inside the test process.
 #pragma once
 
 #include <sys/types.h>
@@ -34,22 +34,23 @@
   std::uint64_t seed = 1;
 };
 
-// Owns the group's temporary folder and its agent processes. Members that wait run the event loop meanwhile.
+// Owns the group's temporary folder and its agent processes. Functions that wait run the event loop.
 class GroupHarness {
  public:
   explicit GroupHarness(const HarnessOptions& options = {});
-  // Kills by process id every agent and relay that runs from the folder, then removes the folder.
+  // Kills each agent and relay of the group by its process id, then removes the folder.
   ~GroupHarness();
   GroupHarness(const GroupHarness&) = delete;
   GroupHarness& operator=(const GroupHarness&) = delete;
 
-  // Starts an agent process with the usual arguments and the extra ones; its output goes to NAME.log.
+  // Starts an agent process with the usual and the extra arguments. Its output is appended to NAME.log in the
+  // folder.
   void StartAgent(const std::string& name, std::vector<std::string> extra_arguments = {});
   // Starts all agents and waits until all instances serve and one agent leads.
   void StartAll();
   // Sends the signal to the agent; after SIGKILL and SIGTERM waits for its exit.
   void SignalAgent(const std::string& agent, int signal_number);
-  // Reaps the agent if it has exited.
+  // Whether the agent's process runs. Reaps the process if it has exited.
   bool IsAgentRunning(const std::string& name);
   pid_t agent_pid(const std::string& name) const { return agent_pids_.at(name); }
 
@@ -60,18 +61,18 @@
 
   // Sends a request to the agent and waits; returns no value if the agent does not answer within 2 s.
   std::optional<Json> AskAgent(const std::string& agent, const Json& request);
-  // Sends a request without waiting. The response, if one arrives, is stored in `answer`, which has to
-  // outlive the call, while the loop runs.
+  // Sends a request without waiting. If a response arrives while the loop runs, it is stored in `answer`,
+  // which has to outlive the request.
   void SendRequest(const std::string& agent, const Json& request, std::optional<Json>* answer);
   // Sends the request to the leader, which it finds by asking the agents in turn. Returns an error answer if
   // no leader answers within the timeout.
   Json AskLeader(const Json& request, net::Time timeout = 20s);
   // Name of the agent that leads; empty if none does.
   std::string Leader();
-  // Starts a change of all instances, or of those that are given. Each call has its own request id, so that a
+  // Starts a change of all instances, or of the given ones. Each call has its own request id, so that a
   // request that is repeated after a lost answer starts the change only once.
   Json StartChange(const std::string& kind, std::vector<std::string> instances = {});
-  // Starts a reconfiguration with these configurations; the other instances get theirs as it is on disk.
+  // Starts a reconfiguration with these configurations. The other instances get their configuration on disk.
   Json StartReconfiguration(const std::map<std::string, Json>& configs);
   Json GetChange() { return AskLeader({{"op", "change"}}); }
   // State of the latest change; empty if there is none.
@@ -82,7 +83,7 @@
   std::map<std::string, Json> InstanceStatuses();
   bool AllServing();
 
-  // Ids of the group's live relay processes by instance; more than one id means a second copy.
+  // Ids of the group's live relay processes by instance. More than one id means that the instance runs twice.
   std::map<std::string, std::vector<pid_t>> RelayProcesses() const;
   // Id of the instance's first relay process; 0 if none runs.
   pid_t RelayPid(const std::string& instance) const;
@@ -94,7 +95,8 @@
   // Stops the load, waits until no message is pending or the timeout has passed, and returns the totals.
   standin::Totals StopLoadAndWait(net::Time timeout = 25s);
   std::string AgentLog(const std::string& name) const;
-  // Runs oxbowctl and returns its exit code, -1 if a signal ended it; `output` gets its output and errors.
+  // Runs oxbowctl and returns its exit code, or -1 if a signal terminated it. `output` is set to its standard
+  // output and standard error.
   int RunOxbowctl(const std::vector<std::string>& arguments, std::string* output);
 
   standin::Site site;
--- a/tests/group/group_process_test.cpp
+++ b/tests/group/group_process_test.cpp
@@ -1,4 +1,5 @@
-// Fault and operation cases of a group, with agents, relays and oxbowctl as separate processes.
+// Tests of faults and of operator commands of a group, with agents, relays and oxbowctl as separate
+// processes.
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -22,7 +23,7 @@
 
 std::string StringField(const Json& object, const char* key) { return control::TextOf(object, key); }
 
-TEST_CASE("a rolling restart under load gives every instance a new process and loses nothing") {
+TEST_CASE("a rolling restart under load gives every instance a new process and loses no message") {
   GroupHarness harness;
   harness.StartAll();
   harness.load->Start();
@@ -55,7 +56,8 @@
     const auto response = harness.AskAgent(
         harness.site.agents[i % 3],
         {{"op", "begin"}, {"kind", "restart"}, {"by", "test"}, {"instances", harness.site.instances}});
-    // An answer with a description of a change also names the leader; here it is the change that was started.
+    // A successful answer describes the started change and also contains the leader, so "ok" is checked
+    // first.
     if (response && (response->value("ok", false) || !response->contains("leader"))) {
       answer = *response;
       break;
@@ -155,9 +157,9 @@
     const std::size_t at = text.find('"', text.find("name: " + target_agent));
     return text.substr(at + 1, text.find('"', at + 1) - at - 1);
   }();
-  control::Caller caller(harness.loop, [&](control::Peer::Callbacks calls) {
+  control::Caller caller(harness.loop, [&](control::Peer::Callbacks callbacks) {
     return control::Peer::ConnectTcp(harness.loop, *net::ParseAddress(address),
-                                     as_agent.NewClientSession(target_agent), std::move(calls));
+                                     as_agent.NewClientSession(target_agent), std::move(callbacks));
   });
   Json answer;
   caller.Call({{"op", "order"},
@@ -254,8 +256,8 @@
       return answer.contains("change") &&
              StringField(answer.at("change").at("targets").at(0), "stage") == stage;
     };
-    // A stage that ends before it is observed leads to a kill at a later stage; the expected result is the
-    // same.
+    // If a stage ends before it is observed, the process is killed at a later stage. The expected result is
+    // the same.
     harness.WaitUntil([&] { return at_stage() || harness.ChangeState() == "done"; });
     if (kill_agent) {
       harness.SignalAgent(agent, SIGKILL);
@@ -462,7 +464,7 @@
   options.limits.replace(options.limits.find("belief_age: 1500ms"), 18, "belief_age: 500ms");
   GroupHarness harness(options);
   harness.StartAll();
-  // A new leader may answer that it is not ready yet. After a complete change no leader is new any more.
+  // A new leader may answer that it is not ready yet. After a completed change the leader is no longer new.
   REQUIRE(harness.StartChange("restart", {"n1", "n2", "n3"}).value("ok", false));
   REQUIRE(harness.WaitUntilFinished());
   std::string leader;
@@ -479,8 +481,8 @@
       &answer);
   REQUIRE(harness.WaitUntil([&] { return answer.has_value(); }));
   INFO(answer->dump());
-  // A leader that lost its lease meanwhile answers that it does not lead, which says nothing about the
-  // others.
+  // A leader whose lease expired meanwhile answers that it does not lead. That answer gives no information
+  // about the other agents.
   CHECK((answer->value("ok", false) || answer->contains("leader")));
   CHECK(StringField(*answer, "error").find("out of reach") == std::string::npos);
   if (answer->value("ok", false)) {
@@ -526,13 +528,14 @@
   for (const std::string& name : harness.site.agents) {
     if (name != leader) others.push_back(name);
   }
-  // Only the leader has the change on record, so the change is not committed and the leader can't confirm it.
+  // Only the leader has the record of the change, so the change is not committed and the leader can't confirm
+  // it.
   for (const std::string& name : others) harness.SignalAgent(name, SIGSTOP);
   const Json request = {
       {"op", "begin"}, {"kind", "restart"}, {"by", "test"}, {"instances", {"n1", "n2"}}, {"request", "mine"}};
   std::optional<Json> lost_answer;
   harness.SendRequest(leader, request, &lost_answer);
-  // Sent after it on the same connection: the leader reports the committed state, which holds no change.
+  // This request follows on the same connection. The leader reports the committed state, which has no change.
   const auto meanwhile = harness.AskAgent(leader, {{"op", "change"}});
   REQUIRE(meanwhile);
   INFO(meanwhile->dump());
@@ -557,7 +560,7 @@
     repeated_answer.reset();
     other_answer.reset();
     harness.SendRequest(next, request, &repeated_answer);
-    harness.SendRequest(next, other_request, &other_answer);  // sent after it on the same connection
+    harness.SendRequest(next, other_request, &other_answer);  // follows on the same connection
     const bool both_answered = harness.WaitUntil([&] { return repeated_answer && other_answer; });
     // Without a leader, or with one that has no statuses of its instances yet, both requests have to be
     // retried.
--- a/tests/group/supervisor_test.cpp
+++ b/tests/group/supervisor_test.cpp
@@ -15,7 +15,7 @@
 using Phase = InstanceStatus::Phase;
 
 // Model of the relay process, the lock of its state folder and the answers of its control socket. Executes
-// the supervisor's actions and feeds the results back as events.
+// the supervisor's actions and reports the results as events.
 class RelayModel {
  public:
   explicit RelayModel(Desired desired = {DesiredPhase::kServing, "v1@first", false})
