--- a/src/lab/simulated_relay.hpp
+++ b/src/lab/simulated_relay.hpp
@@ -1,6 +1,6 @@
 // One process of a relay on a virtual clock: the real relay core, decision module, journal and
-// endpoint::HostTable. It has numbers instead of sockets for its connections to hosts, and replaces the modules
-// `client`, `endpoint::Pool`, `routing` and `notice` of the relay program.
+// endpoint::HostTable. It has numbers instead of sockets for its connections to hosts, and replaces the
+// modules `client`, `endpoint::Pool`, `routing` and `notice` of the relay program.
 #pragma once
 
 #include <functional>
