--- a/src/control/frame.hpp
+++ b/src/control/frame.hpp
@@ -10,6 +10,7 @@
 
 using Json = nlohmann::json;
 
+// Default limit of a frame, above which a FrameReader reports an error.
 constexpr std::size_t kMaxFrameBytes = 4u << 20;
 
 // Splits a byte stream into frames. An error is permanent: nothing can be read after it.
--- a/src/ctl/client.hpp
+++ b/src/ctl/client.hpp
@@ -49,12 +49,11 @@
   Client(const group::Group& group, const std::string& member, const std::string& socket);
 
   // Sends a request to all agents at once; `request` returns the request for an agent. Runs the client's loop
-  // until each agent has answered or failed, for at most `timeout`. Returns the responses by name of the
-  // agent
-  // ("agent" for the one on a socket). Doesn't throw if an agent fails.
+  // until each agent has answered or failed, for at most `timeout`. Returns the responses by agent name; with
+  // a socket the only name is "agent". Doesn't throw if an agent fails.
   std::map<std::string, Response> AskAll(
       const std::function<control::Json(const std::string& agent)>& request, net::Time timeout);
-  // Sends the request to the leader, which is searched among the agents for up to `timeout`. Throws
+  // Searches the leader among the agents for up to `timeout` and returns its answer to the request. Throws
   // Unreachable or Refused.
   control::Json AskLeader(const control::Json& request, net::Time timeout);
   // Runs the loop for this long.
