--- a/src/handover/packets.cpp
+++ b/src/handover/packets.cpp
@@ -32,10 +32,10 @@
   return host;
 }
 
-Json ToJson(const wheathub::LearnedState& belief) {
-  const auto& route = belief.route;
-  const auto& health = belief.health;
-  return {belief.endpoint,
+Json ToJson(const wheathub::LearnedState& learned_state) {
+  const auto& route = learned_state.route;
+  const auto& health = learned_state.health;
+  return {learned_state.endpoint,
           route.tokens,
           route.gap.count(),
           route.next_send_at.count(),
@@ -63,13 +63,13 @@
           health.warm_at.count()};
 }
 // Parses the fields in the order in which ToJson writes them.
-wheathub::LearnedState BeliefFromJson(const Json& fields) {
-  wheathub::LearnedState belief;
-  auto& route = belief.route;
-  auto& health = belief.health;
+wheathub::LearnedState LearnedStateFromJson(const Json& fields) {
+  wheathub::LearnedState learned_state;
+  auto& route = learned_state.route;
+  auto& health = learned_state.health;
   std::size_t index = 0;
   const auto next = [&]() -> const Json& { return fields.at(index++); };
-  belief.endpoint = next();
+  learned_state.endpoint = next();
   route.tokens = next();
   for (Time* time : {&route.gap, &route.next_send_at, &route.wait_until, &route.announced_interval,
                      &route.call_interval, &route.last_call_at, &route.gap_widened_at}) {
@@ -89,7 +89,7 @@
   for (Time* time : {&health.cold_since, &health.failed_at}) *time = TimeFromJson(next());
   if (index < fields.size())
     health.warm_at = TimeFromJson(next());  // an older version of the program does not send it
-  return belief;
+  return learned_state;
 }
 
 // A packet is encoded as an array of its index in Packet and an array of its fields.
@@ -176,10 +176,10 @@
 }
 
 std::vector<StateChunk> ToChunks(const relay::HandoverState& state) {
-  Json hosts = Json::array(), beliefs = Json::array(), in_flight = Json::array(), host_waits = Json::array(),
-       address_waits = Json::array();
+  Json hosts = Json::array(), learned_states = Json::array(), in_flight = Json::array(),
+       host_waits = Json::array(), address_waits = Json::array();
   for (const auto& host : state.routing_table.hosts) hosts.push_back(ToJson(host));
-  for (const auto& belief : state.beliefs) beliefs.push_back(ToJson(belief));
+  for (const auto& learned_state : state.learned_states) learned_states.push_back(ToJson(learned_state));
   for (const auto& attempt : state.in_flight) {
     in_flight.push_back(
         {attempt.id, attempt.host, attempt.started_at.count(), attempt.message_deadline.count()});
@@ -189,7 +189,7 @@
   for (const auto& wait : state.address_waits) address_waits.push_back({wait.address, wait.until.count()});
   const std::string bytes = ToCbor({{"revision", state.routing_table.revision},
                                     {"hosts", std::move(hosts)},
-                                    {"beliefs", std::move(beliefs)},
+                                    {"beliefs", std::move(learned_states)},
                                     {"out", std::move(in_flight)},
                                     {"waits", std::move(host_waits)},
                                     {"address_waits", std::move(address_waits)},
@@ -209,7 +209,8 @@
     // An older version of the program does not send it.
     state.list_valid_until = Time(root.value("list_valid_until", Time::rep{0}));
     for (const Json& host : root.at("hosts")) state.routing_table.hosts.push_back(HostFromJson(host));
-    for (const Json& belief : root.at("beliefs")) state.beliefs.push_back(BeliefFromJson(belief));
+    for (const Json& learned_state : root.at("beliefs"))
+      state.learned_states.push_back(LearnedStateFromJson(learned_state));
     for (const Json& attempt : root.at("out")) {
       const Time message_deadline = attempt.size() > 3 ? TimeFromJson(attempt.at(3)) : Time(0);
       state.in_flight.push_back(
--- a/src/relay/handover_state.hpp
+++ b/src/relay/handover_state.hpp
@@ -34,7 +34,7 @@
 // Everything that the core and the endpoint pool of the successor need.
 struct HandoverState {
   RoutingChange routing_table;  // as listed by discovery, with its revision
-  std::vector<wheathub::LearnedState> beliefs;
+  std::vector<wheathub::LearnedState> learned_states;
   std::vector<InFlightAttempt> in_flight;
   std::vector<HostWait> host_waits;
   std::vector<AddressWait> address_waits;  // empty if the sender is of an older version
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -110,7 +110,8 @@
       routing_table.hosts.push_back(removed_host);
     }
     RoutingChanged(routing_table);
-    for (const wheathub::LearnedState& belief : handed_over_state->beliefs) Queue(belief);
+    for (const wheathub::LearnedState& learned_state : handed_over_state->learned_states)
+      Queue(learned_state);
   }
   for (const auto& [id, entry] : journal_.entries()) {
     if (entry.ending) {
@@ -270,7 +271,7 @@
   if (!pending_.empty()) Step(ports_.clock.Now());
   HandoverState state;
   state.routing_table = table_.Listed();
-  state.beliefs = decider_.learned_states();
+  state.learned_states = decider_.learned_states();
   for (const auto& [attempt, attempt_state] : in_flight_) {
     if (!attempt_state.written) continue;
     const auto held = held_.find(attempt.id);
