--- a/src/endpoint/endpoint_connection.cpp
+++ b/src/endpoint/endpoint_connection.cpp
@@ -26,7 +26,7 @@
       return result;
     case 410:
       result.outcome = Outcome::kNotSent;
-      result.closes_message = true;
+      result.ends_message = true;
       return result;
     case 429:
     case 503: {
--- a/src/handover/packets.cpp
+++ b/src/handover/packets.cpp
@@ -106,7 +106,7 @@
   Json operator()(const OfferAccepted&) const { return Json::array(); }
   Json operator()(const OwnershipTransferred&) const { return Json::array(); }
   Json operator()(const AttemptEnded& packet) const {
-    return Json::array({packet.id, static_cast<int>(packet.result.outcome), packet.result.closes_message,
+    return Json::array({packet.id, static_cast<int>(packet.result.outcome), packet.result.ends_message,
                         packet.result.retry_after.count()});
   }
   Json operator()(const CancelRequest& packet) const { return Json::array({packet.id}); }
--- a/src/relay/ports.hpp
+++ b/src/relay/ports.hpp
@@ -77,7 +77,7 @@
 // How an attempt ended.
 struct AttemptResult {
   wheathub::Outcome outcome = wheathub::Outcome::kServed;
-  bool closes_message = false;  // the endpoint requires no further attempt for the message
+  bool ends_message = false;  // the endpoint requires no further attempt for the message
   // How long the endpoint asked to wait before the next attempt; 0 if it did not.
   Time retry_after{0};
 };
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -426,8 +426,8 @@
   in_flight_.erase(it);
   CountOutcome(result);
   if (handed_over()) return result_listener_(attempt.id, result);
-  const bool is_closed = result.closes_message || result.outcome == Outcome::kServed;
-  if (is_closed && journal_.Find(attempt.id) != nullptr) {
+  const bool message_ended = result.ends_message || result.outcome == Outcome::kServed;
+  if (message_ended && journal_.Find(attempt.id) != nullptr) {
     const auto held = held_.find(attempt.id);
     const bool is_served = result.outcome == Outcome::kServed;
     // A client counts the deadline from the time at which it sent the message, which is up to kClientTimeout
@@ -451,7 +451,7 @@
   ended.endpoint = state.host;
   ended.outcome = result.outcome;
   ended.latency = ports_.clock.Now() - state.started_at;
-  ended.message_ended = is_closed;
+  ended.message_ended = message_ended;
   ended.retry_after = result.retry_after;
   Queue(std::move(ended));
 }
