--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -167,19 +167,19 @@
                                               .change;
         last_known.scope = wheathub::ListScope::kRemembered;
         const bool is_takeover = startup_state_.channel.has_value();
-        discovery_.SetKnownRevision(is_takeover ? startup_state_.state.routing_table.revision
+        discovery_.SetKnownRevision(is_takeover ? startup_state_.handover_state.routing_table.revision
                                                 : last_known.revision);
         if (is_takeover)
-          transport_.TakeOver(std::move(*startup_state_.channel), startup_state_.state.in_flight);
-        relay_.Recover(last_known, is_takeover ? &startup_state_.state : nullptr);
-        endpoint_pool_.RestoreWaits(startup_state_.state);
+          transport_.TakeOver(std::move(*startup_state_.channel), startup_state_.handover_state.in_flight);
+        relay_.Recover(last_known, is_takeover ? &startup_state_.handover_state : nullptr);
+        endpoint_pool_.RestoreWaits(startup_state_.handover_state);
         std::optional<wheathub::ListLease::Inherited> lease;
-        if (is_takeover) lease = {startup_state_.state.list_valid_until};
+        if (is_takeover) lease = {startup_state_.handover_state.list_valid_until};
         discovery_.Start(ListOptionsOf(config_), ~config_.seed, lease);
         if (is_takeover) {
           std::cout << config_.name << ": took over " << startup_state_.clients.size() << " clients and "
-                    << startup_state_.state.in_flight.size() << " attempts that continue in the old process"
-                    << std::endl;
+                    << startup_state_.handover_state.in_flight.size()
+                    << " attempts that continue in the old process" << std::endl;
         }
         std::cout << config_.name << ": " << counters_.recovered << " messages and "
                   << counters_.recovered_notices << " notices recovered from the journal, "
@@ -287,7 +287,7 @@
     return handover_state;
   }
   std::vector<client::ClientState> Clients() const override { return clients_->ExportState(); }
-  int LockFd() const override { return startup_state_.lock->fd(); }
+  int LockFd() const override { return startup_state_.folder_lock->fd(); }
   void CompleteHandover() override {
     relay_.CompleteHandover([this](const std::string& id, const relay::AttemptResult& result) {
       handover_->SendAttemptEnded(id, result);
@@ -297,7 +297,7 @@
     notices_.Stop();
     endpoint_pool_.CloseAllIdle();
     control_server_.reset();
-    startup_state_.lock->Release();
+    startup_state_.folder_lock->Release();
     phases_.Enter(Phase::kHandedOver);
   }
   void CancelAttempt(const std::string& id) override { relay_.CancelHandedOver(id); }
@@ -478,7 +478,7 @@
 handover::StartupState LockOrTakeOver(const config::Config& config) {
   if (config.listen_fd < 0) {
     handover::StartupState startup_state;
-    startup_state.lock = std::make_unique<journal::FolderLock>(config.state);
+    startup_state.folder_lock = std::make_unique<journal::FolderLock>(config.state);
     return startup_state;
   }
   try {
--- a/src/handover/handover_receiver.hpp
+++ b/src/handover/handover_receiver.hpp
@@ -30,7 +30,7 @@
   // The received state, which may be used only in phase kOwner. The caller owns the descriptors of the
   // clients and of the lock in any phase.
   const relay::HandoverState& state() const { return state_; }
-  const std::vector<client::ClientState>& clients() const { return clients_; }
+  const std::vector<client::ClientState>& client_states() const { return clients_; }
   int lock_fd() const { return lock_fd_; }
 
  private:
--- a/src/handover/new_process.cpp
+++ b/src/handover/new_process.cpp
@@ -20,7 +20,7 @@
 
 // Closes all descriptors that were received.
 void CloseAll(const HandoverReceiver& receiver) {
-  for (const client::ClientState& client : receiver.clients()) close(client.fd);
+  for (const client::ClientState& client : receiver.client_states()) close(client.fd);
   if (receiver.lock_fd() >= 0) close(receiver.lock_fd());
 }
 
@@ -42,14 +42,14 @@
     return std::nullopt;
   }
   return StartupState{std::make_unique<journal::FolderLock>(receiver.lock_fd()), std::move(channel),
-                      receiver.state(), receiver.clients()};
+                      receiver.state(), receiver.client_states()};
 }
 
 }  // namespace
 
 std::set<std::string> StartupState::InFlightIds() const {
   std::set<std::string> ids;
-  for (const relay::InFlightAttempt& attempt : state.in_flight) ids.insert(attempt.id);
+  for (const relay::InFlightAttempt& attempt : handover_state.in_flight) ids.insert(attempt.id);
   return ids;
 }
 
@@ -59,9 +59,9 @@
   std::optional<HandoverRefused> refused;
   while (true) {
     try {
-      StartupState state;
-      state.lock = std::make_unique<journal::FolderLock>(folder);
-      return state;
+      StartupState startup_state;
+      startup_state.folder_lock = std::make_unique<journal::FolderLock>(folder);
+      return startup_state;
     } catch (const journal::FolderLocked&) {
       if (net::Loop::Now() >= until && refused) throw *refused;
       if (net::Loop::Now() >= until) throw;
--- a/src/handover/new_process.hpp
+++ b/src/handover/new_process.hpp
@@ -22,10 +22,10 @@
 // What a process acquires at its start: the lock of the state folder, and, unless the folder was free, the
 // state of the process that hands over.
 struct StartupState {
-  std::unique_ptr<journal::FolderLock> lock;
+  std::unique_ptr<journal::FolderLock> folder_lock;
   // Connection to the old process. Empty if the folder was free; the other members are empty then too.
   std::optional<Channel> channel;
-  relay::HandoverState state;
+  relay::HandoverState handover_state;
   std::vector<client::ClientState> clients;
 
   // Returns the ids of the messages whose attempts continue in the old process.
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -72,7 +72,7 @@
   return receiver;
 }
 void CloseDescriptors(const HandoverReceiver& receiver) {
-  for (const auto& client : receiver.clients()) close(client.fd);
+  for (const auto& client : receiver.client_states()) close(client.fd);
   close(receiver.lock_fd());
 }
 
