--- a/src/yaml/reader.cpp
+++ b/src/yaml/reader.cpp
@@ -78,7 +78,7 @@
   const std::string unit = text.substr(std::min(end, text.size()));
   const double factor = unit == "ms" ? 1e3 : unit == "s" ? 1e6 : unit == "m" ? 6e7 : 0;
   if (!(value >= 0) || factor == 0 || value * factor > 8.64e10) {
-    Fail(node.Mark(), prefix + key, "must be a span such as 250ms, 20s or 3m, not '" + text + "'");
+    Fail(node.Mark(), prefix + key, "must be a duration such as 250ms, 20s or 3m, not '" + text + "'");
   }
   return Time(static_cast<Time::rep>(value * factor));
 }
