--- a/src/apps/oxbowfloor.cpp
+++ b/src/apps/oxbowfloor.cpp
@@ -36,7 +36,7 @@
 
  private:
   void OnConnected() override { connection_->Send(request_); }
-  void OnBytes(proto::RingBuffer& in) override;
+  void OnBytes(proto::RingBuffer& received) override;
   void OnClosed() override;
 
   BaselineRelay& relay_;
@@ -52,7 +52,7 @@
   void Send(const char* text) { connection_.Send(text); }
 
  private:
-  void OnBytes(proto::RingBuffer& in) override;
+  void OnBytes(proto::RingBuffer& received) override;
   void OnClosed() override;
 
   BaselineRelay& relay_;
@@ -147,16 +147,16 @@
 }
 
 // The stand-in endpoints send each answer in one piece and without a body.
-void HostConnection::OnBytes(proto::RingBuffer& in) {
-  in.Consume(in.size());
+void HostConnection::OnBytes(proto::RingBuffer& received) {
+  received.Consume(received.size());
   relay_.OnAnswer(*this, destination_);
 }
 
 void HostConnection::OnClosed() { relay_.Remove(*this, destination_); }
 
-void Client::OnBytes(proto::RingBuffer& in) {
-  while (!in.empty()) {
-    in.Consume(parser_.Feed(in.Front()));
+void Client::OnBytes(proto::RingBuffer& received) {
+  while (!received.empty()) {
+    received.Consume(parser_.Feed(received.Front()));
     if (parser_.state() != proto::RespParser::State::kCommand) continue;
     std::vector<std::string> command = parser_.TakeCommand();
     if (command[0] == "PING") {
--- a/src/client/client_server.cpp
+++ b/src/client/client_server.cpp
@@ -49,11 +49,11 @@
   timer_.After(kCommandTimeout);
 }
 
-void Client::OnBytes(proto::RingBuffer& input) {
+void Client::OnBytes(proto::RingBuffer& received) {
   last_received_at_ = net::Loop::Now();
   if (!has_unread_) earliest_arrival_ = loop_.earliest_arrival();
-  while (!awaiting_answer_ && !disconnecting_ && !input.empty() && connection_.connected()) {
-    input.Consume(parser_.Feed(input.Front()));
+  while (!awaiting_answer_ && !disconnecting_ && !received.empty() && connection_.connected()) {
+    received.Consume(parser_.Feed(received.Front()));
     if (parser_.state() == proto::RespParser::State::kInvalid) {
       server_.counters_.malformed += 1;
       Reply(proto::RespError(std::string("ERR Protocol error: ") + parser_.error()));
@@ -61,7 +61,7 @@
     }
     if (parser_.state() == proto::RespParser::State::kCommand) HandleCommand(parser_.TakeCommand());
   }
-  has_unread_ = !input.empty();
+  has_unread_ = !received.empty();
   if (!connection_.connected() || awaiting_answer_ || disconnecting_) return;
   ArmTimer();
   if (server_.closing_ && idle()) resume_timer_.After(net::Time(0));
--- a/src/client/client_server.hpp
+++ b/src/client/client_server.hpp
@@ -54,7 +54,7 @@
   void RestoreState(const ClientState& state);
 
  private:
-  void OnBytes(proto::RingBuffer& input) override;
+  void OnBytes(proto::RingBuffer& received) override;
   void OnClosed() override;
   // Returns the maximum time that the current command may have waited before it was read.
   net::Time TimeUnread() const;
--- a/src/control/peer.cpp
+++ b/src/control/peer.cpp
@@ -42,17 +42,17 @@
   connection_->Send(filter_ ? filter_->Seal(plain) : plain);
 }
 
-void Peer::OnBytes(proto::RingBuffer& in) {
+void Peer::OnBytes(proto::RingBuffer& received) {
   std::string plain, reply;
   bool valid = true;
-  while (!in.empty() && valid) {
-    const std::string_view front = in.Front();
+  while (!received.empty() && valid) {
+    const std::string_view front = received.Front();
     if (filter_) {
       valid = filter_->Feed(front, &plain, &reply);
     } else {
       plain += front;
     }
-    in.Consume(front.size());
+    received.Consume(front.size());
   }
   if (!reply.empty()) connection_->Send(reply);
   if (!valid) return Fail(filter_->error());
--- a/src/control/peer.hpp
+++ b/src/control/peer.hpp
@@ -56,7 +56,7 @@
   Peer(std::unique_ptr<Filter> filter, Callbacks callbacks)
       : filter_(std::move(filter)), callbacks_(std::move(callbacks)) {}
   void OnConnected() override;
-  void OnBytes(proto::RingBuffer& in) override;
+  void OnBytes(proto::RingBuffer& received) override;
   void OnClosed() override { Fail({}); }
   void Flush();
   void Fail(const std::string& reason);
--- a/src/endpoint/endpoint_connection.cpp
+++ b/src/endpoint/endpoint_connection.cpp
@@ -92,8 +92,8 @@
   connection_->Send(*text);
 }
 
-void EndpointConnection::OnBytes(proto::RingBuffer& in) {
-  while (!in.empty() && connected()) {
+void EndpointConnection::OnBytes(proto::RingBuffer& received) {
+  while (!received.empty() && connected()) {
     // These bytes belong to no request, so the connection must not be used again.
     if (!request_ && !receiving_response_) return Discard();
     if (!std::exchange(receiving_response_, true)) {
@@ -103,7 +103,7 @@
       const net::Time response_deadline = net::Loop::Now() + kResponseTimeout;
       timer_.At(request_->timeout_at < response_deadline ? request_->timeout_at : response_deadline);
     }
-    in.Consume(parser_.Feed(in.Front()));
+    received.Consume(parser_.Feed(received.Front()));
     if (request_ && parser_.at_start()) AwaitResponse();
     // A status line with 200 counts as delivered, even if the rest of the response is invalid.
     if (request_ && parser_.status_line_code() == 200) EndAttempt(relay::AttemptResult());
--- a/src/endpoint/endpoint_connection.hpp
+++ b/src/endpoint/endpoint_connection.hpp
@@ -67,7 +67,7 @@
 
  private:
   void OnConnected() override { WriteRequest(); }
-  void OnBytes(proto::RingBuffer& in) override;
+  void OnBytes(proto::RingBuffer& received) override;
   void OnClosed() override;
   void OnHead(const proto::HttpResponseHead& head) override { head_ = head; }
   void OnBody(std::string_view) override {}
--- a/src/management/management_server.cpp
+++ b/src/management/management_server.cpp
@@ -17,11 +17,11 @@
     connection.Prioritize();
     timeout.After(kCommandTimeout);
   }
-  void OnBytes(proto::RingBuffer& in) override {
-    while (!in.empty() && reader.state() == CommandReader::State::kIncomplete)
-      in.Consume(reader.Feed(in.Front()));
+  void OnBytes(proto::RingBuffer& received) override {
+    while (!received.empty() && reader.state() == CommandReader::State::kIncomplete)
+      received.Consume(reader.Feed(received.Front()));
     // Discards what follows the line: closing a socket with unread bytes would reset the connection.
-    in.Consume(in.size());
+    received.Consume(received.size());
     if (reader.state() == CommandReader::State::kIncomplete) return;
     std::optional<std::string> error;
     if (reader.state() == CommandReader::State::kInvalid) {
--- a/src/notice/notice.cpp
+++ b/src/notice/notice.cpp
@@ -83,10 +83,10 @@
                     std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-void HttpNoticeSender::OnBytes(proto::RingBuffer& in) {
-  while (!in.empty() && connection_ != nullptr) {
+void HttpNoticeSender::OnBytes(proto::RingBuffer& received) {
+  while (!received.empty() && connection_ != nullptr) {
     if (in_flight_.empty()) return Retry();  // the bytes belong to no request
-    in.Consume(parser_.Feed(in.Front()));
+    received.Consume(parser_.Feed(received.Front()));
     if (parser_.state() == proto::HttpResponseParser::State::kInvalid) return Retry();
   }
 }
--- a/src/notice/notice.hpp
+++ b/src/notice/notice.hpp
@@ -33,7 +33,7 @@
 
  private:
   void OnConnected() override { WriteBatch(); }
-  void OnBytes(proto::RingBuffer& in) override;
+  void OnBytes(proto::RingBuffer& received) override;
   void OnClosed() override { Retry(); }
   void OnHead(const proto::HttpResponseHead& head) override { status_ = head.status; }
   void OnBody(std::string_view) override {}
--- a/src/routing/discovery.cpp
+++ b/src/routing/discovery.cpp
@@ -304,9 +304,9 @@
   connection_->Send(request_);
 }
 
-void DiscoveryClient::Call::OnBytes(proto::RingBuffer& in) {
-  while (!in.empty() && !finished_) {
-    in.Consume(parser_.Feed(in.Front()));
+void DiscoveryClient::Call::OnBytes(proto::RingBuffer& received) {
+  while (!received.empty() && !finished_) {
+    received.Consume(parser_.Feed(received.Front()));
     if (parser_.state() == proto::HttpResponseParser::State::kInvalid) return Finish(CallEnd::kUnreadable);
     if (parser_.state() == proto::HttpResponseParser::State::kComplete) return;
   }
--- a/src/routing/discovery.hpp
+++ b/src/routing/discovery.hpp
@@ -91,7 +91,7 @@
 
    private:
     void OnConnected() override;
-    void OnBytes(proto::RingBuffer& in) override;
+    void OnBytes(proto::RingBuffer& received) override;
     void OnClosed() override;
     void OnHead(const proto::HttpResponseHead& head) override;
     void OnBody(std::string_view bytes) override;
--- a/src/standin/client_connection.cpp
+++ b/src/standin/client_connection.cpp
@@ -45,11 +45,11 @@
   connection_->Send(request_);
 }
 
-void ClientConnection::OnBytes(proto::RingBuffer& in) {
-  while (!in.empty()) {
-    const std::string_view front = in.Front();
+void ClientConnection::OnBytes(proto::RingBuffer& received) {
+  while (!received.empty()) {
+    const std::string_view front = received.Front();
     received_ += front;
-    in.Consume(front.size());
+    received.Consume(front.size());
   }
   const std::size_t end = received_.find("\r\n");
   if (end == received_.npos || request_.empty()) return;
--- a/src/standin/client_connection.hpp
+++ b/src/standin/client_connection.hpp
@@ -42,7 +42,7 @@
 
  private:
   void OnConnected() override;
-  void OnBytes(proto::RingBuffer& in) override;
+  void OnBytes(proto::RingBuffer& received) override;
   void OnClosed() override { ReportLoss(true); }
   void ReportLoss(bool closed_by_peer);
   void StartTimeout();
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -37,11 +37,11 @@
   void Close() { connection_.Close(); }
 
  private:
-  void OnBytes(proto::RingBuffer& in) override {
-    while (!in.empty()) {
-      const std::string_view front = in.Front();
+  void OnBytes(proto::RingBuffer& received) override {
+    while (!received.empty()) {
+      const std::string_view front = received.Front();
       const bool valid = parser_.Feed(front);
-      in.Consume(front.size());
+      received.Consume(front.size());
       if (!valid) return server_.Remove(number_);
     }
   }
--- a/tests/lab/pool_test.cpp
+++ b/tests/lab/pool_test.cpp
@@ -34,11 +34,11 @@
   std::string bytes;
 
  private:
-  void OnBytes(proto::RingBuffer& in) override {
-    while (!in.empty()) {
-      const std::string_view front = in.Front();
+  void OnBytes(proto::RingBuffer& received) override {
+    while (!received.empty()) {
+      const std::string_view front = received.Front();
       bytes += front;
-      in.Consume(front.size());
+      received.Consume(front.size());
     }
     on_bytes_();
   }
