--- a/tests/lab/hosts_test.cpp
+++ b/tests/lab/host_table_test.cpp
@@ -1,9 +1,9 @@
 // Tests of endpoint::HostTable: which hosts may be written to, and which host owns an address.
+#include "endpoint/host_table.hpp"
+
 #include <catch2/catch.hpp>
 #include <chrono>
 
-#include "endpoint/host_table.hpp"
-
 namespace {
 
 using namespace oxbowspread;
