--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -305,7 +305,8 @@
   // the journal, unless it has received SIGTERM or SIGINT.
   void OnReceiverLost() override {
     if (exit_deadline_ > net::Time(0)) return;
-    std::cerr << config_.name << ": the process that took over has exited: starting anew" << std::endl;
+    std::cerr << config_.name << ": the process that took over has exited: restarting from the journal"
+              << std::endl;
     execv("/proc/self/exe", options_.argv);
     std::cerr << config_.name << ": cannot execute /proc/self/exe" << std::endl;
     phases_.Enter(Phase::kStopped);
@@ -403,7 +404,7 @@
   // Reads and applies the configuration file again. If it can't be used, the running configuration stays in
   // force, and the error is logged and returned.
   std::optional<std::string> Reload() {
-    if (phases_.current() == Phase::kHandedOver) return "is given over";
+    if (phases_.current() == Phase::kHandedOver) return "has handed over";
     try {
       config::Config new_config = config::Reload(config_);
       const net::Address discovery_address = RequireAddress("discovery", new_config.discovery);
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -411,7 +411,7 @@
     auto channel = Channel::Connect(fixture.old_process.state());
     CloseDescriptors(ReceiveUntil(*channel, HandoverReceiver::Phase::kOwner));
   }
-  fixture.old_process.WaitForLog("starting anew");
+  fixture.old_process.WaitForLog("restarting from the journal");
   const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "kept");
   fixture.stubs.Answer(repeat, "200 OK");
