--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 using wheathub::Outcome;
 
-// Wait sent to a client whose message is rejected without consulting the decision module.
+// Retry-after time sent to a client whose message is rejected without consulting the decision module.
 constexpr Time kDefaultRetryAfter = 1s;
 
 bool MayHaveRun(Outcome outcome) {
@@ -214,8 +214,8 @@
 
 void Relay::Withdraw(Client& client) {
   for (auto it = pending_.begin(); it != pending_.end(); ++it) {
-    auto& waiting = it->second.clients;
-    if (std::erase(waiting, &client) == 0 || !waiting.empty()) continue;
+    auto& waiting_clients = it->second.clients;
+    if (std::erase(waiting_clients, &client) == 0 || !waiting_clients.empty()) continue;
     // The client disconnected before the answer, so the queued message must not reach the decision module.
     counters_.withdrawn += 1;
     std::erase_if(events_, [&](const wheathub::Event& event) {
@@ -228,14 +228,15 @@
 }
 
 void Relay::AnswerPending(const std::vector<wheathub::Action>& actions) {
-  std::map<std::string, Time> refused;
+  std::map<std::string, Time> retry_after_by_id;
   for (const auto& action : actions) {
     const auto* refuse = std::get_if<wheathub::Refuse>(&action);
-    if (refuse != nullptr && pending_.count(refuse->id) > 0) refused[refuse->id] = refuse->retry_after;
+    if (refuse != nullptr && pending_.count(refuse->id) > 0)
+      retry_after_by_id[refuse->id] = refuse->retry_after;
   }
   for (const auto& [id, pending] : std::exchange(pending_, {})) {
-    const auto it = refused.find(id);
-    if (it != refused.end()) {
+    const auto it = retry_after_by_id.find(id);
+    if (it != retry_after_by_id.end()) {
       counters_.rejected_by_decider += 1;
       for (Client* client : pending.clients) client->OnRejected(it->second);
     } else if (!AcceptPending(pending)) {
@@ -253,9 +254,10 @@
     for (Client* client : pending.clients) client->OnRejected(kDefaultRetryAfter);
     return false;
   }
-  bool client_connected = false;
-  for (Client* client : pending.clients) client_connected = client->OnAccepted() || client_connected;
-  if (!client_connected) {
+  bool is_any_client_connected = false;
+  for (Client* client : pending.clients)
+    is_any_client_connected = client->OnAccepted() || is_any_client_connected;
+  if (!is_any_client_connected) {
     counters_.withdrawn += 1;
     journal_.Close(message.id);
     return false;
@@ -269,17 +271,17 @@
 
 HandoverState Relay::PrepareHandover() {
   if (!pending_.empty()) Step(ports_.clock.Now());
-  HandoverState state;
-  state.routing_table = table_.Listed();
-  state.learned_states = decider_.learned_states();
+  HandoverState handover_state;
+  handover_state.routing_table = table_.Listed();
+  handover_state.learned_states = decider_.learned_states();
   for (const auto& [attempt, attempt_state] : in_flight_) {
     if (!attempt_state.written) continue;
     const auto held = held_.find(attempt.id);
     const Time deadline = held == held_.end() ? Time(0) : held->second.deadline;
-    state.in_flight.push_back({attempt.id, attempt_state.host, attempt_state.started_at, deadline});
+    handover_state.in_flight.push_back({attempt.id, attempt_state.host, attempt_state.started_at, deadline});
   }
   CancelUnwritten();
-  return state;
+  return handover_state;
 }
 
 void Relay::CompleteHandover(ResultListener listener) {
@@ -422,7 +424,7 @@
 void Relay::AttemptEnded(const AttemptId& attempt, const AttemptResult& result) {
   const auto it = in_flight_.find(attempt);
   if (it == in_flight_.end()) return;
-  const AttemptState state = it->second;
+  const AttemptState attempt_state = it->second;
   in_flight_.erase(it);
   CountOutcome(result);
   if (handed_over()) return result_listener_(attempt.id, result);
@@ -442,15 +444,15 @@
     } else {
       journal_.Close(attempt.id);
     }
-  } else if (state.written) {
+  } else if (attempt_state.written) {
     journal_.EndAttempt(attempt.id, MayHaveRun(result.outcome));
   }
   wheathub::AttemptEnded ended;
   ended.id = attempt.id;
   ended.attempt = attempt.number;
-  ended.endpoint = state.host;
+  ended.endpoint = attempt_state.host;
   ended.outcome = result.outcome;
-  ended.latency = ports_.clock.Now() - state.started_at;
+  ended.latency = ports_.clock.Now() - attempt_state.started_at;
   ended.message_ended = message_ended;
   ended.retry_after = result.retry_after;
   Queue(std::move(ended));
@@ -472,6 +474,8 @@
   const auto it = held_.find(id);
   if (it == held_.end()) return;
   if (const journal::Entry* const entry = journal_.Find(id)) {
+    // Counts a recovered message that was never attempted although more than a tenth of its class's deadline
+    // is left, and any message that certainly has not run and ends with more than 30 % left.
     const Time remaining = it->second.deadline - ports_.clock.Now();
     const Time class_deadline = ClassDeadline(entry->message);
     counters_.ended_unattempted +=
@@ -526,9 +530,9 @@
   Queue(wheathub::RetryAfterReceived{host, until});
 }
 
-void Relay::SetListValidUntil(Time moment) {
-  ports_.endpoints.SetListValidUntil(moment);
-  Queue(wheathub::ListValidity{moment});
+void Relay::SetListValidUntil(Time valid_until) {
+  ports_.endpoints.SetListValidUntil(valid_until);
+  Queue(wheathub::ListValidity{valid_until});
 }
 
 std::optional<std::string> Relay::ExcludeHost(const std::string& host) {
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -94,7 +94,7 @@
   // or until another stale list reports them as ready.
   void StaleRoutingReceived(const RoutingChange& older);
   // Sets the time at which the routing table expires. It also applies to attempts that have already started.
-  void SetListValidUntil(Time moment);
+  void SetListValidUntil(Time valid_until);
   // Closes a message, because the platform has accepted its notice.
   void NoticeAccepted(const std::string& id);
 
