--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -22,15 +22,15 @@
 // ---- constants ----
 
 // Retry budget of a route. A repeat costs one token, and a first attempt earns kTokensPerFirstSend, so
-// repeats stay below a third of the first attempts. In addition, the initial kMaxTokens of a route are spent
-// once.
+// repeats stay below a third of the first attempts. The kMaxTokens with which a route starts allow additional
+// repeats once.
 constexpr double kTokensPerFirstSend = 0.3;
 constexpr double kMaxTokens = 5;
 // A fleet of up to this many senders uses the values for a small fleet; see FleetFactor().
 constexpr double kSmallFleet = 4;
-// Mean gap between calls after refusals while one message waits: after the first refusal, and at most. A
-// sender in a small fleet learns the limit quickly. In a large fleet, where each sender holds a part of a
-// burst, the burst drains slowly, so the gap is longer.
+// Mean gap between calls after refusals, while one message waits. The first refusal sets it to kFirstGap, and
+// further refusals double it up to kMaxGap. A sender in a small fleet learns the limit quickly. In a large
+// fleet, where each sender has a part of a burst, the burst drains slowly, so the gap is longer.
 constexpr Time kFirstGap = 60ms, kFirstGapLargeFleet = 2s, kMaxGap = 2s, kMaxGapLargeFleet = 20s;
 constexpr double kGapShrink = 0.12;  // share by which a served call reduces the gap
 // Longest mean pause of the other endpoints of a destination after a refusal, in a large fleet.
@@ -81,31 +81,33 @@
 // Time constant of the decaying counts of arrivals, in seconds. kMinArrivalWindowS is added to the observed
 // time so that a short burst after the start is not taken for a lasting rate.
 constexpr double kArrivalWindowS = 30, kMinArrivalWindowS = 5;
-constexpr double kUnseenOutageS =
-    5;  // assumed time between the start of an outage and the first failure here
+// Assumed time between the start of an outage and the first failure that this sender observes.
+constexpr double kUnseenOutageS = 5;
 
 // Choice of endpoints: costs, in seconds, that are added to the expected duration of a call.
 
-// kTrialCostS for the trial of a down endpoint is subtracted for messages that may be repeated, and added for
-// all others.
+// kColdCostS is added for a call to a cold endpoint. For the trial of a down endpoint kTrialCostS is
+// subtracted if the message may be repeated, and added otherwise.
 constexpr double kColdCostS = 1, kTrialCostS = 10;
 constexpr double kFeeCostS = 5;  // for each unit of fee
 // Weight of a sender's preference for certain endpoints; see RendezvousCost().
 constexpr double kRendezvousCostS = 1;
-// Head start of a message that loses e times as much worth per second: its aim counts as this much earlier.
+// Head start for each factor of e (2.718) in the worth that a message loses per second: its aim counts as
+// this much earlier.
 constexpr double kWorthHeadStartS = 4;
 // A waiting message counts as late when less than this multiple of the usual latency is left until its aim;
 // it is above 1 because latencies vary.
 constexpr double kLateLatencies = 1.5;
 // If a call is served within kServedSoonAfterConnectFailure after at most kMaxConnectFailures failed
-// connects, the endpoint had too few connections left and was not down. When the decaying count of such calls
-// reaches kConnectionsExhaustedCount, the connections of that kind of destination are taken to be exhausted.
+// connects, the endpoint is assumed to have had too few free connections instead of being down. When the
+// decaying count of such calls reaches kConnectionsExhaustedCount, the connections of that kind of
+// destination are assumed to be exhausted.
 constexpr Time kServedSoonAfterConnectFailure = 3s;
 constexpr int kMaxConnectFailures = 2;
 constexpr double kConnectionsExhaustedCount = 0.9;
 constexpr Time kConnectRecheck = 1s;   // mean time until the next trial after a single failed connect
 constexpr double kMaxSlotShare = 0.4;  // of all slots, for one route
-// Above this share of max_open the waiting messages of the least worth are refused.
+// Above this share of max_open the waiting messages with the lowest worth are refused.
 constexpr double kSheddingThreshold = 0.92;
 constexpr Time kAnswerMargin = 60ms;     // a waiting message is answered this long before its deadline
 constexpr Time kDefaultRetryAfter = 1s;  // shortest retry-after for a client; used if no call time is known
@@ -131,8 +133,7 @@
 using AttemptKey = std::pair<MessageId, int>;
 using SortKey = std::pair<double, std::int64_t>;  // sorts messages by a number, then by order of arrival
 
-// A destination, or a single endpoint if its kind has separate routes. Each route has its own limit, pacing
-// and retry budget.
+// Limit, pacing and retry budget of a destination, or of a single endpoint if its kind has separate routes.
 struct Route : RouteState {
   int endpoints = 0, calls_in_flight = 0;
   Time current_gap{0},          // random gap after the last call
@@ -154,9 +155,9 @@
   }
   void ScaleInterval(double factor) {
     const double announced_s = Seconds(announced_interval),
-                 least_s = std::min(announced_s, kMaxAnnouncedIntervalS / 2) * kMinIntervalFactor;
+                 min_interval_s = std::min(announced_s, kMaxAnnouncedIntervalS / 2) * kMinIntervalFactor;
     call_interval =
-        Micros(std::clamp(Seconds(call_interval) * factor, least_s, announced_s * kMaxIntervalFactor));
+        Micros(std::clamp(Seconds(call_interval) * factor, min_interval_s, announced_s * kMaxIntervalFactor));
   }
   // Returns the earliest time of the next call. The larger the backlog of waiting messages (1 or more), the
   // shorter are the interval and the gap after a refusal. A call that is no longer available is lost: the
@@ -169,6 +170,8 @@
     return std::max(
         {wait_until, next_send_at - current_gap + Micros(Seconds(current_gap) / backlog), due_at});
   }
+  // Returns until when the route is kept: while it has endpoints, and until a requested wait and the warm-up
+  // after an outage have ended.
   Time RememberedUntil() const { return endpoints > 0 ? Time::max() : std::max(wait_until, cold_until); }
 };
 
@@ -196,13 +199,14 @@
   double worth = 1;
   int sends = 0, first_uncertain_zone = 0;
   bool queued = false, in_flight = false, may_have_run = false, streaming = false;
-  bool late = false;  // can no longer be served within its aim
+  bool late = false;  // expected to miss its aim
   // When the first attempt that may have run was sent; first_uncertain_zone is its zone.
   Time first_uncertain_at{0};
   Alarm alarm;
 
   // The smallest is refused first; of two messages with equal worth it is the later one.
   SortKey SheddingKey() const { return {worth, -sequence}; }
+  // Each class has two queues: for messages that certainly have not run, and for messages that may have run.
   std::size_t QueueIndex() const {
     return static_cast<std::size_t>(message.message_class) * 2 + may_have_run;
   }
@@ -211,7 +215,7 @@
 // A count in which each event loses weight exponentially over time.
 struct DecayingCount {
   double value = 0;
-  Time at{0};
+  Time at{0};  // time of the last event
 
   double At(Time now) const { return value * std::exp(-Seconds(now - at) / kArrivalWindowS); }
   void Add(Time now) { *this = {At(now) + 1, now}; }
@@ -240,7 +244,7 @@
   Endpoint* endpoint = nullptr;
   std::string order_key;
   std::uint64_t call_id = 0;
-  Time sent_at{0}, overdue_after{0};           // overdue_after is a span that begins at sent_at
+  Time sent_at{0}, overdue_after{0};           // overdue_after is a duration, from sent_at
   int overdue_count = 0;                       // 1: overdue; 2: twice the overdue time has passed
   bool is_trial = false, cancellable = false;  // cancellable: to free its slot
   Alarm alarm;
@@ -250,16 +254,16 @@
 struct TenantQuota {
   double per_s = 0;
   double tokens = 0;
-  Time at{0};
+  Time at{0};  // time of the last message; Time::min() before the first one
 
   // Spends a token for one message. Returns false if none is left: the message is beyond the quota.
   bool TrySpendToken(Time now) {
     if (at != Time::min())
       tokens = std::min(kQuotaBurstMessages + per_s * kQuotaBurstS, tokens + per_s * Seconds(now - at));
     at = now;
-    const bool within = tokens >= 1;
-    tokens -= within;
-    return within;
+    const bool is_within_quota = tokens >= 1;
+    tokens -= is_within_quota;
+    return is_within_quota;
   }
 };
 
@@ -340,7 +344,7 @@
     destination.queues.resize(settings_.classes.size() * 2);
     return destination;
   }
-  // Not a distribution of the standard library: those give different values on different systems.
+  // Doesn't use a distribution of the standard library, because their results differ between implementations.
   double Uniform(double from, double to) {
     return from + (to - from) * (static_cast<double>(random_() >> 11) * 0x1p-53);
   }
@@ -415,12 +419,12 @@
     Dequeue(pending);
     StartWaiting(pending);
   }
-  // Returns from when on the message counts as late for its aim.
+  // Returns the time from which the message is expected to miss its aim.
   Time LateAt(const PendingMessage& pending) const {
-    double least_s = Seconds(kInitialLatency);
+    double min_latency_s = Seconds(kInitialLatency);
     for (const Endpoint* endpoint : pending.destination->endpoints)
-      least_s = std::min(least_s, endpoint->latency_s);
-    return pending.aim_at - Micros(kLateLatencies * least_s);
+      min_latency_s = std::min(min_latency_s, endpoint->latency_s);
+    return pending.aim_at - Micros(kLateLatencies * min_latency_s);
   }
   void Enqueue(PendingMessage& pending) {
     if (pending.queued || !IsNextOfItsKey(pending)) return;
@@ -651,7 +655,9 @@
     return share / (1 - std::exp(-rate * (Seconds(outage) + kUnseenOutageS)));
   }
   // Returns a random time until this sender's next call to a cold endpoint that now has `capacity`, a share
-  // of its full capacity. It takes into account that the capacity grows until the next call.
+  // of its full capacity. The capacity grows linearly until then: the call is due when the integral of the
+  // capacity over time reaches the interval between calls at full
+  // capacity.
   Time ColdInterval(const Endpoint& endpoint, double capacity) {
     const double interval_s = Uniform(0.5, 1.5) / OutageRateShare(endpoint);
     const double growth_per_s = settings_.warm_up > 0us && capacity < 1
@@ -691,12 +697,12 @@
     if (attempt.overdue_count > 1 || endpoint.state == HealthState::kDown) MarkCancellable(attempt);
     if (endpoint.state == HealthState::kDown || now_ - endpoint.last_served_at < OverdueAfter(endpoint))
       return;
-    int count = endpoint.consecutive_failures;
+    int failure_count = endpoint.consecutive_failures;
     for (const Attempt* other : endpoint.attempts)
-      count += other->sent_at > endpoint.last_served_sent_at
-                   ? std::min(other->overdue_count, kMinFailuresToMarkDown)
-                   : 0;
-    if (count < std::max(kMinFailuresToMarkDown, FailuresToMarkDown(endpoint))) return;
+      failure_count += other->sent_at > endpoint.last_served_sent_at
+                           ? std::min(other->overdue_count, kMinFailuresToMarkDown)
+                           : 0;
+    if (failure_count < std::max(kMinFailuresToMarkDown, FailuresToMarkDown(endpoint))) return;
     endpoint.failure_may_have_run = true;
     MarkDown(endpoint, "silence");
     Touch(*endpoint.destination);
@@ -825,11 +831,11 @@
   // of two messages changes only when one of them becomes late.
   double DispatchKey(const PendingMessage& pending) const {
     const MessageClass& message_class = ClassOf(pending.message);
-    const bool linear = settings_.decay == Decay::kLinear;
-    const double loss = linear ? 1 - message_class.late_value : std::log(2.0);
+    const bool is_linear = settings_.decay == Decay::kLinear;
+    const double loss = is_linear ? 1 - message_class.late_value : std::log(2.0);
     const double loss_per_s =
         pending.worth * loss /
-        std::max(0.001, Seconds(linear ? message_class.deadline - message_class.aim : message_class.aim));
+        std::max(0.001, Seconds(is_linear ? message_class.deadline - message_class.aim : message_class.aim));
     const double late_penalty_s = pending.late ? Seconds(message_class.deadline) : 0;
     return Seconds(pending.aim_at) + late_penalty_s - kWorthHeadStartS * std::log(std::max(loss_per_s, 1e-6));
   }
@@ -873,8 +879,8 @@
     const Time soonest = NextAvailableAt(destination);
     if (soonest < Time::max()) SetAlarm(destination.alarm, soonest, &destination);
   }
-  // Returns the earliest time at which one of the endpoints that may not be called now may be called;
-  // Time::max() if there is none.
+  // Returns the earliest time at which an endpoint that must not be called yet may be called; Time::max() if
+  // there is no such endpoint.
   Time NextAvailableAt(const Destination& destination) const {
     Time soonest = Time::max();
     if (!ListValid()) return soonest;
@@ -918,7 +924,7 @@
       actions_.push_back(Cancel{key.first, key.second});
     }
   }
-  // Near max_open, refuses the waiting messages of the least worth, while their clients still have time to
+  // Near max_open, refuses the waiting messages with the lowest worth, while their clients still have time to
   // retry. Returns whether there were too many messages.
   bool Shed() {
     const auto limit = static_cast<std::size_t>(std::max(1.0, kSheddingThreshold * settings_.max_open));
@@ -1037,7 +1043,8 @@
     pending.may_have_run = history.may_have_run;
     pending.first_uncertain_at = now_ - history.since_first_uncertain;
     pending.first_uncertain_zone = history.first_uncertain_zone;
-    Route substitute_route;  // its tokens are not kept
+    // Charged for the repeat if no other route is to pay for it; starts with all tokens and is discarded.
+    Route substitute_route;
     const auto last = endpoints_.find(history.last_endpoint);
     // The attempt of the earlier process is recorded like a new one, but its Send action is removed again.
     if (history.in_flight && last != endpoints_.end()) {
@@ -1211,7 +1218,7 @@
   std::map<std::string, KeyQueue> key_queues_;
   std::vector<Destination*> touched_;                  // in this step
   std::set<std::pair<SortKey, DestinationId>> ready_;  // may be able to send; ordered by their first message
-  std::map<SortKey, PendingMessage*> sheddable_;       // waiting messages that certainly never ran
+  std::map<SortKey, PendingMessage*> sheddable_;       // waiting messages that certainly have not run
   std::set<std::pair<Time, AttemptKey>> cancellable_;  // attempts that may be cancelled
   int cancels_in_flight_ = 0;                          // attempts that were cancelled and have not ended
   std::vector<TenantQuota> tenant_quotas_;
