--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -224,7 +224,7 @@
   // attempts, then ends the process. Once no work is left and clients have been idle for kKeepAccepting, the
   // remaining steps follow without their delays.
   void CheckProgress() {
-    if (phases_.current() == Phase::kServing) return;  // resumed
+    if (phases_.current() == Phase::kServing) return;  // an operator has resumed the service
     if (phases_.current() == Phase::kHandedOver) return CheckHandedOver();
     const net::Time elapsed = net::Loop::Now() - drain_started_at_;
     drain_ms_ = elapsed / 1ms;
@@ -465,9 +465,9 @@
   net::Timer progress_timer_;
   net::Time drain_started_at_{0};
   net::Time exit_deadline_{0};  // latest time of the exit after a handover; 0: no signal to exit was received
-  std::int64_t drain_ms_ = 0;
+  std::int64_t drain_ms_ = 0;   // time since the start of the drain, as of the last check
   bool listener_closed_ = false;
-  bool clients_closing_ = false;
+  bool clients_closing_ = false;  // clients are disconnected when idle, during an operator's drain
   std::optional<control::Server> control_server_;
   std::optional<management::ManagementServer> management_;
   std::optional<handover::HandoverServer> handover_;
@@ -536,8 +536,8 @@
   try {
     options.argv = argv;
     const config::Config config = config::LoadFromEnvironment();
-    // From here on SIGTERM and SIGINT cause an orderly shutdown. A process that is waiting for a handover has
-    // no work to finish, so there they end it immediately.
+    // SIGTERM and SIGINT cause an orderly shutdown from here on. They end a process that waits for a handover
+    // immediately, because it has no work to finish.
     if (config.listen_fd < 0) net::Signal::Block(SIGTERM);
     if (config.listen_fd < 0) net::Signal::Block(SIGINT);
     RelayProcess(config, options, LockOrTakeOver(config)).Run();
