--- a/src/apps/oxbowspread.cpp
+++ b/src/apps/oxbowspread.cpp
@@ -167,19 +167,19 @@
                                               .change;
         last_known.scope = wheathub::ListScope::kRemembered;
         const bool is_takeover = startup_state_.channel.has_value();
-        discovery_.SetKnownRevision(is_takeover ? startup_state_.state.routing_table.revision
+        discovery_.SetKnownRevision(is_takeover ? startup_state_.handover_state.routing_table.revision
                                                 : last_known.revision);
         if (is_takeover)
-          transport_.TakeOver(std::move(*startup_state_.channel), startup_state_.state.in_flight);
-        relay_.Recover(last_known, is_takeover ? &startup_state_.state : nullptr);
-        endpoint_pool_.RestoreWaits(startup_state_.state);
+          transport_.TakeOver(std::move(*startup_state_.channel), startup_state_.handover_state.in_flight);
+        relay_.Recover(last_known, is_takeover ? &startup_state_.handover_state : nullptr);
+        endpoint_pool_.RestoreWaits(startup_state_.handover_state);
         std::optional<wheathub::ListLease::Inherited> lease;
-        if (is_takeover) lease = {startup_state_.state.list_valid_until};
+        if (is_takeover) lease = {startup_state_.handover_state.list_valid_until};
         discovery_.Start(ListOptionsOf(config_), ~config_.seed, lease);
         if (is_takeover) {
           std::cout << config_.name << ": took over " << startup_state_.clients.size() << " clients and "
-                    << startup_state_.state.in_flight.size() << " attempts that continue in the old process"
-                    << std::endl;
+                    << startup_state_.handover_state.in_flight.size()
+                    << " attempts that continue in the old process" << std::endl;
         }
         std::cout << config_.name << ": " << counters_.recovered << " messages and "
                   << counters_.recovered_notices << " notices recovered from the journal, "
@@ -224,7 +224,7 @@
   // attempts, then ends the process. Once no work is left and clients have been idle for kKeepAccepting, the
   // remaining steps follow without their delays.
   void CheckProgress() {
-    if (phases_.current() == Phase::kServing) return;  // resumed
+    if (phases_.current() == Phase::kServing) return;  // an operator has resumed the service
     if (phases_.current() == Phase::kHandedOver) return CheckHandedOver();
     const net::Time elapsed = net::Loop::Now() - drain_started_at_;
     drain_ms_ = elapsed / 1ms;
@@ -287,7 +287,7 @@
     return handover_state;
   }
   std::vector<client::ClientState> Clients() const override { return clients_->ExportState(); }
-  int LockFd() const override { return startup_state_.lock->fd(); }
+  int LockFd() const override { return startup_state_.folder_lock->fd(); }
   void CompleteHandover() override {
     relay_.CompleteHandover([this](const std::string& id, const relay::AttemptResult& result) {
       handover_->SendAttemptEnded(id, result);
@@ -297,7 +297,7 @@
     notices_.Stop();
     endpoint_pool_.CloseAllIdle();
     control_server_.reset();
-    startup_state_.lock->Release();
+    startup_state_.folder_lock->Release();
     phases_.Enter(Phase::kHandedOver);
   }
   void CancelAttempt(const std::string& id) override { relay_.CancelHandedOver(id); }
@@ -305,7 +305,8 @@
   // the journal, unless it has received SIGTERM or SIGINT.
   void OnReceiverLost() override {
     if (exit_deadline_ > net::Time(0)) return;
-    std::cerr << config_.name << ": the process that took over has exited: starting anew" << std::endl;
+    std::cerr << config_.name << ": the process that took over has exited: restarting from the journal"
+              << std::endl;
     execv("/proc/self/exe", options_.argv);
     std::cerr << config_.name << ": cannot execute /proc/self/exe" << std::endl;
     phases_.Enter(Phase::kStopped);
@@ -403,7 +404,7 @@
   // Reads and applies the configuration file again. If it can't be used, the running configuration stays in
   // force, and the error is logged and returned.
   std::optional<std::string> Reload() {
-    if (phases_.current() == Phase::kHandedOver) return "is given over";
+    if (phases_.current() == Phase::kHandedOver) return "has handed over";
     try {
       config::Config new_config = config::Reload(config_);
       const net::Address discovery_address = RequireAddress("discovery", new_config.discovery);
@@ -464,9 +465,9 @@
   net::Timer progress_timer_;
   net::Time drain_started_at_{0};
   net::Time exit_deadline_{0};  // latest time of the exit after a handover; 0: no signal to exit was received
-  std::int64_t drain_ms_ = 0;
+  std::int64_t drain_ms_ = 0;   // time since the start of the drain, as of the last check
   bool listener_closed_ = false;
-  bool clients_closing_ = false;
+  bool clients_closing_ = false;  // clients are disconnected when idle, during an operator's drain
   std::optional<control::Server> control_server_;
   std::optional<management::ManagementServer> management_;
   std::optional<handover::HandoverServer> handover_;
@@ -478,7 +479,7 @@
 handover::StartupState LockOrTakeOver(const config::Config& config) {
   if (config.listen_fd < 0) {
     handover::StartupState startup_state;
-    startup_state.lock = std::make_unique<journal::FolderLock>(config.state);
+    startup_state.folder_lock = std::make_unique<journal::FolderLock>(config.state);
     return startup_state;
   }
   try {
@@ -535,8 +536,8 @@
   try {
     options.argv = argv;
     const config::Config config = config::LoadFromEnvironment();
-    // From here on SIGTERM and SIGINT cause an orderly shutdown. A process that is waiting for a handover has
-    // no work to finish, so there they end it immediately.
+    // SIGTERM and SIGINT cause an orderly shutdown from here on. They end a process that waits for a handover
+    // immediately, because it has no work to finish.
     if (config.listen_fd < 0) net::Signal::Block(SIGTERM);
     if (config.listen_fd < 0) net::Signal::Block(SIGINT);
     RelayProcess(config, options, LockOrTakeOver(config)).Run();
--- a/tests/relay/handover_test.cpp
+++ b/tests/relay/handover_test.cpp
@@ -72,7 +72,7 @@
   return receiver;
 }
 void CloseDescriptors(const HandoverReceiver& receiver) {
-  for (const auto& client : receiver.clients()) close(client.fd);
+  for (const auto& client : receiver.client_states()) close(client.fd);
   close(receiver.lock_fd());
 }
 
@@ -82,14 +82,14 @@
   host.info = {"a", 7, 1, 2, 3.5, wheathub::Lifecycle::kDraining};
   host.address = "127.0.0.1:1";
   state.routing_table = {wheathub::ListScope::kRemembered, 41, {host}};
-  wheathub::LearnedState belief;
-  belief.endpoint = "a";
-  belief.route.tokens = 2.5;
-  belief.route.wait_until = 12345s;
-  belief.health.warm_at = 54321s;
-  belief.health.state = wheathub::HealthState::kDown;
-  belief.health.failure_rate = 0.25;
-  state.beliefs = {belief};
+  wheathub::LearnedState learned_state;
+  learned_state.endpoint = "a";
+  learned_state.route.tokens = 2.5;
+  learned_state.route.wait_until = 12345s;
+  learned_state.health.warm_at = 54321s;
+  learned_state.health.state = wheathub::HealthState::kDown;
+  learned_state.health.failure_rate = 0.25;
+  state.learned_states = {learned_state};
   state.in_flight = {{"m1", "a", 77s, 88s}};
   state.host_waits = {{"a", 1s, 2s}};
   state.address_waits = {{"127.0.0.1:7", 3s}};
@@ -99,10 +99,10 @@
   const relay::HandoverState decoded = FromChunks(encoded);
   CHECK(decoded.routing_table.hosts.at(0).info.weight == 3.5);
   CHECK(decoded.routing_table.hosts.at(0).address == "127.0.0.1:1");
-  CHECK(decoded.beliefs.at(0).route.wait_until == 12345s);
-  CHECK(decoded.beliefs.at(0).health.warm_at == 54321s);
-  CHECK(decoded.beliefs.at(0).health.state == wheathub::HealthState::kDown);
-  CHECK(decoded.beliefs.at(0).health.failed_at == wheathub::EndpointHealth::kNever);
+  CHECK(decoded.learned_states.at(0).route.wait_until == 12345s);
+  CHECK(decoded.learned_states.at(0).health.warm_at == 54321s);
+  CHECK(decoded.learned_states.at(0).health.state == wheathub::HealthState::kDown);
+  CHECK(decoded.learned_states.at(0).health.failed_at == wheathub::EndpointHealth::kNever);
   CHECK(decoded.in_flight.at(0).started_at == 77s);
   CHECK(decoded.in_flight.at(0).message_deadline == 88s);
   CHECK(decoded.host_waits.at(0).until == 2s);
@@ -411,7 +411,7 @@
     auto channel = Channel::Connect(fixture.old_process.state());
     CloseDescriptors(ReceiveUntil(*channel, HandoverReceiver::Phase::kOwner));
   }
-  fixture.old_process.WaitForLog("starting anew");
+  fixture.old_process.WaitForLog("restarting from the journal");
   const HttpRequest repeat = fixture.stubs.NextCall();
   CHECK(repeat.id() == "kept");
   fixture.stubs.Answer(repeat, "200 OK");
