--- a/src/standin/client_connection.cpp
+++ b/src/standin/client_connection.cpp
@@ -12,10 +12,11 @@
   return command;
 }
 
-ClientConnection::ClientConnection(net::Loop& loop, Owner& owner, const net::Address& to, net::Time timeout)
+ClientConnection::ClientConnection(net::Loop& loop, Owner& owner, const net::Address& address,
+                                   net::Time timeout)
     : owner_(owner),
       timeout_(timeout),
-      connection_(net::Connection::Open(loop, to, *this)),
+      connection_(net::Connection::Open(loop, address, *this)),
       timeout_timer_(loop, [this] { ReportLoss(false); }) {
   StartTimeout();
 }
@@ -44,11 +45,11 @@
   connection_->Send(request_);
 }
 
-void ClientConnection::OnBytes(proto::RingBuffer& in) {
-  while (!in.empty()) {
-    const std::string_view front = in.Front();
+void ClientConnection::OnBytes(proto::RingBuffer& received) {
+  while (!received.empty()) {
+    const std::string_view front = received.Front();
     received_ += front;
-    in.Consume(front.size());
+    received.Consume(front.size());
   }
   const std::size_t end = received_.find("\r\n");
   if (end == received_.npos || request_.empty()) return;
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -37,11 +37,11 @@
   void Close() { connection_.Close(); }
 
  private:
-  void OnBytes(proto::RingBuffer& in) override {
-    while (!in.empty()) {
-      const std::string_view front = in.Front();
+  void OnBytes(proto::RingBuffer& received) override {
+    while (!received.empty()) {
+      const std::string_view front = received.Front();
       const bool valid = parser_.Feed(front);
-      in.Consume(front.size());
+      received.Consume(front.size());
       if (!valid) return server_.Remove(number_);
     }
   }
@@ -162,7 +162,7 @@
   while (!pending_calls_.empty() && pending_calls_.begin()->first <= net::Loop::Now()) {
     const PendingCall call = std::move(pending_calls_.begin()->second);
     pending_calls_.erase(pending_calls_.begin());
-    // The call takes effect here, whether or not the relay still waits for the answer.
+    // The call is executed here, whether or not the relay still waits for the answer.
     tracker_.RecordDelivery(call.request.Header("x-request-id"), call.request.Header("idempotency-key"),
                             net::Loop::Now());
     hosts_[call.host]->Write(call.connection, FormatResponse("200 OK", "ok"));
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -17,8 +17,8 @@
 
 Time FromSeconds(double seconds) { return Time(std::llround(seconds * 1e6)); }
 
-// One line of input, split into a name and name=value fields. A field of type text extends to the end of the
-// line.
+// One line of input, split into a name and name=value fields. The fields `facts` and `reason-text` extend to
+// the end of the line.
 class Line {
  public:
   Line(const std::string& text, std::size_t number) : number_(number) {
@@ -128,10 +128,10 @@
 }
 
 // The fields `x0` and `x1` of the comma-separated figures hold the unused share of the limit, and the limit.
-std::optional<Allowance> ReadAllowance(const Line& line, const std::vector<std::string>& names) {
+std::optional<ReportedLimit> ReadReportedLimit(const Line& line, const std::vector<std::string>& names) {
   const std::string* figures = line.Find("pressure");
   if (figures == nullptr || figures->empty() || *figures == "-") return std::nullopt;
-  Allowance allowance;
+  ReportedLimit reported_limit;
   bool reported = false;
   std::string_view rest = *figures;
   for (std::size_t i = 0; !rest.empty(); ++i) {
@@ -140,11 +140,11 @@
     rest.remove_prefix(comma == rest.npos ? rest.size() : comma + 1);
     const double value = figure.empty() ? 0 : line.ParseNumber("pressure", figure);
     if (i >= names.size()) continue;
-    if (names[i] == "x0") allowance.left_share = value;
-    if (names[i] == "x1") allowance.limit_per_s = value;
+    if (names[i] == "x0") reported_limit.unused_share = value;
+    if (names[i] == "x1") reported_limit.limit_per_s = value;
     reported = reported || names[i] == "x0" || names[i] == "x1";
   }
-  return reported ? std::optional(allowance) : std::nullopt;
+  return reported ? std::optional(reported_limit) : std::nullopt;
 }
 
 Time ReadRetryAfter(const Line& line, Outcome outcome) {
@@ -191,9 +191,9 @@
   ended.endpoint = line.Text("receiver");
   ended.outcome = ReadOutcome(line);
   ended.latency = line.SecondsOr("delay-seen-s", Time(0));
-  ended.closed = line.Flag("closed");
+  ended.message_ended = line.Flag("closed");
   ended.retry_after = ReadRetryAfter(line, ended.outcome);
-  ended.allowance = ReadAllowance(line, names);
+  ended.reported_limit = ReadReportedLimit(line, names);
   return ended;
 }
 
@@ -203,7 +203,7 @@
   ended.outcome = ReadOutcome(line);
   ended.latency = line.SecondsOr("delay-seen-s", Time(0));
   ended.retry_after = ReadRetryAfter(line, ended.outcome);
-  ended.allowance = ReadAllowance(line, names);
+  ended.reported_limit = ReadReportedLimit(line, names);
   return ended;
 }
 
@@ -292,7 +292,7 @@
   return word == "rough" ? WeightMeaning::kRough : WeightMeaning::kNone;
 }
 
-// Appends a field in seconds with six decimals, without rounding through floating point.
+// Appends a field in seconds with six decimals. Integer arithmetic avoids rounding errors.
 void AppendSeconds(const char* name, Time time, std::string* out) {
   char text[48];
   const long long micros = time.count();
@@ -314,6 +314,7 @@
   }
 }
 
+// Appends one action to `out`, without the newline.
 struct Writer {
   std::string* out;
 
@@ -369,10 +370,10 @@
     const Json report = root.value("report", empty_object);
     *report_fields = report.value("fields", std::vector<std::string>());
     for (const std::string& field : *report_fields)
-      settings.reports_allowance |= field == "x0" || field == "x1";
+      settings.endpoints_report_limit |= field == "x0" || field == "x1";
     return settings;
   } catch (const Json::exception& error) {
-    throw std::invalid_argument(std::string("the settings can't be read: ") + error.what());
+    throw std::invalid_argument(std::string("the settings can't be parsed: ") + error.what());
   }
 }
 
@@ -387,7 +388,7 @@
   std::vector<EndpointInfo> endpoints;
   std::string text;
   for (std::size_t i = 0; i < count; ++i) {
-    if (!GetLine(&text)) throw Error(line_, "the input ends inside a LEDGER");
+    if (!GetLine(&text)) throw Error(line_, "the input ends within a LEDGER");
     endpoints.push_back(ReadEndpoint(Line(text, line_)));
   }
   return endpoints;
@@ -405,12 +406,12 @@
   batch->round = head.Text("round");
   std::string instance;
   const auto add = [&](auto content) {
-    if (instance.empty()) throw Error(line_, "an event before any AT");
+    if (instance.empty()) throw Error(line_, "an event without an AT before it");
     batch->items.push_back({instance, line_, std::move(content)});
   };
   const auto report_fields = [&]() -> const std::vector<std::string>& { return report_fields_[instance]; };
   while (true) {
-    if (!GetLine(&text)) throw Error(line_, "the input ends inside a batch");
+    if (!GetLine(&text)) throw Error(line_, "the input ends within a batch");
     const Line line(text, line_);
     const std::string& name = line.name();
     if (name == "FLUSH") return true;
@@ -440,7 +441,8 @@
       if (update.scope != ListScope::kFailed) {
         update.revision = line.Integer<std::int64_t>("revision");
         const auto endpoint_list = endpoint_lists_.find(line.Integer<std::int64_t>("ref"));
-        if (endpoint_list == endpoint_lists_.end()) throw Error(line_, "VIEW of a list that was never given");
+        if (endpoint_list == endpoint_lists_.end())
+          throw Error(line_, "VIEW of a list that no LEDGER defined");
         update.endpoints = endpoint_list->second;
       }
       add(Event(std::move(update)));
--- a/tests/group/files_test.cpp
+++ b/tests/group/files_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the group file, the agent's store, the members' keys, the frames of the control protocol and the
-// client side of oxbowctl.
+// Tests of the group file, the agent's store, the members' keys, the frames of the control protocol and
+// ctl::Client.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -61,7 +61,7 @@
   CHECK(group.limits.freezes.at(0).start_minute == 360);
 }
 
-TEST_CASE("every fault of a group file is reported on one line with file and line number and key") {
+TEST_CASE("each fault of a group file is reported on one line with the file and line number and key") {
   const Folder folder;
   const auto fault_after = [&](const std::string& from, const std::string& to) {
     std::string text = kGroup;
@@ -83,18 +83,18 @@
   CHECK(fault_after("most_out: 2", "most_out: 0") == ":8: limits.most_out: must be a number from 1 to 1000");
   CHECK(fault_after("most_out: 2", "most_out: 1.5") == ":8: limits.most_out: must be a whole number");
   CHECK(fault_after("1m", "1 hour") ==
-        ":9: limits.settle_within: must be a span such as 250ms, 20s or 3m, not '1 hour'");
+        ":9: limits.settle_within: must be a duration such as 250ms, 20s or 3m, not '1 hour'");
   CHECK(fault_after("agent: west", "agent: east") == ":6: instances.agent: no agent is named 'east'");
   CHECK(fault_after("127.0.0.1:7401", "here") ==
         ":4: agents.address: must be an IPv4 address and port, not 'here'");
-  CHECK(fault_after("[sat, sun]", "[satday]").find(":11: freeze.days: must be of sun") == 0);
+  CHECK(fault_after("[sat, sun]", "[satday]").find(":11: freeze.days: must be one of sun") == 0);
   CHECK(fault_after("\"06:00\"", "\"6 am\"") ==
         ":11: freeze.from: must be a time such as \"06:30\", not '6 am'");
   CHECK(fault_after("group: coulee\n", "") == ":1: group: is missing");
   CHECK(fault_after("name: n1, ", "name: ../n1, ").find(":6: instances.name: must be up to 40") == 0);
   CHECK(fault_after("capacity: 120", "capacity: lots").find(":6: instances.capacity: must be a number") == 0);
   CHECK(fault_after("limits:", "limits: [").find("YAML") != std::string::npos);
-  CHECK(fault_after("keys: keys", "keys: keys\nkeys: other") == ":3: keys: stands twice");
+  CHECK(fault_after("keys: keys", "keys: keys\nkeys: other") == ":3: keys: appears twice");
   CHECK_THROWS_WITH(group::Read(folder.path + "/none.yaml"), folder.path + "/none.yaml: can't be read");
 }
 
@@ -140,10 +140,10 @@
   CHECK_FALSE(store.GetConfig("n1", "v1").has_value());
   CHECK(store.AllDesired().at("n1").stamp == "v1@first");
   store.PutDesired("n1", {"paused", "v1@first", false});
-  CHECK(store.AllDesired().at("n1").want == "paused");
+  CHECK(store.AllDesired().at("n1").phase == "paused");
 }
 
-TEST_CASE("a file that is no store and a store of a later version are rejected and left unchanged") {
+TEST_CASE("a file that is not a store and a store of a later version are rejected and left unchanged") {
   const Folder folder;
   const std::string invalid_file = folder.Write("noise.db", std::string(8192, 'n'));
   CHECK_THROWS_AS(store::Store(invalid_file, 1024), store::Error);
@@ -154,12 +154,12 @@
   file.seekp(60);
   file.write("\0\0\0\x09", 4);
   file.close();
-  CHECK_THROWS_WITH(store::Store(newer_store, 1024), Catch::Matchers::Contains("is of version 9"));
+  CHECK_THROWS_WITH(store::Store(newer_store, 1024), Catch::Matchers::Contains("has version 9"));
 }
 
 // ---- keys ----
 
-// Both TLS filters of a connection; the test passes the bytes between them.
+// The TLS filters of both sides of a connection. The test passes the bytes between them.
 struct TlsConnection {
   std::unique_ptr<control::Filter> client, server;
   std::string client_received, server_received;
@@ -191,7 +191,8 @@
   }
 };
 
-TEST_CASE("members of a group identify each other by name and sealed data is decrypted from single bytes") {
+TEST_CASE(
+    "members of a group authenticate each other by name and sealed data is decrypted from single bytes") {
   const Keys keys;
   const tls::Identity west(keys.path, "west"), east(keys.path, "east");
   TlsConnection connection{west.NewClientSession("east"), east.NewServerSession(), {}, {}};
@@ -231,12 +232,12 @@
   const Keys keys;
   chmod((keys.path + "/west.key").c_str(), 0640);
   CHECK_THROWS_WITH(tls::Identity(keys.path, "west"),
-                    keys.path + "/west.key: others may read it; only 0600 is accepted");
+                    keys.path + "/west.key: is accessible to other users; only mode 0600 is accepted");
   std::filesystem::copy_file(keys.path + "/east.key", keys.path + "/west.key",
                              std::filesystem::copy_options::overwrite_existing);
   chmod((keys.path + "/west.key").c_str(), 0600);
   CHECK_THROWS_WITH(tls::Identity(keys.path, "west"), Catch::Matchers::Contains("west.key: "));
-  CHECK_THROWS_WITH(tls::Identity(keys.path, "nobody"), keys.path + "/nobody.crt: is not there");
+  CHECK_THROWS_WITH(tls::Identity(keys.path, "nobody"), keys.path + "/nobody.crt: does not exist");
 }
 
 TEST_CASE(
@@ -262,7 +263,7 @@
 TEST_CASE("a group's key is never replaced and invalid member names are rejected") {
   const Keys keys;
   CHECK_THROWS_WITH(tls::CreateGroupKey(keys.path, "coulee", 10),
-                    Catch::Matchers::Contains("is there already"));
+                    Catch::Matchers::Contains("already exists"));
   CHECK_THROWS(tls::IssueMemberKey(keys.path, "../west", 10));
   CHECK_THROWS(tls::IssueMemberKey(keys.path, "group", 10));
   struct stat status {};
@@ -272,7 +273,7 @@
 
 // ---- frames ----
 
-TEST_CASE("frames are read from single bytes and a frame that is no object or too long ends the stream") {
+TEST_CASE("frames are read from single bytes and a frame that is not an object or too long ends the stream") {
   control::FrameReader reader(64);
   const std::string text = control::EncodeFrame({{"a", 1}}) + control::EncodeFrame({{"b", "x\ny"}});
   std::vector<control::Json> frames;
@@ -284,7 +285,7 @@
   CHECK(frames[1].at("b") == "x\ny");
   reader.Feed("[1]\n{}\n");
   CHECK_FALSE(reader.Next().has_value());
-  CHECK(reader.error() == "a frame is no JSON object");
+  CHECK(reader.error() == "a frame is not a JSON object");
   CHECK_FALSE(reader.Next().has_value());
   control::FrameReader limited_reader(64);
   limited_reader.Feed(std::string(65, 'x'));
@@ -292,9 +293,9 @@
   CHECK(limited_reader.error() == "a frame is longer than 64 bytes");
 }
 
-// ---- the client side of oxbowctl ----
+// ---- ctl::Client ----
 
-// Agent on a thread of its own that gives the same answer to every request.
+// Agent on its own thread that gives the same answer to every request.
 class FakeAgent {
  public:
   FakeAgent(const std::string& keys, const std::string& name, const std::string& address,
@@ -341,7 +342,7 @@
                                        control::Json{{"ok", true}, {"leader", leader}, {"change", change}});
   };
   const auto east = start_agent(1, "east", "this one");
-  for (const char* leader : {"east", ""}) {  // an agent that follows the leader, and one that knows no leader
+  for (const char* leader : {"east", ""}) {  // west follows the leader, or has heard from no leader
     INFO("west follows '" << leader << "'");
     const auto west = start_agent(0, leader, "the last one");
     ctl::Client client(group, "operator", "");
@@ -349,7 +350,7 @@
   }
 }
 
-TEST_CASE("when no agent leads the error carries the last answer of an agent") {
+TEST_CASE("the error contains the last answer of an agent when no agent leads") {
   const Keys keys;
   tls::IssueMemberKey(keys.path, "operator", 86400);
   group::Group group;
@@ -364,9 +365,9 @@
     client.AskLeader({{"op", "change"}}, std::chrono::milliseconds(300));
     FAIL("the request was answered although no agent leads");
   } catch (const ctl::Unreachable& error) {
-    CHECK(error.what() == std::string("west: no agent leads just now"));
-    REQUIRE(error.last());
-    CHECK(error.last()->at("change") == "the last one");
+    CHECK(error.what() == std::string("west: no agent leads at present"));
+    REQUIRE(error.last_answer());
+    CHECK(error.last_answer()->at("change") == "the last one");
   }
 }
 
--- a/tests/lab/pool_test.cpp
+++ b/tests/lab/pool_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the endpoint transport with a real event loop and relay, in which the test chooses the order of
+// Tests of the endpoint transport with a real event loop and a real relay. The test controls the order of
 // events.
 #include "endpoint/pool.hpp"
 
@@ -34,11 +34,11 @@
   std::string bytes;
 
  private:
-  void OnBytes(proto::RingBuffer& in) override {
-    while (!in.empty()) {
-      const std::string_view front = in.Front();
+  void OnBytes(proto::RingBuffer& received) override {
+    while (!received.empty()) {
+      const std::string_view front = received.Front();
       bytes += front;
-      in.Consume(front.size());
+      received.Consume(front.size());
     }
     on_bytes_();
   }
@@ -98,7 +98,7 @@
     ports.on_timer = [&] {
       relay.ProcessEvents();
       // The connect has started, and the loop has not reported its result yet.
-      if (relay.in_flight() == 0 || std::exchange(moved, true)) return;
+      if (relay.in_flight_count() == 0 || std::exchange(moved, true)) return;
       relay.RoutingChanged(ChangeWithHostAt(new_server.address(), wheathub::ListScope::kChanges));
     };
     relay.Recover(ChangeWithHostAt(old_server.address(), wheathub::ListScope::kRemembered));
